--- a/src/core/gateway/__tests__/knowledge.test.ts
+++ b/src/core/gateway/__tests__/knowledge.test.ts
@@ -1,6 +1,6 @@
 /** What a gateway remembers: jobs, failures, retries, suspects, routes. */
 import {describe, expect, it} from 'vitest';
-import {reading, writingPass} from '../engine.js';
+import {estimatePrefill, estimateDecodeIteration} from '../engine.js';
 import {Directory} from '../directory.js';
 import {Health} from '../health.js';
 import {Lapses} from '../lapses.js';
@@ -23,19 +23,19 @@
 
 describe('an engine\'s times', () => {
 	it('grow with the square of a prompt and shrink with the engines that share it', () => {
-		const one = reading(model, 100_000);
+		const one = estimatePrefill(model, 100_000);
 		expect(one.total).toBeCloseTo(500 + 500 + 49, 0);
-		expect(reading(model, 100_000, 4).total).toBeCloseTo(one.total / 4, -1);
-		expect(reading(model, 200_000).total / one.total).toBeGreaterThan(2.5);
+		expect(estimatePrefill(model, 100_000, 4).total).toBeCloseTo(one.total / 4, -1);
+		expect(estimatePrefill(model, 200_000).total / one.total).toBeGreaterThan(2.5);
 	});
 
 	it('of one pass are bounded by what a pass reads', () => {
-		expect(reading(model, 400_000).perPass).toBeLessThan(reading(model, 400_000).total / 2.5);
-		expect(reading(model, 5000).perPass).toBe(reading(model, 5000).total);
+		expect(estimatePrefill(model, 400_000).perPass).toBeLessThan(estimatePrefill(model, 400_000).total / 2.5);
+		expect(estimatePrefill(model, 5000).perPass).toBe(estimatePrefill(model, 5000).total);
 	});
 
 	it('of writing have a base and a part for each request', () => {
-		expect(writingPass({...model, perRequest: 0.01, perThousand: 0.01}, [10_000, 0])).toBeCloseTo(43 * (1 + 0.02 + 0.1), 5);
+		expect(estimateDecodeIteration({...model, perRequest: 0.01, perThousand: 0.01}, [10_000, 0])).toBeCloseTo(43 * (1 + 0.02 + 0.1), 5);
 	});
 });
 
@@ -47,12 +47,12 @@
 		expect(load.forecast('e1', model, 50)).toMatchObject({requests: 2, backlog: 150});
 		load.progress('a', 60);
 		expect(load.forecast('e1', model, 60).backlog).toBeLessThanOrEqual(140);
-		expect(load.forecast('e1', model, 60).writers.map(each => each.id)).toEqual(['a']);
+		expect(load.forecast('e1', model, 60).decoding.map(each => each.id)).toEqual(['a']);
 		load.end('b', 70);
 		expect(load.forecast('e1', model, 70)).toMatchObject({backlog: 0, requests: 1});
 		load.end('a', 80);
 		expect(load.size).toBe(0);
-		expect(load.forecast('e1', model, 80).free).toBe(model.memory);
+		expect(load.forecast('e1', model, 80).freeMemory).toBe(model.memory);
 	});
 
 	it('takes a job once, whatever order news of it come in', () => {
@@ -76,7 +76,7 @@
 		const load = new Load();
 		load.begin(job('a', {helpers: ['e2'], isHeld: true, prompt: 100_000}), 0);
 		expect(load.forecast('e2', model, 0)).toMatchObject({requests: 0, backlog: 100});
-		expect(load.forecast('e2', model, 0).free).toBeLessThan(model.memory - 50_000);
+		expect(load.forecast('e2', model, 0).freeMemory).toBeLessThan(model.memory - 50_000);
 	});
 
 	it('forgets hosts, restarted upstreams and jobs that must be over', () => {
--- a/src/core/gateway/__tests__/queue.test.ts
+++ b/src/core/gateway/__tests__/queue.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {placeWait, type Occupant} from '../queue.js';
+import {estimateSlotWait, type Occupant} from '../queue.js';
 import {type EngineModel} from '../types.js';
 import {urgencyOf} from '../urgency.js';
 
@@ -11,33 +11,33 @@
 const urgency = 4;
 
 function written(writtenFor: number): Occupant {
-	return {writtenFor, urgency};
+	return {decodeTime: writtenFor, urgency};
 }
 
 const waiting: Occupant = {urgency};
 
 describe('the wait for a place', () => {
 	it('is none where one is free', () => {
-		expect(placeWait(model, [written(0)], pass, urgency)).toBe(0);
+		expect(estimateSlotWait(model, [written(0)], pass, urgency)).toBe(0);
 	});
 
 	it('lasts until the first answer is expected to end', () => {
-		expect(placeWait(model, [written(700), written(0)], pass, urgency)).toBe(300);
+		expect(estimateSlotWait(model, [written(700), written(0)], pass, urgency)).toBe(300);
 	});
 
 	it('goes on for a part of the usual time where an answer has outlived it', () => {
-		expect(placeWait(model, [written(1900), written(0)], pass, urgency)).toBe(300);
+		expect(estimateSlotWait(model, [written(1900), written(0)], pass, urgency)).toBe(300);
 	});
 
 	it('counts those who wait already, but not those who wait with less urgency', () => {
 		const running = [written(700), written(400)];
-		expect(placeWait(model, [...running, waiting], pass, urgency)).toBe(600);
-		expect(placeWait(model, [...running, waiting], pass, urgency - 1)).toBe(300);
-		expect(placeWait(model, [...running, waiting, waiting], pass, urgency)).toBe(1300);
+		expect(estimateSlotWait(model, [...running, waiting], pass, urgency)).toBe(600);
+		expect(estimateSlotWait(model, [...running, waiting], pass, urgency - 1)).toBe(300);
+		expect(estimateSlotWait(model, [...running, waiting, waiting], pass, urgency)).toBe(1300);
 	});
 
 	it('is a usual answer where nothing is written yet', () => {
-		expect(placeWait(model, [waiting, waiting], pass, urgency)).toBe(1000);
+		expect(estimateSlotWait(model, [waiting, waiting], pass, urgency)).toBe(1000);
 	});
 });
 
--- a/src/core/gateway/__tests__/refusal.test.ts
+++ b/src/core/gateway/__tests__/refusal.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {reading} from '../engine.js';
+import {estimatePrefill} from '../engine.js';
 import {usualPolicy} from '../policy.js';
 import {isHarmful, returnTime} from '../refusal.js';
 import {type EngineModel} from '../types.js';
@@ -14,7 +14,7 @@
 });
 
 describe('a refused caller', () => {
-	const read = reading(model, 100_000);
+	const read = estimatePrefill(model, 100_000);
 
 	it('comes back when what runs at the engines is over', () => {
 		expect(returnTime({firstByte: read.total + 800, reading: read}, model, 0.5)).toBeCloseTo(800 + 1300, 5);
--- a/src/core/gateway/__tests__/retries.test.ts
+++ b/src/core/gateway/__tests__/retries.test.ts
@@ -1,8 +1,8 @@
 /** Retries that the hosts of a large fleet share. */
 import {expect, it} from 'vitest';
-import {RetryBudget, type RetryBounds} from '../retries.js';
+import {RetryBudget, type RetryLimits} from '../retries.js';
 
-const bounds: RetryBounds = {ratio: 0.2, window: 10_000, allowance: 460};
+const bounds: RetryLimits = {ratio: 0.2, window: 10_000, allowance: 460};
 const domains = 5;
 const perDomain = 39;
 const sharers = {hosts: domains * perDomain, counted: perDomain};
--- a/src/core/gateway/__tests__/tries.test.ts
+++ b/src/core/gateway/__tests__/tries.test.ts
@@ -46,7 +46,7 @@
 		tries.noteSent('a');
 		tries.noteMissedHelper('a', 'h');
 		expect(tries.mayFollow(notRun)).toBe(true);
-		expect([[...tries.eligibility.tried], [...tries.eligibility.among ?? []]]).toEqual([['h'], ['a']]);
+		expect([[...tries.eligibility.tried], [...tries.eligibility.permitted ?? []]]).toEqual([['h'], ['a']]);
 		tries.noteSent('a');
 		expect([tries.sent, tries.mayFollow(notRun)]).toEqual([2, false]);
 	});
--- a/src/core/gateway/absences.ts
+++ b/src/core/gateway/absences.ts
@@ -37,12 +37,12 @@
 
 /**
  * @param absence - What a host was told.
- * @param tellerDomain - Failure domain of the host that told it.
+ * @param senderDomain - Failure domain of the host that told it.
  * @param hostDomain - Its own failure domain.
  * @returns Whether it holds there too.
  */
-export function holdsAt({isForAll}: Absence, tellerDomain: string, hostDomain: string): boolean {
-	return isForAll || tellerDomain === hostDomain;
+export function holdsAt({isForAll}: Absence, senderDomain: string, hostDomain: string): boolean {
+	return isForAll || senderDomain === hostDomain;
 }
 
 /**
--- a/src/core/gateway/directory.ts
+++ b/src/core/gateway/directory.ts
@@ -92,19 +92,19 @@
 
 /**
  * @param route - Route.
- * @param part - Uniform from 0 to 1.
+ * @param random - Uniform from 0 to 1.
  * @returns One of the services that the route leads to, by their weights; empty if there is none.
  */
-export function chooseService({targets}: Route, part: number): string {
+export function chooseService({targets}: Route, random: number): string {
 	let total = 0;
 	for (const target of targets) {
 		total += target.weight;
 	}
 
-	let place = part * total;
+	let remaining = random * total;
 	for (const target of targets) {
-		place -= target.weight;
-		if (place < 0) {
+		remaining -= target.weight;
+		if (remaining < 0) {
 			return target.service;
 		}
 	}
--- a/src/core/gateway/engine.ts
+++ b/src/core/gateway/engine.ts
@@ -5,7 +5,7 @@
 const million = 1_000_000;
 
 /** Reading of one prompt at one of the engines that share it. */
-export type Reading = {
+export type PrefillTime = {
 	/** In all. */
 	readonly total: number;
 	/** The longest that one pass reads of it: what requests that are written there wait at most. */
@@ -18,7 +18,7 @@
  * @param parts - Engines that read even parts of it.
  * @returns Time that each of them reads.
  */
-export function reading(model: EngineModel, tokens: number, parts = 1): Reading {
+export function estimatePrefill(model: EngineModel, tokens: number, parts = 1): PrefillTime {
 	const plain = tokens / model.readRate;
 	const pairs = tokens * tokens / 2 / million * model.pairs;
 	const steps = Math.ceil(tokens / parts / model.chunk);
@@ -35,7 +35,7 @@
  * @param contexts - Tokens of each request being written there.
  * @returns Time of a pass in which nothing is read.
  */
-export function writingPass(model: EngineModel, contexts: readonly number[]): number {
+export function estimateDecodeIteration(model: EngineModel, contexts: readonly number[]): number {
 	let {step} = model;
 	for (const context of contexts) {
 		step += model.perRequest + (context / thousand * model.perThousand);
--- a/src/core/gateway/health.ts
+++ b/src/core/gateway/health.ts
@@ -3,7 +3,7 @@
 import {type AttemptEnding} from './retries.js';
 
 /** Half of what was seen counts no more after this time, in milliseconds: engines that crash are back within 3 to 5 s. */
-const halfLife = 2500;
+const halfLifeMs = 2500;
 
 /** Attempts that an unknown upstream is taken to have had, and the failed part of them. */
 const priorAttempts = 4;
@@ -13,8 +13,8 @@
  * Milliseconds that an upstream is left alone after a connection to it failed; doubled each time, up to the most. One that was replaced
  * is left alone for the most: its registration is about to change.
  */
-const shortestPause = 250;
-const longestPause = 2000;
+const minBackoffMs = 250;
+const maxBackoffMs = 2000;
 
 /** What an attempt says of its upstream. */
 export type Verdict
@@ -58,18 +58,18 @@
 	}
 }
 
-type Entry = {
+type HealthRecord = {
 	attempts: number;
 	failures: number;
 	at: number;
 	/** Failed connections in a row. */
-	misses: number;
-	pausedUntil: number;
+	consecutiveFailures: number;
+	backedOffUntil: number;
 };
 
 /** Failures of upstreams, forgotten with time. */
 export class Health {
-	readonly #entries = new Map<string, Entry>();
+	readonly #entries = new Map<string, HealthRecord>();
 
 	/**
 	 * @param upstream - Upstream.
@@ -82,19 +82,19 @@
 		entry.failures += verdict === 'sound' ? 0 : 1;
 		switch (verdict) {
 			case 'sound': {
-				entry.misses = 0;
-				entry.pausedUntil = 0;
+				entry.consecutiveFailures = 0;
+				entry.backedOffUntil = 0;
 				break;
 			}
 
 			case 'unreachable': {
-				entry.pausedUntil = now + Math.min(shortestPause * (2 ** entry.misses), longestPause);
-				entry.misses++;
+				entry.backedOffUntil = now + Math.min(minBackoffMs * (2 ** entry.consecutiveFailures), maxBackoffMs);
+				entry.consecutiveFailures++;
 				break;
 			}
 
 			case 'replaced': {
-				entry.pausedUntil = now + longestPause;
+				entry.backedOffUntil = now + maxBackoffMs;
 				break;
 			}
 
@@ -134,18 +134,18 @@
 	 * @returns Whether it is left alone for now.
 	 */
 	isPaused(upstream: string, now: number): boolean {
-		return (this.#entries.get(upstream)?.pausedUntil ?? 0) > now;
+		return (this.#entries.get(upstream)?.backedOffUntil ?? 0) > now;
 	}
 
-	#decayed(upstream: string, now: number): Entry {
+	#decayed(upstream: string, now: number): HealthRecord {
 		const entry = this.#entries.get(upstream);
 		if (entry === undefined) {
 			return {
-				attempts: 0, failures: 0, at: now, misses: 0, pausedUntil: 0,
+				attempts: 0, failures: 0, at: now, consecutiveFailures: 0, backedOffUntil: 0,
 			};
 		}
 
-		const kept = 0.5 ** ((now - entry.at) / halfLife);
+		const kept = 0.5 ** ((now - entry.at) / halfLifeMs);
 		return {
 			...entry, attempts: entry.attempts * kept, failures: entry.failures * kept, at: now,
 		};
--- a/src/core/gateway/lapses.ts
+++ b/src/core/gateway/lapses.ts
@@ -5,16 +5,16 @@
  * lapsed while it was away. Counted from the return and not from each removal: an upstream that leaves just then is left
  * 2.3 s after it said so otherwise, where 2 s are allowed.
  */
-const lapseGrace = 2000;
+const reregistrationGraceMs = 2000;
 
 /** Outages of the store as this host sees them. */
 export class Lapses {
-	#isAway = false;
-	#returned = Number.NEGATIVE_INFINITY;
+	#isLost = false;
+	#regainedAt = Number.NEGATIVE_INFINITY;
 
 	/** The store does not answer. */
 	lost(): void {
-		this.#isAway = true;
+		this.#isLost = true;
 	}
 
 	/**
@@ -23,9 +23,9 @@
 	 * @param now - Time in milliseconds.
 	 */
 	regained(now: number): void {
-		if (this.#isAway) {
-			this.#isAway = false;
-			this.#returned = now;
+		if (this.#isLost) {
+			this.#isLost = false;
+			this.#regainedAt = now;
 		}
 	}
 
@@ -34,6 +34,6 @@
 	 * @returns Milliseconds for which an upstream is kept whose registration is gone now; 0 to drop it at once.
 	 */
 	delay(now: number): number {
-		return this.#isAway ? lapseGrace : Math.max(this.#returned + lapseGrace - now, 0);
+		return this.#isLost ? reregistrationGraceMs : Math.max(this.#regainedAt + reregistrationGraceMs - now, 0);
 	}
 }
--- a/src/core/gateway/load.ts
+++ b/src/core/gateway/load.ts
@@ -1,7 +1,7 @@
 /** What runs at each upstream, as far as this host knows: its own requests and those that its peers tell of. */
-import {footprint, writingPass} from './engine.js';
+import {footprint, estimateDecodeIteration} from './engine.js';
 import {usualUrgency} from './urgency.js';
-import {placeWait, type Occupant} from './queue.js';
+import {estimateSlotWait, type Occupant} from './queue.js';
 import {type EngineModel} from './types.js';
 
 /** Which placing of its request a sending is: the first, one after others that reached no upstream, or one more after an upstream got it. */
@@ -41,7 +41,7 @@
 export type Forecast = {
 	/** Requests being read or written there, those of helpers excluded. */
 	readonly requests: number;
-	readonly writers: readonly Job[];
+	readonly decoding: readonly Job[];
 	/** Prompts that are read there, in part or whole. */
 	readonly readers: readonly Job[];
 	/** Milliseconds of reading that stand before a new prompt. */
@@ -49,41 +49,41 @@
 	/** Milliseconds of a pass that reads nothing; 0 where nothing is written. */
 	readonly pass: number;
 	/** Milliseconds until a place in its batch is free. */
-	readonly placeWait: number;
+	readonly slotWait: number;
 	/** Tokens of memory that are not spoken for. */
-	readonly free: number;
+	readonly freeMemory: number;
 };
 
 /** For whom a forecast is made. */
-export type View = {
+export type ForecastOptions = {
 	/** Rank in the queue of the request that might come. */
 	readonly urgency?: number;
 	/** Job that is left out, as if it had not been sent. */
-	readonly except?: string;
+	readonly excludedJob?: string;
 };
 
 /** What an engine has, beside the jobs themselves. */
-type Shelf = {
+type EngineState = {
 	readonly jobs: Map<string, Job>;
 	/** When the reading that is known of will be done. */
-	readsUntil: number;
+	prefillUntil: number;
 };
 
 /** A reading that takes longer than predicted is taken to need this much more, in milliseconds. */
-const overrun = 20;
+const prefillOverrunMs = 20;
 
 /** Deadlines of peers' requests pass a little later here: clocks and messages differ, in milliseconds. */
-const expiryMargin = 500;
+const expiryMarginMs = 500;
 
 /** Milliseconds that the end of a job is remembered: news of its beginning may come later over another way. */
-const endMemory = 2000;
+const endedJobRetentionMs = 2000;
 
 /** Requests at upstreams. */
 export class Load {
 	readonly #jobs = new Map<string, Job>();
 	/** When jobs ended, the oldest first. */
 	readonly #ended = new Map<string, number>();
-	readonly #shelves = new Map<string, Shelf>();
+	readonly #engines = new Map<string, EngineState>();
 
 	/** Jobs known of. */
 	get size(): number {
@@ -125,7 +125,7 @@
 	 */
 	companions(job: Job): readonly Job[] {
 		return enginesOf(job)
-			.flatMap(engine => [...this.#shelves.get(engine)?.jobs.values() ?? []])
+			.flatMap(engine => [...this.#engines.get(engine)?.jobs.values() ?? []])
 			.filter(each => each.host !== job.host);
 	}
 
@@ -135,7 +135,7 @@
 	 */
 	requests(upstream: string): number {
 		let count = 0;
-		for (const job of this.#shelves.get(upstream)?.jobs.values() ?? []) {
+		for (const job of this.#engines.get(upstream)?.jobs.values() ?? []) {
 			count += job.upstream === upstream ? 1 : 0;
 		}
 
@@ -155,10 +155,10 @@
 
 		this.#jobs.set(job.id, job);
 		for (const engine of enginesOf(job)) {
-			const shelf = this.#shelf(engine);
-			shelf.jobs.set(job.id, job);
+			const state = this.#engineState(engine);
+			state.jobs.set(job.id, job);
 			if (job.firstByte === undefined) {
-				shelf.readsUntil = Math.max(shelf.readsUntil, now) + job.read;
+				state.prefillUntil = Math.max(state.prefillUntil, now) + job.read;
 			}
 		}
 	}
@@ -176,9 +176,9 @@
 		const next: Job = {...job, firstByte: now};
 		this.#jobs.set(id, next);
 		for (const engine of enginesOf(job)) {
-			const shelf = this.#shelf(engine);
-			shelf.jobs.set(id, next);
-			settle(shelf, now);
+			const state = this.#engineState(engine);
+			state.jobs.set(id, next);
+			shortenPrefillBacklog(state, now);
 		}
 	}
 
@@ -188,7 +188,7 @@
 	 */
 	end(id: string, now: number): void {
 		this.#ended.set(id, now);
-		this.#drop(id, now);
+		this.#remove(id, now);
 	}
 
 	/**
@@ -199,7 +199,7 @@
 	 */
 	forgetHost(host: string, now: number): void {
 		for (const job of this.jobsOf(host)) {
-			this.#drop(job.id, now);
+			this.#remove(job.id, now);
 		}
 	}
 
@@ -210,9 +210,9 @@
 	 * @param now - Time.
 	 */
 	forgetUpstream(upstream: string, now: number): void {
-		for (const job of this.#shelves.get(upstream)?.jobs.values() ?? []) {
+		for (const job of this.#engines.get(upstream)?.jobs.values() ?? []) {
 			if (job.upstream === upstream) {
-				this.#drop(job.id, now);
+				this.#remove(job.id, now);
 			}
 		}
 	}
@@ -224,13 +224,13 @@
 	 */
 	expire(now: number): void {
 		for (const job of this.#jobs.values()) {
-			if (job.deadline + expiryMargin < now) {
-				this.#drop(job.id, now);
+			if (job.deadline + expiryMarginMs < now) {
+				this.#remove(job.id, now);
 			}
 		}
 
 		for (const [id, at] of this.#ended) {
-			if (at + endMemory > now) {
+			if (at + endedJobRetentionMs > now) {
 				break;
 			}
 
@@ -245,31 +245,31 @@
 	 * @param view - Whose view it is.
 	 * @returns What it is expected to do next.
 	 */
-	forecast(upstream: string, model: EngineModel, now: number, {urgency = usualUrgency, except}: View = {}): Forecast {
-		const shelf = this.#shelves.get(upstream);
-		if (shelf === undefined) {
+	forecast(upstream: string, model: EngineModel, now: number, {urgency = usualUrgency, excludedJob}: ForecastOptions = {}): Forecast {
+		const state = this.#engines.get(upstream);
+		if (state === undefined) {
 			return {
-				requests: 0, writers: [], readers: [], backlog: 0, pass: 0, placeWait: 0, free: model.memory,
+				requests: 0, decoding: [], readers: [], backlog: 0, pass: 0, slotWait: 0, freeMemory: model.memory,
 			};
 		}
 
-		const writers: Job[] = [];
+		const decoding: Job[] = [];
 		const readers: Job[] = [];
 		const contexts: number[] = [];
 		const occupants: Occupant[] = [];
-		let free = model.memory;
-		let {readsUntil} = shelf;
-		for (const job of shelf.jobs.values()) {
-			if (job.id === except) {
-				readsUntil -= job.firstByte === undefined ? job.read : 0;
+		let freeMemory = model.memory;
+		let {prefillUntil} = state;
+		for (const job of state.jobs.values()) {
+			if (job.id === excludedJob) {
+				prefillUntil -= job.firstByte === undefined ? job.read : 0;
 				continue;
 			}
 
 			if (job.upstream === upstream) {
-				occupants.push({writtenFor: job.firstByte === undefined ? undefined : now - job.firstByte, urgency: job.urgency ?? usualUrgency});
+				occupants.push({decodeTime: job.firstByte === undefined ? undefined : now - job.firstByte, urgency: job.urgency ?? usualUrgency});
 			}
 
-			free -= memoryAt(job, upstream, model);
+			freeMemory -= memoryAt(job, upstream, model);
 			if (job.firstByte === undefined) {
 				readers.push(job);
 				continue;
@@ -277,24 +277,24 @@
 
 			contexts.push(contextAt(job, upstream));
 			if (job.upstream === upstream) {
-				writers.push(job);
+				decoding.push(job);
 			}
 		}
 
-		const least = readers.length === 0 ? 0 : overrun;
-		const pass = contexts.length === 0 ? 0 : writingPass(model, contexts);
+		const minBacklog = readers.length === 0 ? 0 : prefillOverrunMs;
+		const pass = contexts.length === 0 ? 0 : estimateDecodeIteration(model, contexts);
 		return {
 			requests: occupants.length,
-			writers,
+			decoding,
 			readers,
-			backlog: Math.max(readsUntil - now, least),
+			backlog: Math.max(prefillUntil - now, minBacklog),
 			pass,
-			placeWait: placeWait(model, occupants, pass, urgency),
-			free,
+			slotWait: estimateSlotWait(model, occupants, pass, urgency),
+			freeMemory,
 		};
 	}
 
-	#drop(id: string, now: number): void {
+	#remove(id: string, now: number): void {
 		const job = this.#jobs.get(id);
 		if (job === undefined) {
 			return;
@@ -302,19 +302,19 @@
 
 		this.#jobs.delete(id);
 		for (const engine of enginesOf(job)) {
-			const shelf = this.#shelf(engine);
-			shelf.jobs.delete(id);
-			if (shelf.jobs.size === 0) {
-				this.#shelves.delete(engine);
+			const state = this.#engineState(engine);
+			state.jobs.delete(id);
+			if (state.jobs.size === 0) {
+				this.#engines.delete(engine);
 			} else if (job.firstByte === undefined) {
-				settle(shelf, now);
+				shortenPrefillBacklog(state, now);
 			}
 		}
 	}
 
-	#shelf(upstream: string): Shelf {
-		const known = this.#shelves.get(upstream) ?? {jobs: new Map<string, Job>(), readsUntil: 0};
-		this.#shelves.set(upstream, known);
+	#engineState(upstream: string): EngineState {
+		const known = this.#engines.get(upstream) ?? {jobs: new Map<string, Job>(), prefillUntil: 0};
+		this.#engines.set(upstream, known);
 		return known;
 	}
 }
@@ -324,13 +324,13 @@
 }
 
 /** What is read there now that one reading less is known of: nothing, or what the others need at most. */
-function settle(shelf: Shelf, now: number): void {
-	let left = 0;
-	for (const job of shelf.jobs.values()) {
-		left += job.firstByte === undefined ? job.read : 0;
+function shortenPrefillBacklog(state: EngineState, now: number): void {
+	let remaining = 0;
+	for (const job of state.jobs.values()) {
+		remaining += job.firstByte === undefined ? job.read : 0;
 	}
 
-	shelf.readsUntil = Math.min(shelf.readsUntil, now + left);
+	state.prefillUntil = Math.min(state.prefillUntil, now + remaining);
 }
 
 function memoryAt(job: Job, upstream: string, model: EngineModel): number {
--- a/src/core/gateway/moves.ts
+++ b/src/core/gateway/moves.ts
@@ -2,13 +2,13 @@
 import {type Job} from './load.js';
 
 /** What moving costs beside: its prompt is read again and its last attempt is used up, in requests of usual worth. */
-const movingLoss = 0.25;
+const reroutingLoss = 0.25;
 
 /** Milliseconds after its sending for which a request is looked at again: news of all hosts have come by then. */
-const newsHorizon = 100;
+const yieldWindowMs = 100;
 
 /** Beginnings closer together than this, in milliseconds, can't be ordered by news that tell of them. */
-const tie = 5;
+const clockToleranceMs = 5;
 
 /** Milliseconds of reading in one pass from which on others at the engine are harmed: under it no pause grows too long. */
 export const harmfulReading = 100;
@@ -20,13 +20,13 @@
  * @returns Whether the host of the first one may move it as soon as it hears of the other one.
  */
 export function mayMove(own: Job, other: Job, now: number): boolean {
-	const isYoung = own.firstByte === undefined && now - own.began <= newsHorizon;
+	const isYoung = own.firstByte === undefined && now - own.began <= yieldWindowMs;
 	return other.readPerPass >= harmfulReading || (isYoung && own.readPerPass >= harmfulReading);
 }
 
 /** Which of two requests that met at an engine was there first; alike at both their hosts, also where clocks blur it. */
 function isFirst(one: Job, other: Job): boolean {
-	return Math.abs(one.began - other.began) < tie ? one.id < other.id : one.began < other.began;
+	return Math.abs(one.began - other.began) < clockToleranceMs ? one.id < other.id : one.began < other.began;
 }
 
 /**
@@ -39,7 +39,7 @@
  * @returns Whether the own one is to look for another place: the other one was first.
  */
 export function isToYield(own: Job, other: Job, now: number): boolean {
-	if (own.firstByte !== undefined || now - own.began > newsHorizon || !isFirst(other, own)) {
+	if (own.firstByte !== undefined || now - own.began > yieldWindowMs || !isFirst(other, own)) {
 		return false;
 	}
 
@@ -52,10 +52,10 @@
 }
 
 /**
- * @param staying - What the request loses where it is, in requests of usual worth.
- * @param elsewhere - What it would lose at another engine.
+ * @param stayingLoss - What the request loses where it is, in requests of usual worth.
+ * @param reroutedLoss - What it would lose at another engine.
  * @returns Whether it goes there.
  */
-export function isWorthMoving(staying: number, elsewhere: number): boolean {
-	return elsewhere + movingLoss < staying;
+export function isWorthMoving(stayingLoss: number, reroutedLoss: number): boolean {
+	return reroutedLoss + reroutingLoss < stayingLoss;
 }
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -1,10 +1,10 @@
 /** Chooses the upstream of a request, and for long prompts the engines that help to read it, by what callers lose. */
 import {hashText, mix} from '../utils/hashes.js';
-import {footprint, reading, type Reading} from './engine.js';
+import {footprint, estimatePrefill, type PrefillTime} from './engine.js';
 import {type Health} from './health.js';
 import {type Load} from './load.js';
 import {
-	disturbance, opening, ownLoss, readTime, weigh, type Option,
+	estimateInterference, estimateOpeningLoss, estimateOwnLoss, estimatePrefillEnd, weigh, type Candidate,
 } from './losses.js';
 import {type Policy} from './policy.js';
 import {type Eligibility} from './tries.js';
@@ -14,7 +14,7 @@
 import {urgencyOf} from './urgency.js';
 
 /** Chunks of an engine from which on a prompt is worth sharing. */
-const sharedChunks = 4;
+const minSharedChunks = 4;
 
 /** What a plain service's upstream costs when all its places are taken, as a share of a request's worth: the least busy is chosen. */
 const busyLoss = 0.15;
@@ -43,7 +43,7 @@
 	readonly helpers: readonly GatewayUpstream[];
 	/** Tokens to reserve at each of these engines; 0 where one engine holds the whole prompt. */
 	readonly holdTokens: number;
-	readonly reading: Reading;
+	readonly reading: PrefillTime;
 	/** Milliseconds until the first byte, as predicted. */
 	readonly firstByte: number;
 	/** Rank in the queue of the engine, 0 first; undefined for plain services. */
@@ -52,47 +52,47 @@
 	readonly loss: number;
 };
 
-function options(upstreams: readonly GatewayUpstream[], model: EngineModel, around: Surroundings, prompt: Prompt): readonly Option[] {
-	const {health, load, now, except, policy, failureDomain} = around;
-	const host = hashText(around.host);
+function createCandidates(upstreams: readonly GatewayUpstream[], model: EngineModel, options: Surroundings, prompt: Prompt): readonly Candidate[] {
+	const {health, load, now, except: excludedJob, policy, failureDomain} = options;
+	const host = hashText(options.host);
 	const weight = weigh(model, prompt);
 	const urgency = urgencyOf(prompt, false);
 	return upstreams.map(upstream => ({
 		upstream,
-		forecast: load.forecast(upstream.id, model, now, {urgency, except}),
-		fixed: (health.risk(upstream.id, now) * weight)
+		forecast: load.forecast(upstream.id, model, now, {urgency, excludedJob}),
+		fixedLoss: (health.risk(upstream.id, now) * weight)
 			+ (upstream.failureDomain === failureDomain ? 0 : policy.distanceLoss)
-			+ (taste(host, upstream.id) * policy.tasteLoss),
+			+ (hashSpread(host, upstream.id) * policy.spreadingLoss),
 	}));
 }
 
 /** How little a host likes an upstream, 0 to 1: among equals hosts that have not heard of each other's choice differ. */
-function taste(host: number, upstream: string): number {
+function hashSpread(host: number, upstream: string): number {
 	return mix(host, hashText(upstream)) / hashRange;
 }
 
-type Sharing = {
-	readonly first: Option;
-	readonly helpers: readonly Option[];
+type PromptSplit = {
+	readonly first: Candidate;
+	readonly helpers: readonly Candidate[];
 	readonly holdTokens: number;
 };
 
-function assess({first, helpers, holdTokens}: Sharing, demand: Demand, prompt: Prompt, model: EngineModel, around: Surroundings): Place {
-	const {policy, now} = around;
-	const read = reading(model, prompt.tokens, helpers.length + 1);
-	let loss = first.fixed + opening(first, demand, policy);
+function evaluateSplit({first, helpers, holdTokens}: PromptSplit, demand: Demand, prompt: Prompt, model: EngineModel, options: Surroundings): Place {
+	const {policy, now} = options;
+	const prefill = estimatePrefill(model, prompt.tokens, helpers.length + 1);
+	let loss = first.fixedLoss + estimateOpeningLoss(first, demand, policy);
 	let firstByte = 0;
-	for (const option of [first, ...helpers]) {
-		loss += disturbance(option, read, now) + (option === first ? 0 : option.fixed);
-		firstByte = Math.max(firstByte, readTime(option, read));
+	for (const candidate of [first, ...helpers]) {
+		loss += estimateInterference(candidate, prefill, now) + (candidate === first ? 0 : candidate.fixedLoss);
+		firstByte = Math.max(firstByte, estimatePrefillEnd(candidate, prefill));
 	}
 
-	loss += ownLoss(first, firstByte, demand, weigh(model, prompt), now);
+	loss += estimateOwnLoss(first, firstByte, demand, weigh(model, prompt), now);
 	return {
 		upstream: first.upstream,
 		helpers: helpers.map(option => option.upstream),
 		holdTokens,
-		reading: read,
+		reading: prefill,
 		firstByte,
 		urgency: urgencyOf(prompt, demand.isBegun === true),
 		loss,
@@ -100,64 +100,64 @@
 }
 
 /** The cheapest engines to read a part, for those who are there already. */
-function ranked(choices: readonly Option[], read: Reading, {now, policy}: Surroundings): readonly Option[] {
-	const cost = new Map<Option, number>();
-	for (const option of choices) {
-		cost.set(option, disturbance(option, read, now) + option.fixed + (readTime(option, read) * policy.waitLoss));
+function rankCandidates(candidates: readonly Candidate[], prefill: PrefillTime, {now, policy}: Surroundings): readonly Candidate[] {
+	const cost = new Map<Candidate, number>();
+	for (const candidate of candidates) {
+		cost.set(candidate, estimateInterference(candidate, prefill, now) + candidate.fixedLoss + (estimatePrefillEnd(candidate, prefill) * policy.waitLossPerMs));
 	}
 
-	return choices.toSorted((a, b) => cost.get(a)! - cost.get(b)!);
+	return candidates.toSorted((a, b) => cost.get(a)! - cost.get(b)!);
 }
 
-function sharings(prompt: Prompt, model: EngineModel, choices: readonly Option[], around: Surroundings): Sharing[] {
-	const {eligibility, policy} = around;
-	const needed = footprint(model, prompt.tokens, prompt.answer);
-	const mayAnswer = (option: Option) => eligibility.among?.has(option.upstream.id) ?? true;
-	const fitting = choices.filter(option => option.forecast.free >= needed && mayAnswer(option));
-	const found: Sharing[] = fitting.map(first => ({first, helpers: [], holdTokens: 0}));
-	if (prompt.tokens < model.chunk * sharedChunks) {
-		return found;
+function findSplits(prompt: Prompt, model: EngineModel, candidates: readonly Candidate[], options: Surroundings): PromptSplit[] {
+	const {eligibility, policy} = options;
+	const neededMemory = footprint(model, prompt.tokens, prompt.answer);
+	const canAnswer = (candidate: Candidate) => eligibility.permitted?.has(candidate.upstream.id) ?? true;
+	const fitting = candidates.filter(candidate => candidate.forecast.freeMemory >= neededMemory && canAnswer(candidate));
+	const splits: PromptSplit[] = fitting.map(first => ({first, helpers: [], holdTokens: 0}));
+	if (prompt.tokens < model.chunk * minSharedChunks) {
+		return splits;
 	}
 
-	for (let parts = 2; parts <= Math.min(policy.mostParts, choices.length); parts++) {
-		const order = ranked(choices, reading(model, prompt.tokens, parts), around);
-		const first = order.find(option => fitting.includes(option));
+	for (let parts = 2; parts <= Math.min(policy.maxParts, candidates.length); parts++) {
+		const ranked = rankCandidates(candidates, estimatePrefill(model, prompt.tokens, parts), options);
+		const first = ranked.find(candidate => fitting.includes(candidate));
 		if (first !== undefined) {
-			found.push({first, helpers: order.filter(option => option !== first).slice(0, parts - 1), holdTokens: 0});
+			splits.push({first, helpers: ranked.filter(option => option !== first).slice(0, parts - 1), holdTokens: 0});
 			continue;
 		}
 
-		const holdTokens = Math.ceil(needed / parts) + model.stride;
-		const roomy = order.filter(option => option.forecast.free >= holdTokens && option.forecast.requests < model.slots);
-		const answering = roomy.find(option => mayAnswer(option));
-		if (roomy.length >= parts && answering !== undefined) {
-			found.push({first: answering, helpers: roomy.filter(option => option !== answering).slice(0, parts - 1), holdTokens});
+		const holdTokens = Math.ceil(neededMemory / parts) + model.stride;
+		const available = ranked.filter(candidate => candidate.forecast.freeMemory >= holdTokens && candidate.forecast.requests < model.slots);
+		const answering = available.find(candidate => canAnswer(candidate));
+		if (available.length >= parts && answering !== undefined) {
+			splits.push({first: answering, helpers: available.filter(option => option !== answering).slice(0, parts - 1), holdTokens});
 		}
 	}
 
-	return found;
+	return splits;
 }
 
-function placeAtEngine(demand: Demand, prompt: Prompt, model: EngineModel, upstreams: readonly GatewayUpstream[], around: Surroundings): Place | undefined {
-	const choices = options(upstreams, model, around, prompt);
+function placeAtEngine(demand: Demand, prompt: Prompt, model: EngineModel, upstreams: readonly GatewayUpstream[], options: Surroundings): Place | undefined {
+	const candidates = createCandidates(upstreams, model, options, prompt);
 	let best: Place | undefined;
-	for (const sharing of sharings(prompt, model, choices, around)) {
-		const place = assess(sharing, demand, prompt, model, around);
-		if (best === undefined || place.loss < best.loss) {
-			best = place;
+	for (const split of findSplits(prompt, model, candidates, options)) {
+		const placement = evaluateSplit(split, demand, prompt, model, options);
+		if (best === undefined || placement.loss < best.loss) {
+			best = placement;
 		}
 	}
 
 	return best;
 }
 
-const nothingRead: Reading = {total: 0, perPass: 0};
+const noPrefill: PrefillTime = {total: 0, perPass: 0};
 
 /** Fewest requests for its size; the first in order of equals, so that hosts do not agree by chance. */
 function placeAtService(upstreams: readonly GatewayUpstream[], {eligibility, load, health, failureDomain, policy, now}: Surroundings): Place | undefined {
 	let best: Place | undefined;
 	for (const upstream of upstreams) {
-		if (eligibility.among?.has(upstream.id) === false) {
+		if (eligibility.permitted?.has(upstream.id) === false) {
 			continue;
 		}
 
@@ -166,7 +166,7 @@
 		const loss = health.risk(upstream.id, now) + (busy * busyLoss) + (busy > 1 ? 1 : 0) + distance;
 		if (best === undefined || loss < best.loss) {
 			best = {
-				upstream, helpers: [], holdTokens: 0, reading: nothingRead, firstByte: 0, loss,
+				upstream, helpers: [], holdTokens: 0, reading: noPrefill, firstByte: 0, loss,
 			};
 		}
 	}
@@ -175,24 +175,24 @@
 }
 
 /** Upstreams to choose from: those that are not left alone; all of them rather than none. */
-function usable(upstreams: readonly GatewayUpstream[], {eligibility, health, unreachable, now}: Surroundings): readonly GatewayUpstream[] {
-	const open = upstreams.filter(each => !each.isDraining && !eligibility.tried.has(each.id));
-	const healthy = open.filter(each => !health.isPaused(each.id, now) && !unreachable.has(each.failureDomain));
-	return healthy.length > 0 ? healthy : open;
+function findUsable(upstreams: readonly GatewayUpstream[], {eligibility, health, unreachable, now}: Surroundings): readonly GatewayUpstream[] {
+	const eligible = upstreams.filter(each => !each.isDraining && !eligibility.tried.has(each.id));
+	const healthy = eligible.filter(each => !health.isPaused(each.id, now) && !unreachable.has(each.failureDomain));
+	return healthy.length > 0 ? healthy : eligible;
 }
 
 /**
  * @param demand - Request.
  * @param upstreams - Upstreams of its service.
  * @param model - How the service's engines spend their time; undefined for plain services.
- * @param around - What else decides.
+ * @param options - What else decides.
  * @returns Where it goes, or undefined if nothing can take it.
  */
-export function place(demand: Demand, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, around: Surroundings): Place | undefined {
-	const choices = usable(upstreams, around);
+export function place(demand: Demand, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Place | undefined {
+	const usable = findUsable(upstreams, options);
 	return model !== undefined && demand.prompt !== undefined
-		? placeAtEngine(demand, demand.prompt, model, choices, around)
-		: placeAtService(choices, around);
+		? placeAtEngine(demand, demand.prompt, model, usable, options)
+		: placeAtService(usable, options);
 }
 
 /** What a request loses where it was sent, and where it could go instead. */
@@ -208,16 +208,16 @@
  * @param current - Where it went.
  * @param upstreams - Upstreams of its service.
  * @param model - How the service's engines spend their time.
- * @param around - What else decides; its own job is the exception there.
+ * @param options - What else decides; its own job is the exception there.
  * @returns Both losses, in requests of usual worth; undefined for plain services.
  */
-export function reconsider(demand: Demand, current: Place, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, around: Surroundings): Second | undefined {
+export function reconsider(demand: Demand, current: Place, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Second | undefined {
 	const {prompt} = demand;
 	if (model === undefined || prompt === undefined) {
 		return undefined;
 	}
 
-	const [first, ...helpers] = options([current.upstream, ...current.helpers], model, around, prompt);
-	const {loss} = assess({first: first!, helpers, holdTokens: current.holdTokens}, demand, prompt, model, around);
-	return {staying: loss, best: place(demand, upstreams, model, around)};
+	const [first, ...helpers] = createCandidates([current.upstream, ...current.helpers], model, options, prompt);
+	const {loss} = evaluateSplit({first: first!, helpers, holdTokens: current.holdTokens}, demand, prompt, model, options);
+	return {staying: loss, best: place(demand, upstreams, model, options)};
 }
--- a/src/core/gateway/queue.ts
+++ b/src/core/gateway/queue.ts
@@ -5,44 +5,44 @@
 import {type EngineModel} from './types.js';
 
 /** Share of the usual length for which an answer that has reached it goes on. */
-const overtime = 0.3;
+const overtimeShare = 0.3;
 
 /** A request at an engine that holds a place or waits for one. Times in milliseconds. */
 export type Occupant = {
 	/** Since its first event; undefined while its prompt is read. */
-	readonly writtenFor?: number;
+	readonly decodeTime?: number;
 	/** Rank in the engine's queue, 0 first. */
 	readonly urgency: number;
 };
 
 /** Milliseconds until an answer is expected to be whole that has been written for so long. */
-function timeLeft(writtenFor: number, usual: number): number {
-	return Math.max(usual - writtenFor, usual * overtime);
+function estimateRemainingTime(decodeTime: number, usualDuration: number): number {
+	return Math.max(usualDuration - decodeTime, usualDuration * overtimeShare);
 }
 
 /**
  * @param model - Engine.
  * @param occupants - Requests that it answers, those that still wait for a place included.
- * @param pass - Milliseconds of one of its passes now.
+ * @param iteration - Milliseconds of one of its passes now.
  * @param urgency - Rank of another request.
  * @returns Milliseconds until a place is free for that one; 0 if one is free now.
  */
-export function placeWait(model: EngineModel, occupants: readonly Occupant[], pass: number, urgency: number): number {
+export function estimateSlotWait(model: EngineModel, occupants: readonly Occupant[], iteration: number, urgency: number): number {
 	if (occupants.length < model.slots) {
 		return 0;
 	}
 
-	const usual = model.usualAnswer * Math.max(pass / model.stride, model.step);
-	const ends = occupants
-		.flatMap(({writtenFor}) => writtenFor === undefined ? [] : timeLeft(writtenFor, usual))
+	const usualDuration = model.usualAnswer * Math.max(iteration / model.stride, model.step);
+	const remainingTimes = occupants
+		.flatMap(({decodeTime}) => decodeTime === undefined ? [] : estimateRemainingTime(decodeTime, usualDuration))
 		.toSorted((a, b) => a - b);
-	if (ends.length === 0) {
-		return usual;
+	if (remainingTimes.length === 0) {
+		return usualDuration;
 	}
 
 	// Each answer that ends makes room for one of those ahead, whose own answers end a usual time later.
-	const overtaken = occupants.filter(each => each.writtenFor === undefined && each.urgency > urgency);
+	const overtaken = occupants.filter(each => each.decodeTime === undefined && each.urgency > urgency);
 	const ahead = Math.max(occupants.length - overtaken.length - model.slots, 0);
-	const rounds = Math.floor(ahead / ends.length);
-	return ends[ahead % ends.length]! + (rounds * usual);
+	const rounds = Math.floor(ahead / remainingTimes.length);
+	return remainingTimes[ahead % remainingTimes.length]! + (rounds * usualDuration);
 }
--- a/src/core/gateway/reach.ts
+++ b/src/core/gateway/reach.ts
@@ -1,20 +1,20 @@
 /** Which failure domains are out of reach, from attempts at their upstreams. */
 
 /** Upstreams of one domain that must fail without a success between before the link is blamed, not them. */
-const failedUpstreams = 2;
+const failedUpstreamThreshold = 2;
 
 /**
  * Milliseconds for which failures speak against a domain. Where connections are reset at a cut each attempt fails within
  * 5 ms, and a request has two: without this both went across the cut for half of all prompts of a cut-off domain.
  */
-const memory = 1000;
+const failureWindowMs = 1000;
 
 /** What is seen of the links to failure domains. */
 export class Reach {
 	/** Times of failures, by domain and upstream. */
 	readonly #failures = new Map<string, Map<string, number>>();
 	/** Last signs of life, by domain. */
-	readonly #heard = new Map<string, number>();
+	readonly #lastSuccess = new Map<string, number>();
 
 	/**
 	 * @param domain - Failure domain an upstream of which gave a sign of life.
@@ -22,7 +22,7 @@
 	 */
 	heard(domain: string, now: number): void {
 		this.#failures.delete(domain);
-		this.#heard.set(domain, now);
+		this.#lastSuccess.set(domain, now);
 	}
 
 	/**
@@ -31,7 +31,7 @@
 	 * @returns Whether its upstreams answer all the same: then its hosts are gone, and not the link.
 	 */
 	isAlive(domain: string, now: number): boolean {
-		return now - (this.#heard.get(domain) ?? Number.NEGATIVE_INFINITY) < memory;
+		return now - (this.#lastSuccess.get(domain) ?? Number.NEGATIVE_INFINITY) < failureWindowMs;
 	}
 
 	/**
@@ -50,18 +50,18 @@
 	 * @returns Domains to leave alone for now.
 	 */
 	cutOff(now: number): ReadonlySet<string> {
-		const cut = new Set<string>();
+		const unreachable = new Set<string>();
 		for (const [domain, upstreams] of this.#failures) {
 			let recent = 0;
 			for (const at of upstreams.values()) {
-				recent += now - at < memory ? 1 : 0;
+				recent += now - at < failureWindowMs ? 1 : 0;
 			}
 
-			if (recent >= failedUpstreams) {
-				cut.add(domain);
+			if (recent >= failedUpstreamThreshold) {
+				unreachable.add(domain);
 			}
 		}
 
-		return cut;
+		return unreachable;
 	}
 }
--- a/src/core/gateway/registry.ts
+++ b/src/core/gateway/registry.ts
@@ -23,7 +23,7 @@
 /** What changes nothing. */
 export const noDifference: RegistryDifference = {written: [], removed: []};
 
-function isSame(a: GatewayUpstream | undefined, b: GatewayUpstream): boolean {
+function isEqual(a: GatewayUpstream | undefined, b: GatewayUpstream): boolean {
 	return a?.service === b.service
 		&& a.address.host === b.address.host
 		&& a.address.port === b.address.port
@@ -98,7 +98,7 @@
 	 */
 	reset({upstreams, revision, changed}: RegistrySnapshot): RegistryDifference {
 		const ids = new Set(upstreams.map(upstream => upstream.id));
-		const written = upstreams.filter(upstream => !isSame(this.#upstreams.get(upstream.id), upstream));
+		const written = upstreams.filter(upstream => !isEqual(this.#upstreams.get(upstream.id), upstream));
 		const removed = [...this.#upstreams.keys()].filter(id => !ids.has(id));
 		for (const upstream of written) {
 			this.#upstreams.set(upstream.id, upstream);
@@ -119,7 +119,7 @@
 		}
 
 		const {upstream} = change;
-		if (isSame(this.#upstreams.get(upstream.id), upstream)) {
+		if (isEqual(this.#upstreams.get(upstream.id), upstream)) {
 			return false;
 		}
 
--- a/src/core/gateway/retries.ts
+++ b/src/core/gateway/retries.ts
@@ -20,7 +20,7 @@
 		| {readonly type: 'cancelled'; readonly reason: CancelReason};
 
 /** Bounds of retries over all hosts. */
-export type RetryBounds = {
+export type RetryLimits = {
 	/** Retries as a share of a service's requests within the window. */
 	readonly ratio: number;
 	/** Window in milliseconds. */
@@ -32,7 +32,7 @@
 /** Part of the bounds that is used: hosts know each other's number only roughly, and windows slide. */
 const usedShare = 0.7;
 
-type Tally = {
+type AttemptTimes = {
 	/** Times of requests and of retries within the last window. */
 	readonly requests: number[];
 	readonly retries: number[];
@@ -48,7 +48,7 @@
 }
 
 /** Hosts among which the allowance is shared out. */
-export type Sharers = {
+export type BudgetShare = {
 	/** Hosts of the fleet, this one included. */
 	readonly hosts: number;
 	/** Those of them whose sendings are counted here, this one included. */
@@ -61,14 +61,14 @@
  * unused. A failure domain or a host that is cut off keeps to the part of those that it hears of.
  */
 export class RetryBudget {
-	readonly #bounds: RetryBounds;
-	readonly #tallies = new Map<string, Tally>();
+	readonly #limits: RetryLimits;
+	readonly #times = new Map<string, AttemptTimes>();
 
 	/**
-	 * @param bounds - Bounds over all hosts.
+	 * @param limits - Bounds over all hosts.
 	 */
-	constructor(bounds: RetryBounds) {
-		this.#bounds = bounds;
+	constructor(limits: RetryLimits) {
+		this.#limits = limits;
 	}
 
 	/**
@@ -76,7 +76,7 @@
 	 * @param now - Time in milliseconds.
 	 */
 	countRequest(service: string, now: number): void {
-		this.#tally(service, now).requests.push(now);
+		this.#recentTimes(service, now).requests.push(now);
 	}
 
 	/**
@@ -84,16 +84,16 @@
 	 * @param now - Time in milliseconds.
 	 */
 	countRetry(service: string, now: number): void {
-		this.#tally(service, now).retries.push(now);
+		this.#recentTimes(service, now).retries.push(now);
 	}
 
 	/**
 	 * @param service - Service that another host of this failure domain has sent a request to.
-	 * @param placing - Which placing of it that was.
+	 * @param kind - Which placing of it that was.
 	 * @param now - Time in milliseconds.
 	 */
-	hear(service: string, placing: Placing, now: number): void {
-		switch (placing) {
+	hear(service: string, kind: Placing, now: number): void {
+		switch (kind) {
 			case 'first': {
 				this.countRequest(service, now);
 				return;
@@ -109,7 +109,7 @@
 			}
 
 			default: {
-				assertNever(placing);
+				assertNever(kind);
 			}
 		}
 	}
@@ -120,18 +120,18 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Whether this host may send one more request again.
 	 */
-	allows(service: string, {hosts, counted}: Sharers, now: number): boolean {
-		const {requests, retries} = this.#tally(service, now);
-		const earned = requests.length * this.#bounds.ratio;
-		return retries.length + 1 <= ((this.#bounds.allowance * counted / hosts) + earned) * usedShare;
+	allows(service: string, {hosts, counted}: BudgetShare, now: number): boolean {
+		const {requests, retries} = this.#recentTimes(service, now);
+		const earned = requests.length * this.#limits.ratio;
+		return retries.length + 1 <= ((this.#limits.allowance * counted / hosts) + earned) * usedShare;
 	}
 
-	#tally(service: string, now: number): Tally {
-		const tally = this.#tallies.get(service) ?? {requests: [], retries: []};
-		this.#tallies.set(service, tally);
-		prune(tally.requests, now - this.#bounds.window);
-		prune(tally.retries, now - this.#bounds.window);
-		return tally;
+	#recentTimes(service: string, now: number): AttemptTimes {
+		const times = this.#times.get(service) ?? {requests: [], retries: []};
+		this.#times.set(service, times);
+		prune(times.requests, now - this.#limits.window);
+		prune(times.retries, now - this.#limits.window);
+		return times;
 	}
 }
 
--- a/src/core/gateway/suspects.ts
+++ b/src/core/gateway/suspects.ts
@@ -4,13 +4,13 @@
  */
 
 /** Distinct crashes after which a request is refused: two may be chance where engines fail in groups. */
-const convictingCrashes = 3;
+const convictionThreshold = 3;
 
 /** Milliseconds that a crash is held against a request. */
-const memory = 60_000;
+const crashRetentionMs = 60_000;
 
 /** Fingerprints remembered. */
-const mostSuspects = 2000;
+const maxSuspects = 2000;
 
 /** An engine that broke down while a request ran there. */
 export type Crash = {
@@ -23,7 +23,7 @@
 	readonly started?: number;
 };
 
-type Entry = {
+type CrashRecord = {
 	readonly crash: Crash;
 	readonly at: number;
 	isCleared: boolean;
@@ -31,7 +31,7 @@
 
 /** Crashes by request, own and told by peers. */
 export class Suspects {
-	readonly #records = new Map<string, Map<string, Entry>>();
+	readonly #records = new Map<string, Map<string, CrashRecord>>();
 
 	/** Requests remembered. */
 	get size(): number {
@@ -44,7 +44,7 @@
 	 * @returns Whether it was new.
 	 */
 	record(crash: Crash, now: number): boolean {
-		const known = this.#known(crash.fingerprint, now);
+		const known = this.#recentCrashes(crash.fingerprint, now);
 		if (known.has(crash.id)) {
 			return false;
 		}
@@ -70,26 +70,26 @@
 	 * @returns Whether any of them was not cleared here.
 	 */
 	clear(crashes: readonly Crash[], now: number): boolean {
-		let isNews = false;
+		let hasChanged = false;
 		for (const crash of crashes) {
 			this.record(crash, now);
 			const record = this.#records.get(crash.fingerprint)!.get(crash.id)!;
-			isNews ||= !record.isCleared;
+			hasChanged ||= !record.isCleared;
 			record.isCleared = true;
 		}
 
-		return isNews;
+		return hasChanged;
 	}
 
 	/**
 	 * @param fingerprint - Request.
-	 * @param survived - Whether an upstream that is said to have crashed at a time runs on as it did.
+	 * @param hasSurvived - Whether an upstream that is said to have crashed at a time runs on as it did.
 	 * @returns Crashes that were none after all.
 	 */
-	review(fingerprint: string, survived: (crash: Crash, at: number) => boolean): readonly Crash[] {
+	review(fingerprint: string, hasSurvived: (crash: Crash, at: number) => boolean): readonly Crash[] {
 		const cleared: Crash[] = [];
 		for (const record of this.#records.get(fingerprint)?.values() ?? []) {
-			if (!record.isCleared && survived(record.crash, record.at)) {
+			if (!record.isCleared && hasSurvived(record.crash, record.at)) {
 				record.isCleared = true;
 				cleared.push(record.crash);
 			}
@@ -106,7 +106,7 @@
 	crashes(fingerprint: string, now: number): number {
 		let count = 0;
 		for (const {at, isCleared} of this.#records.get(fingerprint)?.values() ?? []) {
-			count += !isCleared && now - at < memory ? 1 : 0;
+			count += !isCleared && now - at < crashRetentionMs ? 1 : 0;
 		}
 
 		return count;
@@ -118,21 +118,21 @@
 	 * @returns Whether it must not run again.
 	 */
 	isConvicted(fingerprint: string, now: number): boolean {
-		return this.crashes(fingerprint, now) >= convictingCrashes;
+		return this.crashes(fingerprint, now) >= convictionThreshold;
 	}
 
 	/** What is remembered of a request, the most lately suspected last; what is too old to count is dropped. */
-	#known(fingerprint: string, now: number): Map<string, Entry> {
-		const known = this.#records.get(fingerprint) ?? new Map<string, Entry>();
+	#recentCrashes(fingerprint: string, now: number): Map<string, CrashRecord> {
+		const known = this.#records.get(fingerprint) ?? new Map<string, CrashRecord>();
 		for (const [id, {at}] of known) {
-			if (now - at >= memory) {
+			if (now - at >= crashRetentionMs) {
 				known.delete(id);
 			}
 		}
 
 		this.#records.delete(fingerprint);
 		this.#records.set(fingerprint, known);
-		if (this.#records.size > mostSuspects) {
+		if (this.#records.size > maxSuspects) {
 			const [oldest] = this.#records.keys();
 			this.#records.delete(oldest!);
 		}
--- a/src/core/gateway/tries.ts
+++ b/src/core/gateway/tries.ts
@@ -4,49 +4,49 @@
 import {type Route} from './types.js';
 
 /** Refusals of holds after which no other engines are tried. */
-const mostRefusedHolds = 3;
+const maxRefusedHolds = 3;
 
 /** Refusals for an engine that was to help after which no others are tried. */
-const mostMissedHelpers = 4;
+const maxMissingHelpers = 4;
 
 /**
  * Upstreams without a connection after which no others are tried. Two in each of several failure domains fail within
  * milliseconds where links are reset, while those of the own domain would answer.
  */
-const mostUnreached = 8;
+const maxUnreachedUpstreams = 8;
 
-type Rules = Pick<Route, 'attempts' | 'isResumable' | 'kind'>;
+type RetryRules = Pick<Route, 'attempts' | 'isResumable' | 'kind'>;
 
 /** Upstreams that a request may go to next. */
 export type Eligibility = {
 	/** Upstreams that it went to, or that refused it memory or help: neither asked again nor asked to help. */
 	readonly tried: ReadonlySet<string>;
 	/** One of these must answer, where the route allows no further upstream. */
-	readonly among?: ReadonlySet<string>;
+	readonly permitted?: ReadonlySet<string>;
 };
 
 export class Tries {
-	readonly #rules: Rules;
-	readonly #tried = new Set<string>();
+	readonly #rules: RetryRules;
+	readonly #excluded = new Set<string>();
 	/** Upstreams that were sent the request. */
-	readonly #asked = new Set<string>();
+	readonly #contacted = new Set<string>();
 	/** Those of them that would have taken it, had an engine helped them: asked again they are no further upstream. */
-	readonly #willing = new Set<string>();
+	readonly #askableAgain = new Set<string>();
 	#sent = 0;
 	#refusedHolds = 0;
-	#missedHelpers = 0;
+	#missingHelpers = 0;
 	#unreached = 0;
 
 	/**
 	 * @param rules - What the request's route allows.
 	 */
-	constructor(rules: Rules) {
+	constructor(rules: RetryRules) {
 		this.#rules = rules;
 	}
 
 	/** Upstreams that the request may go to next. */
 	get eligibility(): Eligibility {
-		return {tried: this.#tried, among: this.#hasFurther ? undefined : this.#willing};
+		return {tried: this.#excluded, permitted: this.#hasUpstreamsLeft ? undefined : this.#askableAgain};
 	}
 
 	/** Times that it was sent. */
@@ -65,7 +65,7 @@
 
 	/** Whether an engine that is silent could be left for another one. */
 	get mayLeave(): boolean {
-		return this.#hasFurther && this.#isRepeatable({type: 'unknown', reason: 'silent'});
+		return this.#hasUpstreamsLeft && this.#isRepeatable({type: 'unknown', reason: 'silent'});
 	}
 
 	/**
@@ -73,9 +73,9 @@
 	 */
 	noteSent(upstream: string): void {
 		this.#sent++;
-		this.#tried.add(upstream);
-		this.#asked.add(upstream);
-		this.#willing.delete(upstream);
+		this.#excluded.add(upstream);
+		this.#contacted.add(upstream);
+		this.#askableAgain.delete(upstream);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	noteUnreached(upstream: string): void {
 		this.#sent--;
 		this.#unreached++;
-		this.#asked.delete(upstream);
+		this.#contacted.delete(upstream);
 	}
 
 	/**
@@ -92,10 +92,10 @@
 	 * @param helper - Engine that was to help it and did not.
 	 */
 	noteMissedHelper(upstream: string, helper: string): void {
-		this.#missedHelpers++;
-		this.#tried.delete(upstream);
-		this.#willing.add(upstream);
-		this.#tried.add(helper);
+		this.#missingHelpers++;
+		this.#excluded.delete(upstream);
+		this.#askableAgain.add(upstream);
+		this.#excluded.add(helper);
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	noteRefusedHold(engines: readonly string[]): void {
 		this.#refusedHolds++;
 		for (const engine of engines) {
-			this.#tried.add(engine);
+			this.#excluded.add(engine);
 		}
 	}
 
@@ -116,14 +116,14 @@
 		// What this host gave up itself may have run all the same.
 		const known: AttemptEnding = ending.type === 'cancelled' ? {type: 'unknown', reason: ending.reason} : ending;
 		return this.#isRepeatable(known)
-			&& (this.#hasFurther || this.#willing.size > 0)
-			&& this.#refusedHolds < mostRefusedHolds
-			&& this.#missedHelpers < mostMissedHelpers
-			&& this.#unreached < mostUnreached;
+			&& (this.#hasUpstreamsLeft || this.#askableAgain.size > 0)
+			&& this.#refusedHolds < maxRefusedHolds
+			&& this.#missingHelpers < maxMissingHelpers
+			&& this.#unreached < maxUnreachedUpstreams;
 	}
 
-	get #hasFurther(): boolean {
-		return this.#asked.size < this.#rules.attempts;
+	get #hasUpstreamsLeft(): boolean {
+		return this.#contacted.size < this.#rules.attempts;
 	}
 
 	#isRepeatable(ending: AttemptEnding): boolean {
--- a/src/core/gateway/urgency.ts
+++ b/src/core/gateway/urgency.ts
@@ -2,8 +2,8 @@
 import {type Prompt} from './types.js';
 
 /** Tokens up to which prompts go first, and from which on they go last. */
-const urgentTokens = 16_000;
-const patientTokens = 80_000;
+const maxUrgentTokens = 16_000;
+const minPatientTokens = 80_000;
 
 /** Ranks at an engine, 0 first. */
 const urgencies = {
@@ -25,9 +25,9 @@
 		return urgencies.begun;
 	}
 
-	if (tokens <= urgentTokens) {
+	if (tokens <= maxUrgentTokens) {
 		return urgencies.urgent;
 	}
 
-	return tokens < patientTokens ? urgencies.usual : urgencies.patient;
+	return tokens < minPatientTokens ? urgencies.usual : urgencies.patient;
 }
