--- a/src/core/gateway/__tests__/absences.test.ts
+++ b/src/core/gateway/__tests__/absences.test.ts
@@ -1,4 +1,4 @@
-/** Engines that crash before many hosts: what the callers of a failure domain get. */
+/** Engines that crash while many hosts use them: attempts that the callers of a failure domain lose. */
 import {describe, expect, it} from 'vitest';
 import {seeded} from '../../../../bench/model/workload.js';
 import {absenceOf, holdsAt, verdictFrom} from '../absences.js';
@@ -15,69 +15,71 @@
 const hosts = 200;
 const requests = 800;
 
-/** Milliseconds between two requests of the domain, and until one is answered: a crashed engine looks idle beside the others. */
-const gap = 5;
-const answerTime = 800;
+/** Milliseconds between two requests of the domain. */
+const requestIntervalMs = 5;
+
+/** Milliseconds until a request is answered: beside engines that are busy for so long, a crashed one looks idle. */
+const answerTimeMs = 800;
 
 const engines: readonly GatewayUpstream[] = Array.from({length: 40}, (_, index) => ({
 	id: `e${index}`, service: 'm', address: {host: '127.0.0.1', port: 1000 + index}, failureDomain: 'a', slots: 7, isDraining: false,
 }));
 const crashed: ReadonlySet<string> = new Set(['e3', 'e11', 'e19', 'e27', 'e35']);
 
-type Asking = {readonly demand: Demand; readonly host: number; readonly now: number};
+type PlacedRequest = {readonly demand: Demand; readonly host: number; readonly now: number};
 
 /** A failure domain whose hosts place requests while some engines refuse connections. */
 class Domain {
-	readonly #isTold: boolean;
+	readonly #isReporting: boolean;
 	readonly #healths = Array.from({length: hosts}, () => new Health());
 	readonly #load = new Load();
 
-	constructor(isTold: boolean) {
-		this.#isTold = isTold;
+	constructor(isReporting: boolean) {
+		this.#isReporting = isReporting;
 	}
 
-	/** Attempts in vain of one request before it reaches an engine. */
-	serve({demand, host, now}: Asking): number {
+	/** Places a request. Returns the number of its failed attempts before it reaches an engine. */
+	serve({demand, host, now}: PlacedRequest): number {
 		this.#load.expire(now);
 		const tried = new Set<string>();
 		for (;;) {
-			const {upstream, reading, urgency} = place(demand, engines, model, this.#around(host, tried, now))!;
+			const {upstream, reading, urgency} = place(demand, engines, model, this.#createOptions(host, tried, now))!;
 			const chosen = upstream.id;
 			if (!crashed.has(chosen)) {
 				this.#load.begin({
 					id: demand.id, host: `h${host}`, upstream: chosen, helpers: [], prompt: 5000, answer: 300, isHeld: false, read: reading.total, readPerPass: reading.perPass,
-					pause: 250, urgency, placing: 'first', weight: 2, began: now, due: demand.due, deadline: now + answerTime - 500,
+					pause: 250, urgency, placing: 'first', weight: 2, began: now, due: demand.due, deadline: now + answerTimeMs - 500,
 				}, now);
 				return tried.size;
 			}
 
 			tried.add(chosen);
 			this.#healths[host]!.record(chosen, 'unreachable', now);
-			this.#tell(chosen, host, now);
+			this.#reportAbsence(chosen, host, now);
 		}
 	}
 
-	#around(host: number, tried: ReadonlySet<string>, now: number): Surroundings {
+	#createOptions(host: number, tried: ReadonlySet<string>, now: number): Surroundings {
 		return {
 			policy: usualPolicy, load: this.#load, health: this.#healths[host]!, host: `h${host}`, failureDomain: 'a', unreachable: new Set(), eligibility: {tried}, now,
 		};
 	}
 
-	#tell(upstream: string, host: number, now: number): void {
+	#reportAbsence(upstream: string, host: number, now: number): void {
 		const absence = absenceOf(upstream, 'refused', 'a', 'a');
 		for (const [index, health] of this.#healths.entries()) {
-			if (this.#isTold && index !== host && holdsAt(absence, 'a', 'a') && !health.isPaused(upstream, now)) {
+			if (this.#isReporting && index !== host && holdsAt(absence, 'a', 'a') && !health.isPaused(upstream, now)) {
 				health.record(upstream, verdictFrom(absence.reason), now);
 			}
 		}
 	}
 }
 
-function play(isTold: boolean): readonly number[] {
+function simulate(isReporting: boolean): readonly number[] {
 	const random = seeded(7);
-	const domain = new Domain(isTold);
+	const domain = new Domain(isReporting);
 	return Array.from({length: requests}, (_, index) => {
-		const now = 10_000 + (index * gap);
+		const now = 10_000 + (index * requestIntervalMs);
 		return domain.serve({
 			host: random.integer(0, hosts - 1),
 			now,
@@ -92,9 +94,9 @@
 	return counts.reduce((sum, count) => sum + count, 0);
 }
 
-it('a crashed engine costs the callers of 200 hosts an attempt or two, not one for each host', () => {
-	expect(total(play(true))).toBeLessThanOrEqual(2 * crashed.size);
-	expect(total(play(false))).toBeGreaterThan(10 * crashed.size);
+it('a crashed engine costs the callers of 200 hosts an attempt or two, not one per host', () => {
+	expect(total(simulate(true))).toBeLessThanOrEqual(2 * crashed.size);
+	expect(total(simulate(false))).toBeGreaterThan(10 * crashed.size);
 });
 
 describe('an upstream that a host finds absent', () => {
@@ -104,7 +106,7 @@
 		['silent', 'b', 'a', false],
 		['silent', undefined, 'a', false],
 		['replaced', 'b', 'a', true],
-	] as const)('%s in domain %s and found so from %s: holds elsewhere: %s', (reason, upstream, host, isForAll) => {
+	] as const)('%s in domain %s, found from domain %s: applies in all domains: %s', (reason, upstream, host, isForAll) => {
 		const absence = absenceOf('e1', reason, upstream, host);
 		expect(absence.isForAll).toBe(isForAll);
 		expect([holdsAt(absence, host, host), holdsAt(absence, host, 'c')]).toEqual([true, isForAll]);
--- a/src/core/gateway/__tests__/knowledge.test.ts
+++ b/src/core/gateway/__tests__/gateway-state.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway remembers: jobs, failures, retries, suspects, routes. */
+/** State that a gateway decides by: jobs, health, retry budget, reachability, suspicions and routes. */
 import {describe, expect, it} from 'vitest';
 import {estimatePrefill, estimateDecodeIteration} from '../engine.js';
 import {Directory} from '../directory.js';
@@ -21,26 +21,26 @@
 	};
 }
 
-describe('an engine\'s times', () => {
-	it('grow with the square of a prompt and shrink with the engines that share it', () => {
+describe('estimated engine times', () => {
+	it('grow with the square of the prompt length and shrink with the number of engines that share it', () => {
 		const one = estimatePrefill(model, 100_000);
 		expect(one.total).toBeCloseTo(500 + 500 + 49, 0);
 		expect(estimatePrefill(model, 100_000, 4).total).toBeCloseTo(one.total / 4, -1);
 		expect(estimatePrefill(model, 200_000).total / one.total).toBeGreaterThan(2.5);
 	});
 
-	it('of one pass are bounded by what a pass reads', () => {
+	it('of one iteration are bounded by the tokens that it can prefill', () => {
 		expect(estimatePrefill(model, 400_000).perPass).toBeLessThan(estimatePrefill(model, 400_000).total / 2.5);
 		expect(estimatePrefill(model, 5000).perPass).toBe(estimatePrefill(model, 5000).total);
 	});
 
-	it('of writing have a base and a part for each request', () => {
+	it('of decoding have a base and a part for each request', () => {
 		expect(estimateDecodeIteration({...model, perRequest: 0.01, perThousand: 0.01}, [10_000, 0])).toBeCloseTo(43 * (1 + 0.02 + 0.1), 5);
 	});
 });
 
 describe('the load', () => {
-	it('knows what is read and written, and corrects itself when the first byte comes', () => {
+	it('tracks prefill and decode, and corrects the backlog when the first byte arrives', () => {
 		const load = new Load();
 		load.begin(job('a'), 0);
 		load.begin(job('b'), 0);
@@ -55,7 +55,7 @@
 		expect(load.forecast('e1', model, 80).freeMemory).toBe(model.memory);
 	});
 
-	it('takes a job once, whatever order news of it come in', () => {
+	it('adds a job once, in whatever order its load updates arrive', () => {
 		const load = new Load();
 		load.begin(job('a'), 0);
 		load.progress('a', 10);
@@ -72,14 +72,14 @@
 		expect(load.size).toBe(1);
 	});
 
-	it('counts helpers as readers and holds at each engine', () => {
+	it('counts prefill at helpers and holds at each engine', () => {
 		const load = new Load();
 		load.begin(job('a', {helpers: ['e2'], isHeld: true, prompt: 100_000}), 0);
 		expect(load.forecast('e2', model, 0)).toMatchObject({requests: 0, backlog: 100});
 		expect(load.forecast('e2', model, 0).freeMemory).toBeLessThan(model.memory - 50_000);
 	});
 
-	it('forgets hosts, restarted upstreams and jobs that must be over', () => {
+	it('removes jobs of failed hosts, of restarted upstreams and past their deadlines', () => {
 		const load = new Load();
 		load.begin(job('a'), 0);
 		load.begin(job('b', {host: 'h2'}), 0);
@@ -96,7 +96,7 @@
 });
 
 describe('health', () => {
-	it('falls with failures and comes back with time', () => {
+	it('falls with failures and recovers with time', () => {
 		const health = new Health();
 		const before = health.risk('e', 0);
 		for (let index = 0; index < 4; index++) {
@@ -108,7 +108,7 @@
 		expect(health.isPaused('e', 0)).toBe(false);
 	});
 
-	it('leaves an upstream without connections alone, longer each time, up to two seconds', () => {
+	it('backs off an upstream without connections, longer each time, up to two seconds', () => {
 		const health = new Health();
 		health.record('e', 'unreachable', 0);
 		expect([health.isPaused('e', 249), health.isPaused('e', 251)]).toEqual([true, false]);
@@ -123,7 +123,7 @@
 });
 
 describe('retries', () => {
-	it('stay within the share that a host may use of the common bounds', () => {
+	it('stay within the share of the common limits that a host may use', () => {
 		const budget = new RetryBudget({ratio: 0.2, window: 10_000, allowance: 100});
 		let made = 0;
 		for (let now = 0; now < 10_000; now += 10) {
@@ -138,7 +138,7 @@
 		expect(made).toBeGreaterThan(100);
 	});
 
-	it('are earned again as the window moves on', () => {
+	it('are allowed again as the window slides', () => {
 		const budget = new RetryBudget({ratio: 0, window: 1000, allowance: 10});
 		for (let index = 0; index < 7; index++) {
 			budget.countRetry('s', 0);
@@ -162,33 +162,33 @@
 	});
 });
 
-describe('the reach', () => {
-	it('blames the link where two upstreams of a domain fail, until one answers or a second has gone', () => {
-		const reach = new Reach();
-		reach.missed('b', 'e1', 0);
-		reach.missed('b', 'e1', 10);
-		expect([...reach.cutOff(20)]).toEqual([]);
-		reach.missed('b', 'e2', 30);
-		expect([...reach.cutOff(40)]).toEqual(['b']);
-		expect([...reach.cutOff(1020)]).toEqual([]);
-		reach.missed('b', 'e1', 1025);
-		expect([...reach.cutOff(1029)]).toEqual(['b']);
-		reach.heard('b', 1030);
-		expect([...reach.cutOff(1031)]).toEqual([]);
-		expect([reach.isAlive('b', 1100), reach.isAlive('b', 2100), reach.isAlive('c', 1100)]).toEqual([true, false, false]);
+describe('reachability', () => {
+	it('considers a link cut after two upstreams of a domain fail, until one answers or a second has passed', () => {
+		const reachability = new Reach();
+		reachability.missed('b', 'e1', 0);
+		reachability.missed('b', 'e1', 10);
+		expect([...reachability.cutOff(20)]).toEqual([]);
+		reachability.missed('b', 'e2', 30);
+		expect([...reachability.cutOff(40)]).toEqual(['b']);
+		expect([...reachability.cutOff(1020)]).toEqual([]);
+		reachability.missed('b', 'e1', 1025);
+		expect([...reachability.cutOff(1029)]).toEqual(['b']);
+		reachability.heard('b', 1030);
+		expect([...reachability.cutOff(1031)]).toEqual([]);
+		expect([reachability.isAlive('b', 1100), reachability.isAlive('b', 2100), reachability.isAlive('c', 1100)]).toEqual([true, false, false]);
 	});
 });
 
-describe('lapses', () => {
-	it('are waited for until two seconds after the store came back, whenever the registration went', () => {
-		const lapses = new Lapses();
-		expect(lapses.delay(1000)).toBe(0);
-		lapses.lost();
-		expect(lapses.delay(5000)).toBe(2000);
-		lapses.regained(8000);
-		expect([lapses.delay(8000), lapses.delay(8900), lapses.delay(10_000), lapses.delay(11_000)]).toEqual([2000, 1100, 0, 0]);
-		lapses.regained(12_000);
-		expect(lapses.delay(12_000)).toBe(0);
+describe('store outages', () => {
+	it('delay the removal of upstreams until two seconds after their end, whenever the registration expired', () => {
+		const outages = new Lapses();
+		expect(outages.delay(1000)).toBe(0);
+		outages.lost();
+		expect(outages.delay(5000)).toBe(2000);
+		outages.regained(8000);
+		expect([outages.delay(8000), outages.delay(8900), outages.delay(10_000), outages.delay(11_000)]).toEqual([2000, 1100, 0, 0]);
+		outages.regained(12_000);
+		expect(outages.delay(12_000)).toBe(0);
 	});
 });
 
@@ -197,7 +197,7 @@
 		fingerprint: 'f', id, upstream: id.split('.')[0]!, started: 1, ...change,
 	});
 
-	it('are acquitted by an answer: three lost answers of what many ask for are no crashes of one request', () => {
+	it('are acquitted by an answer: lost answers of a request that many callers send do not add up to a conviction', () => {
 		const suspects = new Suspects();
 		for (const id of ['e1.1', 'e2.1']) {
 			suspects.record(crash(id), 0);
@@ -218,13 +218,13 @@
 		expect([suspects.isConvicted('f', 30), suspects.isConvicted('g', 30), suspects.isConvicted('f', 61_000)]).toEqual([true, false, false]);
 	});
 
-	it('are not convicted of what was cleared before they heard of it', () => {
+	it('are not convicted of a crash whose acquittal arrives before its report', () => {
 		const suspects = new Suspects();
 		expect(suspects.clear([crash('e1.1')], 0)).toBe(true);
 		expect([suspects.clear([crash('e1.1')], 1), suspects.record(crash('e1.1'), 2), suspects.crashes('f', 3)]).toEqual([false, false, 0]);
 	});
 
-	it('are cleared of crashes whose upstream runs on, and of no others', () => {
+	it('are cleared only of crashes whose upstream is still the same process', () => {
 		const suspects = new Suspects();
 		for (const id of ['e1.1', 'e2.1', 'e3.1']) {
 			suspects.record(crash(id), 0);
@@ -234,39 +234,39 @@
 		expect([suspects.crashes('f', 10), suspects.isConvicted('f', 10)]).toEqual([2, false]);
 	});
 
-	it.each([1, 2, 3, 4, 5])('are told of in a fleet until all have heard, and no longer (order %i)', seed => {
+	it.each([1, 2, 3, 4, 5])('are forwarded in a fleet until every host has received them, and no longer (order %i)', seed => {
 		const random = seeded(seed);
 		const hosts = Array.from({length: 6}, () => new Suspects());
-		const news: Array<{readonly to: number; readonly isCleared: boolean}> = [];
-		const tell = (from: number, isCleared: boolean) => {
+		const messages: Array<{readonly to: number; readonly isCleared: boolean}> = [];
+		const broadcast = (from: number, isCleared: boolean) => {
 			for (const to of hosts.keys()) {
 				if (to !== from) {
-					news.push({to, isCleared});
+					messages.push({to, isCleared});
 				}
 			}
 		};
 
 		hosts[0]!.record(crash('e1.1'), 0);
-		tell(0, false);
-		let heard = 0;
+		broadcast(0, false);
+		let received = 0;
 		let isAnswered = false;
-		while (news.length > 0 && heard < 1000) {
-			const [next] = news.splice(random.integer(0, news.length - 1), 1);
+		while (messages.length > 0 && received < 1000) {
+			const [next] = messages.splice(random.integer(0, messages.length - 1), 1);
 			const {to, isCleared} = next!;
-			heard++;
+			received++;
 			const host = hosts[to]!;
 			if (isCleared ? host.clear([crash('e1.1')], 0) : host.record(crash('e1.1'), 0)) {
-				tell(to, isCleared);
+				broadcast(to, isCleared);
 			}
 
 			if (!isAnswered && to === 3) {
 				isAnswered = true;
 				host.acquit('f');
-				tell(3, true);
+				broadcast(3, true);
 			}
 		}
 
-		expect(heard).toBeLessThanOrEqual(2 * hosts.length * (hosts.length - 1));
+		expect(received).toBeLessThanOrEqual(2 * hosts.length * (hosts.length - 1));
 		expect(hosts.map(host => host.crashes('f', 0))).toEqual(hosts.map(() => 0));
 	});
 });
@@ -287,12 +287,12 @@
 
 	it.each([
 		['/a/b/c', 'ab'], ['/a/bc', 'a'], ['/a/b/', 'ab'], ['/a', 'all'], ['/x/y', 'all'], ['/', 'all'],
-	])('leads %s to the longest prefix', (path, name) => {
+	])('resolves %s to the route with the longest matching prefix', (path, name) => {
 		const found = directory.resolve('api.EXAMPLE', path, 'k');
 		expect(found).toMatchObject({type: 'routed', route: {name}, organisation: {name: 'acme'}});
 	});
 
-	it('tells an unknown host name from an unknown key', () => {
+	it('distinguishes an unknown authority from an unknown key', () => {
 		expect(directory.resolve('other', '/a/', 'k').type).toBe('no-route');
 		expect(directory.resolve('api.example', '/a/', 'x').type).toBe('unknown-key');
 		expect(directory.resolve('api.example', '/a/', undefined).type).toBe('unknown-key');
--- a/src/core/gateway/__tests__/placement.test.ts
+++ b/src/core/gateway/__tests__/placement.test.ts
@@ -1,4 +1,4 @@
-/** What callers of a small service get under loads that are played without a network. */
+/** Placement of requests at a small service, under simulated load and without a network. */
 import {describe, expect, it} from 'vitest';
 import {Health} from '../health.js';
 import {Load, type Job} from '../load.js';
@@ -7,7 +7,7 @@
 import {usualPolicy} from '../policy.js';
 import {type Demand, type EngineModel, type GatewayUpstream} from '../types.js';
 
-/** Figures of a site's engines. */
+/** Performance model of the engines of a real site. */
 const model: EngineModel = {
 	slots: 11, memory: 232_000, stride: 43, step: 1.02, perRequest: 0.003_29, perThousand: 0.004_31, readRate: 206, pairs: 0.138, chunk: 2048, hop: 0.075, usualPrompt: 12_316, usualAnswer: 1303,
 };
@@ -27,26 +27,27 @@
 	};
 }
 
-class Scene {
+/** A service with simulated jobs. */
+class Fixture {
 	readonly load = new Load();
 	readonly health = new Health();
 	#jobs = 0;
 
-	place(wanted: Demand, among: readonly GatewayUpstream[], change: Partial<Surroundings> = {}): Place | undefined {
-		return place(wanted, among, model, {
+	place(request: Demand, candidates: readonly GatewayUpstream[], change: Partial<Surroundings> = {}): Place | undefined {
+		return place(request, candidates, model, {
 			policy: usualPolicy, load: this.load, health: this.health, host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {tried: new Set()}, now, ...change,
 		});
 	}
 
-	/** Something that is written at an engine. */
-	write(upstream: string, tokens: number, pause: number): void {
+	/** Adds a job that an engine decodes. */
+	addDecoding(upstream: string, tokens: number, pause: number): void {
 		this.#add({
 			upstream, prompt: tokens, pause, firstByte: now - 100,
 		});
 	}
 
-	/** A prompt that an engine still reads. */
-	read(upstream: string, read: number): void {
+	/** Adds a job that an engine prefills. */
+	addPrefill(upstream: string, read: number): void {
 		this.#add({upstream, read, readPerPass: read});
 	}
 
@@ -59,114 +60,114 @@
 }
 
 describe('a short prompt', () => {
-	it('joins others of its kind rather than an engine that reads a long one', () => {
-		const scene = new Scene();
-		scene.read('e0', 1800);
-		scene.write('e1', 5000, 250);
-		expect(scene.place(demand(5000), upstreams(2))?.upstream.id).toBe('e1');
+	it('joins other short prompts rather than an engine that prefills a long one', () => {
+		const fixture = new Fixture();
+		fixture.addPrefill('e0', 1800);
+		fixture.addDecoding('e1', 5000, 250);
+		expect(fixture.place(demand(5000), upstreams(2))?.upstream.id).toBe('e1');
 	});
 
-	it('leaves idle engines to long prompts while there is room beside short ones', () => {
-		const scene = new Scene();
+	it('leaves idle engines to long prompts while an engine with short ones has free slots', () => {
+		const fixture = new Fixture();
 		for (let index = 0; index < 5; index++) {
-			scene.write('e1', 5000, 250);
+			fixture.addDecoding('e1', 5000, 250);
 		}
 
-		expect(scene.place(demand(5000), upstreams(4))?.upstream.id).toBe('e1');
+		expect(fixture.place(demand(5000), upstreams(4))?.upstream.id).toBe('e1');
 	});
 
-	it('opens another engine when the one of its kind is full', () => {
-		const scene = new Scene();
+	it('goes to another engine when the one with short prompts is full', () => {
+		const fixture = new Fixture();
 		for (let index = 0; index < 11; index++) {
-			scene.write('e1', 5000, 250);
+			fixture.addDecoding('e1', 5000, 250);
 		}
 
-		expect(scene.place(demand(5000), upstreams(4))?.upstream.id).not.toBe('e1');
+		expect(fixture.place(demand(5000), upstreams(4))?.upstream.id).not.toBe('e1');
 	});
 });
 
 describe('a long prompt', () => {
-	it('keeps away from engines that write for callers who bear only short pauses', () => {
-		const scene = new Scene();
+	it('avoids engines that decode streams with short pauses', () => {
+		const fixture = new Fixture();
 		for (let index = 0; index < 3; index++) {
-			scene.write('e0', 5000, 250);
-			scene.write('e2', 5000, 250);
+			fixture.addDecoding('e0', 5000, 250);
+			fixture.addDecoding('e2', 5000, 250);
 		}
 
-		const chosen = scene.place(demand(133_000), upstreams(4));
+		const chosen = fixture.place(demand(133_000), upstreams(4));
 		const used = [chosen!.upstream, ...chosen!.helpers].map(each => each.id);
 		expect(used.filter(id => id === 'e0' || id === 'e2')).toEqual([]);
 	});
 
-	it('is read by several idle engines when one would be late', () => {
-		const chosen = new Scene().place(demand(200_000), upstreams(8));
+	it('is prefilled by several idle engines when one would be late', () => {
+		const chosen = new Fixture().place(demand(200_000), upstreams(8));
 		expect(chosen!.helpers.length).toBeGreaterThan(0);
 		expect(chosen!.firstByte).toBeLessThan(2500);
 		expect(chosen!.holdTokens).toBe(0);
 	});
 
-	it('is held by several engines when none has the memory', () => {
-		const chosen = new Scene().place(demand(500_000), upstreams(8));
+	it('is split between several engines when none has enough memory', () => {
+		const chosen = new Fixture().place(demand(500_000), upstreams(8));
 		expect(chosen!.helpers.length).toBeGreaterThanOrEqual(2);
 		expect(chosen!.holdTokens * (chosen!.helpers.length + 1)).toBeGreaterThan(501_000);
 		expect(chosen!.holdTokens).toBeLessThan(232_000);
 	});
 
-	it('has no place where all engines together lack the memory', () => {
-		expect(new Scene().place(demand(500_000), upstreams(2))).toBeUndefined();
+	it('is not placed when all engines together lack the memory', () => {
+		expect(new Fixture().place(demand(500_000), upstreams(2))).toBeUndefined();
 	});
 
-	it('does not count on memory that other requests have', () => {
-		const scene = new Scene();
-		scene.write('e0', 150_000, 1000);
-		const chosen = scene.place(demand(120_000), upstreams(2));
+	it('does not count on memory that other requests use', () => {
+		const fixture = new Fixture();
+		fixture.addDecoding('e0', 150_000, 1000);
+		const chosen = fixture.place(demand(120_000), upstreams(2));
 		expect(chosen?.upstream.id).toBe('e1');
 	});
 });
 
 describe('a stream', () => {
-	it('is better off elsewhere when a long prompt comes to its engine, if its caller bears only short pauses', () => {
-		const scene = new Scene();
-		scene.write('e0', 5000, 250);
-		scene.write('e0', 133_000, 4000);
-		expect(disturbed(scene.load.forecast('e0', model, now))).toEqual([]);
-		scene.read('e0', 900);
-		const found = disturbed(scene.load.forecast('e0', model, now));
+	it('should be rerouted when a long prompt arrives at its engine, if it allows only short pauses', () => {
+		const fixture = new Fixture();
+		fixture.addDecoding('e0', 5000, 250);
+		fixture.addDecoding('e0', 133_000, 4000);
+		expect(disturbed(fixture.load.forecast('e0', model, now))).toEqual([]);
+		fixture.addPrefill('e0', 900);
+		const found = disturbed(fixture.load.forecast('e0', model, now));
 		expect(found.map(each => each.job.pause)).toEqual([250]);
 		expect(found[0]!.loss).toBeGreaterThan(0.5);
 	});
 
-	it('stays for a short reading', () => {
-		const scene = new Scene();
-		scene.write('e0', 5000, 250);
-		scene.read('e0', 60);
-		expect(disturbed(scene.load.forecast('e0', model, now))).toEqual([]);
+	it('stays for a short prefill', () => {
+		const fixture = new Fixture();
+		fixture.addDecoding('e0', 5000, 250);
+		fixture.addPrefill('e0', 60);
+		expect(disturbed(fixture.load.forecast('e0', model, now))).toEqual([]);
 	});
 });
 
 describe('any prompt', () => {
-	it('avoids an engine that fails, leaves, was tried or is out of reach', () => {
-		const scene = new Scene();
+	it('avoids an engine that fails, drains, was tried or is unreachable', () => {
+		const fixture = new Fixture();
 		const all = upstreams(5);
 		for (let index = 0; index < 6; index++) {
-			scene.health.record('e0', 'faulty', now);
+			fixture.health.record('e0', 'faulty', now);
 		}
 
-		scene.health.record('e2', 'unreachable', now);
+		fixture.health.record('e2', 'unreachable', now);
 		const choices = all.map(each => ({...each, isDraining: each.id === 'e4'}));
-		const chosen = scene.place(demand(5000), choices, {eligibility: {tried: new Set(['e1'])}});
+		const chosen = fixture.place(demand(5000), choices, {eligibility: {tried: new Set(['e1'])}});
 		expect(chosen?.upstream.id).toBe('e3');
 	});
 
-	it('is sent to an engine that is left alone rather than nowhere', () => {
-		const scene = new Scene();
-		scene.health.record('e0', 'unreachable', now);
-		expect(scene.place(demand(5000), upstreams(1))?.upstream.id).toBe('e0');
+	it('is sent to an engine that is backed off if there is no other', () => {
+		const fixture = new Fixture();
+		fixture.health.record('e0', 'unreachable', now);
+		expect(fixture.place(demand(5000), upstreams(1))?.upstream.id).toBe('e0');
 	});
 
-	it('is not sent to an engine that is leaving, whatever else', () => {
+	it('is never sent to an engine that drains', () => {
 		const [only] = upstreams(1);
-		expect(new Scene().place(demand(5000), [{...only!, isDraining: true}])).toBeUndefined();
+		expect(new Fixture().place(demand(5000), [{...only!, isDraining: true}])).toBeUndefined();
 	});
 });
 
--- a/src/core/gateway/__tests__/registry.test.ts
+++ b/src/core/gateway/__tests__/registry.test.ts
@@ -1,4 +1,4 @@
-/** The replica of the platform's registry: it only moves forward, whoever tells it. */
+/** The replica of the platform's registry only moves forward, whatever the source of a change. */
 import {describe, expect, it} from 'vitest';
 import {Registry} from '../registry.js';
 import {type GatewayUpstream} from '../types.js';
@@ -18,7 +18,7 @@
 }
 
 describe('a registry', () => {
-	it('takes each change of the history once, and tells whether it changed anything', () => {
+	it('applies each change of the history once, and returns whether it changed anything', () => {
 		const registry = new Registry();
 		expect(registry.apply(written('e1', 5))).toBe(true);
 		registry.advance(6);
@@ -31,7 +31,7 @@
 		expect(ids(registry)).toEqual([]);
 	});
 
-	it('is not taken back by a history that is replayed', () => {
+	it('is not reverted by a replayed history', () => {
 		const registry = new Registry();
 		registry.reset({upstreams: [upstream('e1', {isDraining: true})], revision: 20, changed: 20});
 		expect(registry.apply(written('e1', 12))).toBe(false);
@@ -39,7 +39,7 @@
 		expect(registry.snapshot.upstreams).toEqual([upstream('e1', {isDraining: true})]);
 	});
 
-	it('is not taken back by a peer that knows less', () => {
+	it('is not reverted by a snapshot of a peer that is not newer', () => {
 		const registry = new Registry();
 		registry.reset({upstreams: [upstream('e2')], revision: 20, changed: 20});
 		expect(registry.merge({upstreams: [upstream('e1')], revision: 20, changed: 3})).toEqual({written: [], removed: []});
@@ -48,7 +48,7 @@
 		expect(registry.revision).toBe(20);
 	});
 
-	it('tells what a newer snapshot changes', () => {
+	it('returns what a newer snapshot changed', () => {
 		const registry = new Registry();
 		registry.reset({upstreams: [upstream('e1'), upstream('e2'), upstream('e3')], revision: 5, changed: 5});
 		const newer = [upstream('e2'), upstream('e3', {started: 2}), upstream('e4')];
@@ -59,14 +59,14 @@
 		expect(registry.snapshot).toMatchObject({revision: 9, changed: 8});
 	});
 
-	it('is as current as another one only if it knows of its last change', () => {
+	it('considers a revision current only if it includes the last known change', () => {
 		const registry = new Registry();
 		registry.apply(written('e1', 5));
 		registry.advance(9);
 		expect([registry.isCurrent(4), registry.isCurrent(5), registry.isCurrent(12)]).toEqual([false, true, true]);
 	});
 
-	it('follows the store also where its revision has fallen', () => {
+	it('follows the store even if its revision has decreased', () => {
 		const registry = new Registry();
 		registry.reset({upstreams: [upstream('e1')], revision: 50, changed: 50});
 		registry.reset({upstreams: [upstream('e2')], revision: 3, changed: 3});
--- a/src/core/gateway/__tests__/moves.test.ts
+++ b/src/core/gateway/__tests__/rerouting.test.ts
@@ -1,4 +1,4 @@
-/** Requests of hosts that chose the same engine before they heard of each other. */
+/** Requests of hosts that chose the same engine before they received load updates of each other. */
 import {describe, expect, it} from 'vitest';
 import {Health} from '../health.js';
 import {Load, type Job} from '../load.js';
@@ -19,20 +19,20 @@
 	};
 }
 
-describe('of two requests that meet at an engine', () => {
+describe('of two requests at the same engine', () => {
 	const own = job('b');
 
-	it('the one that was there first stays, and both hosts see it alike', () => {
+	it('the earlier one stays, and both hosts decide alike', () => {
 		const earlier = job('z', {began: now - 20});
 		expect([isToYield(own, earlier, now + 30), isToYield(earlier, own, now + 30)]).toEqual([true, false]);
 	});
 
-	it('the smaller name stays where clocks cannot tell', () => {
+	it('the one with the smaller id stays if the start times are too close to order', () => {
 		const close = job('a', {began: now + 3});
 		expect([isToYield(own, close, now + 30), isToYield(close, own, now + 30)]).toEqual([true, false]);
 	});
 
-	it('none yields where they share no engine, nothing long is read, or an answer has begun', () => {
+	it('none yields if they share no engine, no prefill is long, or an answer has begun', () => {
 		const first = job('a', {began: now - 20});
 		expect(isToYield(own, {...first, upstream: 'e1', helpers: ['e2']}, now)).toBe(false);
 		expect(isToYield(own, {...first, upstream: 'e1', helpers: ['e0']}, now)).toBe(true);
@@ -40,12 +40,12 @@
 		expect(isToYield({...own, firstByte: now}, first, now)).toBe(false);
 	});
 
-	it('none yields once news of all hosts must have come', () => {
+	it('none yields after the load updates of all hosts must have arrived', () => {
 		expect(isToYield(own, job('a', {began: now - 20}), now + 150)).toBe(false);
 	});
 });
 
-describe('a request that met another one', () => {
+describe('a request at the same engine as another one', () => {
 	const upstreams: readonly GatewayUpstream[] = [0, 1, 2].map(index => ({
 		id: `e${index}`, service: 's', address: {host: 'h', port: index + 1}, failureDomain: 'a', slots: 11, isDraining: false,
 	}));
@@ -53,41 +53,41 @@
 		id: 'r', service: 's', kind: 'streaming', priority: 1, arrived: now, due: now + 1500, deadline: now + 15_000, pause: 600, prompt: {tokens: 60_000, answer: 900},
 	};
 
-	function surroundings(load: Load, tried: readonly string[]): Surroundings {
+	function createOptions(load: Load, tried: readonly string[]): Surroundings {
 		return {
 			policy: usualPolicy, load, health: new Health(), host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {tried: new Set(tried)}, now,
 		};
 	}
 
-	it('goes to an idle engine, and stays if there is none that is better', () => {
+	it('is rerouted to an idle engine, and stays if there is no better one', () => {
 		const load = new Load();
-		const first = place(demand, upstreams, model, surroundings(load, []))!;
+		const first = place(demand, upstreams, model, createOptions(load, []))!;
 		expect(first.helpers).toEqual([]);
 		const {id} = first.upstream;
 		load.begin(job('own', {
 			upstream: id, prompt: 60_000, read: first.reading.total, readPerPass: first.reading.perPass,
 		}), now);
-		const around = {...surroundings(load, [id]), except: 'own'};
-		const alone = reconsider(demand, first, upstreams, model, around)!;
-		// Its own reading must not count against it.
-		expect(alone.staying).toBeCloseTo(first.loss, 5);
-		expect(isWorthMoving(alone.staying, alone.best!.loss)).toBe(false);
+		const options = {...createOptions(load, [id]), except: 'own'};
+		const withoutOther = reconsider(demand, first, upstreams, model, options)!;
+		// Its own prefill must not count against it.
+		expect(withoutOther.staying).toBeCloseTo(first.loss, 5);
+		expect(isWorthMoving(withoutOther.staying, withoutOther.best!.loss)).toBe(false);
 
-		load.begin(job('met', {upstream: id, read: 4000, readPerPass: 4000}), now);
-		const met = reconsider(demand, first, upstreams, model, around)!;
-		expect(met.best!.upstream.id).not.toBe(id);
-		expect(isWorthMoving(met.staying, met.best!.loss)).toBe(true);
+		load.begin(job('other', {upstream: id, read: 4000, readPerPass: 4000}), now);
+		const withOther = reconsider(demand, first, upstreams, model, options)!;
+		expect(withOther.best!.upstream.id).not.toBe(id);
+		expect(isWorthMoving(withOther.staying, withOther.best!.loss)).toBe(true);
 
 		for (const each of upstreams.filter(upstream => upstream.id !== id)) {
-			load.begin(job(`met-${each.id}`, {upstream: each.id, read: 4000, readPerPass: 4000}), now);
+			load.begin(job(`other-${each.id}`, {upstream: each.id, read: 4000, readPerPass: 4000}), now);
 		}
 
-		const crowded = reconsider(demand, first, upstreams, model, around)!;
+		const crowded = reconsider(demand, first, upstreams, model, options)!;
 		expect(isWorthMoving(crowded.staying, crowded.best!.loss)).toBe(false);
 	});
 
-	it('is not moved at plain services', () => {
-		const first = place({...demand, prompt: undefined}, upstreams, undefined, surroundings(new Load(), []))!;
-		expect(reconsider({...demand, prompt: undefined}, first, upstreams, undefined, surroundings(new Load(), []))).toBe(undefined);
+	it('is not rerouted at plain services', () => {
+		const first = place({...demand, prompt: undefined}, upstreams, undefined, createOptions(new Load(), []))!;
+		expect(reconsider({...demand, prompt: undefined}, first, upstreams, undefined, createOptions(new Load(), []))).toBe(undefined);
 	});
 });
--- a/src/core/gateway/absences.ts
+++ b/src/core/gateway/absences.ts
@@ -1,45 +1,45 @@
 /**
- * What hosts tell each other of upstreams that are not there. Answers crashes of many engines at once before hundreds of hosts: an engine
- * that has crashed looks idle, and each host would find each of them by a request of its own.
+ * Absences: reports between hosts about upstreams that are not there. A crashed engine looks idle, so without these reports each of hundreds
+ * of hosts would lose a request to find each crashed engine.
  */
 import {assertNever} from '../utils/common.js';
 import {type Verdict} from './health.js';
 
-/** How an upstream was found absent. */
+/** How a host found an upstream absent. */
 export type AbsenceReason
 	/** Nothing listens at its address. */
 	= | 'refused'
 	/** Another process answers at its address. */
 		| 'replaced'
-	/** Nothing came from it. */
+	/** It did not respond. */
 		| 'silent';
 
 export type Absence = {
 	readonly upstream: string;
 	readonly reason: AbsenceReason;
-	/** Whether it holds seen from any failure domain, not just from that of the host that tells. */
+	/** Whether it applies in all failure domains, not only in that of the host that reports it. */
 	readonly isForAll: boolean;
 };
 
 /**
- * Where links between failure domains are cut, connections are refused or silent though the upstream lives. Whoever reaches another process
- * there has reached its address.
+ * Creates the report of an absence. A refusal or silence seen from another failure domain does not apply in all of them: the link may be cut
+ * while the upstream is alive. A host that reaches another process at the address has reached the address.
  *
  * @param upstream - Upstream that was found absent.
- * @param reason - How.
- * @param upstreamDomain - Its failure domain, if it is known.
- * @param hostDomain - Failure domain of the host that found it so.
- * @returns What that host tells.
+ * @param reason - How it was found absent.
+ * @param upstreamDomain - Failure domain of the upstream, if known.
+ * @param hostDomain - Failure domain of the host that found it absent.
+ * @returns The absence to report.
  */
 export function absenceOf(upstream: string, reason: AbsenceReason, upstreamDomain: string | undefined, hostDomain: string): Absence {
 	return {upstream, reason, isForAll: reason === 'replaced' || upstreamDomain === hostDomain};
 }
 
 /**
- * @param absence - What a host was told.
- * @param senderDomain - Failure domain of the host that told it.
- * @param hostDomain - Its own failure domain.
- * @returns Whether it holds there too.
+ * @param absence - Absence that a peer reported.
+ * @param senderDomain - Failure domain of the peer.
+ * @param hostDomain - Failure domain of the receiving host.
+ * @returns Whether the absence applies to the receiving host.
  */
 export function holdsAt({isForAll}: Absence, senderDomain: string, hostDomain: string): boolean {
 	return isForAll || senderDomain === hostDomain;
@@ -47,7 +47,7 @@
 
 /**
  * @param reason - How a peer found an upstream absent.
- * @returns What that says of the upstream here: silence may be due to the peer's own link or a lost packet, and counts less.
+ * @returns Verdict for this host. Silence counts less, since the peer's own link or a lost packet may be the cause.
  */
 export function verdictFrom(reason: AbsenceReason): Verdict {
 	switch (reason) {
--- a/src/core/gateway/directory.ts
+++ b/src/core/gateway/directory.ts
@@ -1,4 +1,4 @@
-/** Finds the route and the organisation of a request in the configuration in force. */
+/** Finds the route and the organisation of a request in the active configuration. */
 import {
 	type GatewayConfiguration, type GatewayOrganisation, type GatewayService, type Route,
 } from './types.js';
@@ -8,7 +8,7 @@
 		| {readonly type: 'unknown-key'; readonly route: Route}
 		| {readonly type: 'routed'; readonly route: Route; readonly organisation?: GatewayOrganisation};
 
-/** One configuration, indexed. */
+/** Index of one configuration. */
 export class Directory {
 	readonly #configuration: GatewayConfiguration;
 	/** By authority and prefix. */
@@ -17,7 +17,7 @@
 	readonly #services: ReadonlyMap<string, GatewayService>;
 
 	/**
-	 * @param configuration - Configuration in force.
+	 * @param configuration - Active configuration.
 	 */
 	constructor(configuration: GatewayConfiguration) {
 		this.#configuration = configuration;
@@ -40,17 +40,17 @@
 
 	/**
 	 * @param name - Service.
-	 * @returns The service, if it is configured.
+	 * @returns The service, or undefined if it is not configured.
 	 */
 	service(name: string): GatewayService | undefined {
 		return this.#services.get(name);
 	}
 
 	/**
-	 * @param authority - Host and port that the caller named.
+	 * @param authority - Host and port in the request.
 	 * @param path - Path without its query.
 	 * @param key - API key, if the caller sent one.
-	 * @returns The route with the longest matching prefix and who calls, or why there is none.
+	 * @returns The route with the longest matching prefix and the organisation of the caller, or why there is none.
 	 */
 	resolve(authority: string, path: string, key: string | undefined): Resolution {
 		const route = this.#route(authority, path);
@@ -93,7 +93,7 @@
 /**
  * @param route - Route.
  * @param random - Uniform from 0 to 1.
- * @returns One of the services that the route leads to, by their weights; empty if there is none.
+ * @returns Name of one of the target services, chosen by weight; empty if the route has none.
  */
 export function chooseService({targets}: Route, random: number): string {
 	let total = 0;
--- a/src/core/gateway/engine.ts
+++ b/src/core/gateway/engine.ts
@@ -1,22 +1,21 @@
-/** Times of a model engine, computed from the figures that its service publishes. All in milliseconds. */
+/** Estimates times, in milliseconds, and memory of a model engine from the performance model of its service. */
 import {type EngineModel} from './types.js';
 
 const thousand = 1000;
 const million = 1_000_000;
 
-/** Reading of one prompt at one of the engines that share it. */
+/** Prefill time of one prompt at each of the engines that share it, in milliseconds. */
 export type PrefillTime = {
-	/** In all. */
 	readonly total: number;
-	/** The longest that one pass reads of it: what requests that are written there wait at most. */
+	/** Longest part within one engine iteration, which is the longest delay of jobs that are decoding there. */
 	readonly perPass: number;
 };
 
 /**
  * @param model - Engine.
  * @param tokens - Length of the prompt.
- * @param parts - Engines that read even parts of it.
- * @returns Time that each of them reads.
+ * @param parts - Number of engines that prefill equal parts of it.
+ * @returns Prefill time at each of them.
  */
 export function estimatePrefill(model: EngineModel, tokens: number, parts = 1): PrefillTime {
 	const plain = tokens / model.readRate;
@@ -24,7 +23,7 @@
 	const steps = Math.ceil(tokens / parts / model.chunk);
 	const total = ((plain + pairs) / parts) + (steps * model.step);
 	const share = Math.min(model.stride * model.chunk * parts / Math.max(tokens, 1), 1);
-	// Later tokens have more earlier ones: the last pass is the longest.
+	// Later tokens attend to more earlier ones, so the last iteration is the longest.
 	const lastPairs = 1 - ((1 - share) ** 2);
 	const perPass = ((plain * share) + (pairs * lastPairs)) / parts;
 	return {total, perPass: perPass + (Math.min(steps, model.stride) * model.step)};
@@ -32,8 +31,8 @@
 
 /**
  * @param model - Engine.
- * @param contexts - Tokens of each request being written there.
- * @returns Time of a pass in which nothing is read.
+ * @param contexts - Context length in tokens of each decoding request.
+ * @returns Milliseconds of an engine iteration without prefill.
  */
 export function estimateDecodeIteration(model: EngineModel, contexts: readonly number[]): number {
 	let {step} = model;
@@ -46,9 +45,9 @@
 
 /**
  * @param model - Engine.
- * @param prompt - Tokens in.
- * @param answer - Most tokens out.
- * @returns Tokens of memory that the request may need.
+ * @param prompt - Length of the prompt in tokens.
+ * @param answer - Maximum length of the answer in tokens.
+ * @returns KV memory in tokens that the request may need.
  */
 export function footprint(model: EngineModel, prompt: number, answer: number): number {
 	return prompt + Math.min(answer, model.usualAnswer * 2) + model.stride;
--- a/src/core/gateway/health.ts
+++ b/src/core/gateway/health.ts
@@ -1,37 +1,37 @@
-/** How far upstreams can be trusted, from how attempts ended. */
+/** Tracks the health of upstreams from how attempts ended: failure probability and backoff. */
 import {assertNever} from '../utils/common.js';
 import {type AttemptEnding} from './retries.js';
 
-/** Half of what was seen counts no more after this time, in milliseconds: engines that crash are back within 3 to 5 s. */
+/** Half-life of recorded attempts, in milliseconds: engines that crash are back within 3 to 5 s. */
 const halfLifeMs = 2500;
 
-/** Attempts that an unknown upstream is taken to have had, and the failed part of them. */
+/** Prior of an unknown upstream: assumed attempts, and how many of them failed. */
 const priorAttempts = 4;
 const priorFailures = 0.04;
 
 /**
- * Milliseconds that an upstream is left alone after a connection to it failed; doubled each time, up to the most. One that was replaced
- * is left alone for the most: its registration is about to change.
+ * Backoff after a failed connection, in milliseconds; doubles with each failure up to the maximum. An upstream that was replaced is
+ * backed off for the maximum, as its registration is about to change.
  */
 const minBackoffMs = 250;
 const maxBackoffMs = 2000;
 
-/** What an attempt says of its upstream. */
+/** What the ending of an attempt shows about its upstream. */
 export type Verdict
 	/** It answered. */
 	= | 'sound'
-	/** It answered with a failure or refused without need. */
+	/** It answered with an error, or refused the request without need. */
 		| 'faulty'
-	/** Its connection broke before the answer was whole. */
+	/** Its connection broke before the answer was complete. */
 		| 'broken'
 	/** Another process answers at its address. */
 		| 'replaced'
-	/** No connection could be made, or it fell silent. */
+	/** No connection could be made, or it became unresponsive. */
 		| 'unreachable';
 
 /**
  * @param ending - How an attempt ended.
- * @returns What it says of its upstream, if anything.
+ * @returns What it shows about the upstream, or undefined if nothing.
  */
 export function verdictOf(ending: AttemptEnding): Verdict | undefined {
 	switch (ending.type) {
@@ -62,18 +62,18 @@
 	attempts: number;
 	failures: number;
 	at: number;
-	/** Failed connections in a row. */
+	/** Consecutive failed connections. */
 	consecutiveFailures: number;
 	backedOffUntil: number;
 };
 
-/** Failures of upstreams, forgotten with time. */
+/** Failure records of upstreams, which decay with time. */
 export class Health {
 	readonly #entries = new Map<string, HealthRecord>();
 
 	/**
 	 * @param upstream - Upstream.
-	 * @param verdict - What an attempt says of it.
+	 * @param verdict - What an attempt showed about it.
 	 * @param now - Time in milliseconds.
 	 */
 	record(upstream: string, verdict: Verdict, now: number): void {
@@ -112,7 +112,7 @@
 	}
 
 	/**
-	 * @param upstream - Upstream that has started anew or is gone.
+	 * @param upstream - Upstream that has restarted or is no longer registered.
 	 */
 	forget(upstream: string): void {
 		this.#entries.delete(upstream);
@@ -121,7 +121,7 @@
 	/**
 	 * @param upstream - Upstream.
 	 * @param now - Time in milliseconds.
-	 * @returns Share of attempts that are expected to fail there, 0 to 1.
+	 * @returns Expected share of attempts that fail there, 0 to 1.
 	 */
 	risk(upstream: string, now: number): number {
 		const {attempts, failures} = this.#decayed(upstream, now);
@@ -131,7 +131,7 @@
 	/**
 	 * @param upstream - Upstream.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it is left alone for now.
+	 * @returns Whether it is backed off now.
 	 */
 	isPaused(upstream: string, now: number): boolean {
 		return (this.#entries.get(upstream)?.backedOffUntil ?? 0) > now;
--- a/src/core/gateway/lapses.ts
+++ b/src/core/gateway/lapses.ts
@@ -1,24 +1,24 @@
-/** When an upstream whose registration is gone may be taken to be gone itself. */
+/** Decides how long to keep an upstream whose registration is missing: after an outage of the store it may only have expired. */
 
 /**
- * Milliseconds after the store is back within which upstreams that live are registered again, where their registrations
- * lapsed while it was away. Counted from the return and not from each removal: an upstream that leaves just then is left
- * 2.3 s after it said so otherwise, where 2 s are allowed.
+ * Time in milliseconds after an outage of the store within which live upstreams renew registrations that expired meanwhile. Counted from
+ * the end of the outage and not from each removal: otherwise an upstream that leaves just then is dropped 2.3 s after it announced it,
+ * where 2 s are allowed.
  */
 const reregistrationGraceMs = 2000;
 
-/** Outages of the store as this host sees them. */
+/** Outages of the store, as observed by this host. */
 export class Lapses {
 	#isLost = false;
 	#regainedAt = Number.NEGATIVE_INFINITY;
 
-	/** The store does not answer. */
+	/** Records that the store does not respond. */
 	lost(): void {
 		this.#isLost = true;
 	}
 
 	/**
-	 * The store answers again.
+	 * Records that the store responds again.
 	 *
 	 * @param now - Time in milliseconds.
 	 */
@@ -31,7 +31,7 @@
 
 	/**
 	 * @param now - Time in milliseconds.
-	 * @returns Milliseconds for which an upstream is kept whose registration is gone now; 0 to drop it at once.
+	 * @returns Milliseconds for which to keep an upstream whose registration is now missing; 0 to drop it at once.
 	 */
 	delay(now: number): number {
 		return this.#isLost ? reregistrationGraceMs : Math.max(this.#regainedAt + reregistrationGraceMs - now, 0);
--- a/src/core/gateway/load.ts
+++ b/src/core/gateway/load.ts
@@ -1,103 +1,106 @@
-/** What runs at each upstream, as far as this host knows: its own requests and those that its peers tell of. */
+/** Tracks the jobs at each upstream, from this host and from the load updates of its peers, and forecasts engine load from them. */
 import {footprint, estimateDecodeIteration} from './engine.js';
 import {usualUrgency} from './urgency.js';
 import {estimateSlotWait, type Occupant} from './queue.js';
 import {type EngineModel} from './types.js';
 
-/** Which placing of its request a sending is: the first, one after others that reached no upstream, or one more after an upstream got it. */
+/** Kind of placement: the request's first, a retry after an upstream received it, or one after attempts that reached no upstream. */
 export type Placing = 'first' | 'retry' | 'unreached before';
 
-/** One sending of a request. Times are on this host's monotonic clock, in milliseconds. */
+/** One attempt of a request at an upstream. Times are on this host's monotonic clock, in milliseconds. */
 export type Job = {
 	/** Unique over all hosts. */
 	readonly id: string;
-	/** Host that sent it. */
+	/** Host that sent the request. */
 	readonly host: string;
-	/** The upstream that answers. */
+	/** Upstream that answers. */
 	readonly upstream: string;
-	/** Engines that read a part of the prompt. */
+	/** Other engines that prefill a part of the prompt. */
 	readonly helpers: readonly string[];
+	/** Length of the prompt and maximum length of the answer, in tokens. */
 	readonly prompt: number;
 	readonly answer: number;
-	/** Whether the prompt's memory lies in holds at the upstream and the helpers alike. */
+	/** Whether the memory of the request is split evenly into holds at the upstream and the helpers. */
 	readonly isHeld: boolean;
-	/** Time that each engine reads, and the longest part of it within one pass. */
+	/** Prefill time at each of the engines. */
 	readonly read: number;
+	/** Longest part of the prefill within one engine iteration. */
 	readonly readPerPass: number;
+	/** Longest pause between events that meets the latency target; undefined for answers that are not streams. */
 	readonly pause?: number;
-	/** Rank in the queue of the upstream, 0 first. */
+	/** Rank in the queue of the upstream; 0 is first. */
 	readonly urgency?: number;
+	/** How much the request counts, relative to a usual one. */
 	readonly weight: number;
 	readonly placing: Placing;
 	readonly began: number;
-	/** When its first byte is due. */
+	/** When the first byte is due. */
 	readonly due: number;
-	/** It is over by then in any case. */
+	/** When the request times out. */
 	readonly deadline: number;
 	readonly firstByte?: number;
 };
 
-/** What an engine is expected to do next. */
+/** Expected state of an engine. */
 export type Forecast = {
-	/** Requests being read or written there, those of helpers excluded. */
+	/** Jobs that the engine answers, waiting ones included; jobs that it only helps to prefill are excluded. */
 	readonly requests: number;
+	/** Jobs that the engine is decoding. */
 	readonly decoding: readonly Job[];
-	/** Prompts that are read there, in part or whole. */
+	/** Jobs whose prompt, or a part of it, the engine prefills. */
 	readonly readers: readonly Job[];
-	/** Milliseconds of reading that stand before a new prompt. */
+	/** Milliseconds of prefill ahead of a new prompt. */
 	readonly backlog: number;
-	/** Milliseconds of a pass that reads nothing; 0 where nothing is written. */
+	/** Milliseconds of an engine iteration without prefill; 0 if nothing is decoding. */
 	readonly pass: number;
-	/** Milliseconds until a place in its batch is free. */
+	/** Milliseconds until a slot in the batch is free. */
 	readonly slotWait: number;
-	/** Tokens of memory that are not spoken for. */
+	/** KV memory in tokens that no job needs. */
 	readonly freeMemory: number;
 };
 
-/** For whom a forecast is made. */
 export type ForecastOptions = {
-	/** Rank in the queue of the request that might come. */
+	/** Rank in the queue of the request that the forecast is made for. */
 	readonly urgency?: number;
-	/** Job that is left out, as if it had not been sent. */
+	/** Job to leave out, as if it had not been sent. */
 	readonly excludedJob?: string;
 };
 
-/** What an engine has, beside the jobs themselves. */
 type EngineState = {
 	readonly jobs: Map<string, Job>;
-	/** When the reading that is known of will be done. */
+	/** When the prefill of all known jobs is expected to be done. */
 	prefillUntil: number;
 };
 
-/** A reading that takes longer than predicted is taken to need this much more, in milliseconds. */
+/** Remaining time, in milliseconds, that is assumed for a prefill that takes longer than predicted. */
 const prefillOverrunMs = 20;
 
-/** Deadlines of peers' requests pass a little later here: clocks and messages differ, in milliseconds. */
+/** Tolerance for clock differences and message delays between hosts, in milliseconds. */
 const expiryMarginMs = 500;
 
-/** Milliseconds that the end of a job is remembered: news of its beginning may come later over another way. */
+/** How long ended jobs are remembered, in milliseconds: a delayed load update may still report their start. */
 const endedJobRetentionMs = 2000;
 
-/** Requests at upstreams. */
+/** Jobs at upstreams. Times are monotonic, in milliseconds. */
 export class Load {
 	readonly #jobs = new Map<string, Job>();
-	/** When jobs ended, the oldest first. */
+	/** End times of jobs, the oldest first. */
 	readonly #ended = new Map<string, number>();
 	readonly #engines = new Map<string, EngineState>();
 
-	/** Jobs known of. */
+	/** Number of known jobs. */
 	get size(): number {
 		return this.#jobs.size;
 	}
 
-	/** All jobs known of. */
+	/** All known jobs. */
 	get all(): readonly Job[] {
 		return [...this.#jobs.values()];
 	}
 
 	/**
 	 * @param id - Job.
-	 * @returns The job, while it runs.
+	 * @returns The job, or undefined if it is unknown or has ended.
 	 */
 	job(id: string): Job | undefined {
 		return this.#jobs.get(id);
@@ -105,7 +108,7 @@
 
 	/**
 	 * @param id - Job.
-	 * @returns Whether it runs or was over a moment ago.
+	 * @returns Whether the job is running or ended recently.
 	 */
 	isKnown(id: string): boolean {
 		return this.#jobs.has(id) || this.#ended.has(id);
@@ -113,7 +116,7 @@
 
 	/**
 	 * @param host - Host.
-	 * @returns The jobs that it sent.
+	 * @returns The jobs that the host sent.
 	 */
 	jobsOf(host: string): readonly Job[] {
 		return this.all.filter(job => job.host === host);
@@ -121,7 +124,7 @@
 
 	/**
 	 * @param job - Job.
-	 * @returns Jobs of other hosts at the engines that answer it or help to read it.
+	 * @returns Jobs of other hosts at the same engines, helpers included.
 	 */
 	companions(job: Job): readonly Job[] {
 		return enginesOf(job)
@@ -131,7 +134,7 @@
 
 	/**
 	 * @param upstream - Upstream.
-	 * @returns Requests that it has, those it only helps to read excluded.
+	 * @returns Number of jobs that it answers; jobs that it only helps to prefill are excluded.
 	 */
 	requests(upstream: string): number {
 		let count = 0;
@@ -143,7 +146,7 @@
 	}
 
 	/**
-	 * Takes a job; one that is known or was over already changes nothing, as news may come over two ways.
+	 * Adds a job. Ignores a job that is known or ended recently, since load updates may arrive twice or out of order.
 	 *
 	 * @param job - Job that was sent.
 	 * @param now - Time.
@@ -164,7 +167,7 @@
 	}
 
 	/**
-	 * @param id - Job whose first byte has come.
+	 * @param id - Job whose first byte has arrived.
 	 * @param now - Time.
 	 */
 	progress(id: string, now: number): void {
@@ -183,7 +186,7 @@
 	}
 
 	/**
-	 * @param id - Job that is over.
+	 * @param id - Job that has ended.
 	 * @param now - Time.
 	 */
 	end(id: string, now: number): void {
@@ -192,7 +195,7 @@
 	}
 
 	/**
-	 * Forgets the jobs of a host that has restarted or is gone.
+	 * Removes the jobs of a host that has restarted, failed or left.
 	 *
 	 * @param host - Host.
 	 * @param now - Time.
@@ -204,7 +207,7 @@
 	}
 
 	/**
-	 * Forgets what ran at an upstream that has restarted.
+	 * Removes the jobs that an upstream answered before it restarted.
 	 *
 	 * @param upstream - Upstream.
 	 * @param now - Time.
@@ -218,7 +221,7 @@
 	}
 
 	/**
-	 * Forgets jobs of others that must be over: their host may be cut off or gone.
+	 * Removes jobs that are past their deadline: the host that would report their end may be unreachable or dead.
 	 *
 	 * @param now - Time.
 	 */
@@ -240,10 +243,10 @@
 
 	/**
 	 * @param upstream - Engine.
-	 * @param model - Its figures.
+	 * @param model - Performance model of the engine.
 	 * @param now - Time.
-	 * @param view - Whose view it is.
-	 * @returns What it is expected to do next.
+	 * @param options - Request that the forecast is made for.
+	 * @returns The expected state of the engine.
 	 */
 	forecast(upstream: string, model: EngineModel, now: number, {urgency = usualUrgency, excludedJob}: ForecastOptions = {}): Forecast {
 		const state = this.#engines.get(upstream);
@@ -323,7 +326,7 @@
 	return [job.upstream, ...job.helpers];
 }
 
-/** What is read there now that one reading less is known of: nothing, or what the others need at most. */
+/** Limits the prefill backlog to what the remaining jobs need, after a prefill has ended or was removed. */
 function shortenPrefillBacklog(state: EngineState, now: number): void {
 	let remaining = 0;
 	for (const job of state.jobs.values()) {
--- a/src/core/gateway/losses.ts
+++ b/src/core/gateway/losses.ts
@@ -1,4 +1,4 @@
-/** What callers are expected to lose by a choice of engines, in requests of usual worth. */
+/** Estimates the expected loss of callers for a choice of engines, in requests of usual weight. */
 import {type PrefillTime} from './engine.js';
 import {type Forecast, type Job} from './load.js';
 import {type Policy} from './policy.js';
@@ -6,46 +6,46 @@
 	type Demand, type EngineModel, type GatewayUpstream, type Prompt,
 } from './types.js';
 
-/** Share of a request's worth that is lost if it is served late; 1 if it isn't served. */
+/** Share of a request's weight that is lost if it is served late. A request that is not served loses all of it. */
 export const lateLoss = 0.75;
 
-/** Milliseconds of network and of this host that a caller sees beside the engine. */
+/** Latency that the network and this host add to that of the engine, in milliseconds. */
 export const overheadMs = 12;
 
-/** Milliseconds of prediction error, and its part that grows with the time predicted. */
+/** Prediction error: a constant part in milliseconds, and a part relative to the predicted time. */
 const predictionErrorMs = 15;
 const relativePredictionError = 0.08;
 
-/** Pauses from this length on leave room for the reading of long prompts, in milliseconds. */
+/** Streams that allow pauses of at least this length, in milliseconds, leave room for the prefill of long prompts. */
 const longPauseMs = 400;
 
-/** Chance of a pause from which on a stream is better off elsewhere. */
+/** Added probability of too long a pause above which rerouting a stream is considered. */
 const interferenceThreshold = 0.5;
 
-/** An engine that a request could go to. */
+/** An engine that a request could be sent to. */
 export type Candidate = {
 	readonly upstream: GatewayUpstream;
 	readonly forecast: Forecast;
-	/** Loss that does not depend on how much is read there. */
+	/** Loss that does not depend on the prefill at this engine. */
 	readonly fixedLoss: number;
 };
 
 /**
  * @param model - Engine.
  * @param prompt - Size of a request.
- * @returns What it is worth: a long document is waited for by more people than a question.
+ * @returns Weight of the request, which grows with its prompt: more people wait for a long document than for a question.
  */
 export function weigh(model: EngineModel, prompt: Prompt): number {
 	return 1 + (prompt.tokens / Math.max(model.usualPrompt, 1));
 }
 
-/** Chance that what is expected after `time` comes later than `limit`; both in milliseconds from now. */
+/** Returns the probability that an event expected after `time` comes later than `limit`; both in milliseconds from now. */
 function estimateLateProbability(time: number, limit: number): number {
 	const error = predictionErrorMs + (relativePredictionError * Math.max(time, 0));
 	return 1 / (1 + Math.exp((limit - time) / error));
 }
 
-/** Milliseconds of a pass that reads what is known to be read there. */
+/** Returns the longest expected engine iteration, with the prefill of known jobs, in milliseconds. */
 function estimatePrefillIteration(forecast: Forecast): number {
 	let longest = 0;
 	for (const job of forecast.readers) {
@@ -56,10 +56,10 @@
 }
 
 /**
- * @param option - Engine.
- * @param prefill - What it would read more.
+ * @param candidate - Engine.
+ * @param prefill - Additional prefill there.
  * @param now - Monotonic time in milliseconds.
- * @returns What those who are written or read there lose by it.
+ * @returns Loss of the jobs that the engine already decodes or prefills.
  */
 export function estimateInterference({forecast}: Candidate, prefill: PrefillTime, now: number): number {
 	const current = estimatePrefillIteration(forecast);
@@ -84,27 +84,27 @@
 }
 
 /**
- * @param option - Engine.
- * @param prefill - Reading of a new prompt.
- * @returns Milliseconds until it has been read.
+ * @param candidate - Engine.
+ * @param prefill - Prefill of a new prompt.
+ * @returns Milliseconds until the prefill is done.
  */
 export function estimatePrefillEnd({forecast}: Candidate, prefill: PrefillTime): number {
-	// It joins at the end of the running pass and its first token comes at the end of its own.
+	// The prompt joins after the running iteration, half of which remains on average; its first token comes at the end of its own.
 	return forecast.slotWait + (forecast.pass * 1.5) + forecast.backlog + prefill.total;
 }
 
-/** Chance that a stream pauses for longer than its caller bears. */
+/** Returns the probability that a stream pauses for longer than its latency target allows. */
 function estimatePauseProbability({forecast}: Candidate, {pause}: Demand): number {
 	return pause === undefined ? 0 : estimateLateProbability(estimatePrefillIteration(forecast), pause);
 }
 
 /**
  * @param candidate - Engine that answers.
- * @param firstByte - Milliseconds until its first byte.
+ * @param firstByte - Predicted milliseconds until the first byte.
  * @param demand - Request.
- * @param weight - What it is worth.
+ * @param weight - Weight of the request.
  * @param now - Monotonic time in milliseconds.
- * @returns What the request itself loses: late is late, by its first byte or by a pause.
+ * @returns Loss of the request itself. A late first byte and too long a pause cost the same.
  */
 export function estimateOwnLoss(candidate: Candidate, firstByte: number, demand: Demand, weight: number, now: number): number {
 	const onTime = (1 - estimateLateProbability(firstByte + overheadMs, demand.due - now)) * (1 - estimatePauseProbability(candidate, demand));
@@ -113,10 +113,10 @@
 }
 
 /**
- * @param option - Engine that would write one more.
+ * @param candidate - Engine that would answer.
  * @param demand - Request.
- * @param policy - What counts.
- * @returns What it costs others later: long prompts find one engine fewer at which no stream needs short pauses.
+ * @param policy - Placement policy.
+ * @returns Loss of later requests: long prompts have one engine fewer without streams that need short pauses.
  */
 export function estimateOpeningLoss({forecast}: Candidate, {pause}: Demand, {openingLoss}: Policy): number {
 	const needsShortPauses = pause !== undefined && pause < longPauseMs;
@@ -125,10 +125,10 @@
 }
 
 /**
- * Streams at an engine that are about to pause for longer than their callers bear, as a long prompt will be read there.
+ * Finds the streams at an engine that the prefill of a long prompt would delay for longer than their latency targets allow.
  *
- * @param forecast - What the engine does next.
- * @returns The requests, and what each loses by staying.
+ * @param forecast - Expected state of the engine.
+ * @returns The jobs, and the expected loss of each if it stays.
  */
 export function disturbed(forecast: Forecast): ReadonlyArray<{readonly job: Job; readonly loss: number}> {
 	const iteration = estimatePrefillIteration(forecast);
--- a/src/core/gateway/moves.ts
+++ b/src/core/gateway/moves.ts
@@ -1,42 +1,42 @@
-/** When a request that was sent goes on at another engine. */
+/** Decides when a request that was sent is rerouted to another engine. */
 import {type Job} from './load.js';
 
-/** What moving costs beside: its prompt is read again and its last attempt is used up, in requests of usual worth. */
+/** Cost of rerouting, in requests of usual weight: the prompt is prefilled again and the last attempt is used up. */
 const reroutingLoss = 0.25;
 
-/** Milliseconds after its sending for which a request is looked at again: news of all hosts have come by then. */
+/** Time after its sending, in milliseconds, within which a request may yield: by then the load updates of all hosts have arrived. */
 const yieldWindowMs = 100;
 
-/** Beginnings closer together than this, in milliseconds, can't be ordered by news that tell of them. */
+/** Start times closer together than this, in milliseconds, cannot be ordered reliably across hosts. */
 const clockToleranceMs = 5;
 
-/** Milliseconds of reading in one pass from which on others at the engine are harmed: under it no pause grows too long. */
+/** Prefill within one engine iteration, in milliseconds, that disrupts other jobs at the engine. Shorter ones make no pause too long. */
 export const harmfulReading = 100;
 
 /**
- * @param own - Request at an engine.
- * @param other - Request that has just been sent to an engine of it.
+ * @param own - Job at an engine.
+ * @param other - Job that has just been sent to an engine of the first one.
  * @param now - Time in milliseconds.
- * @returns Whether the host of the first one may move it as soon as it hears of the other one.
+ * @returns Whether the host of the first job may reroute it as soon as it receives the load update of the other one.
  */
 export function mayMove(own: Job, other: Job, now: number): boolean {
 	const isYoung = own.firstByte === undefined && now - own.began <= yieldWindowMs;
 	return other.readPerPass >= harmfulReading || (isYoung && own.readPerPass >= harmfulReading);
 }
 
-/** Which of two requests that met at an engine was there first; alike at both their hosts, also where clocks blur it. */
+/** Returns whether `one` was sent before `other`. Both hosts get the same result, also for nearly equal start times. */
 function isFirst(one: Job, other: Job): boolean {
 	return Math.abs(one.began - other.began) < clockToleranceMs ? one.id < other.id : one.began < other.began;
 }
 
 /**
- * Hosts that have not heard of each other's latest choices may choose the same engine. With 70 hosts one in seven prompts of
- * 60,000 tokens or more met another one so.
+ * Returns whether a job has to yield to one that was sent earlier to the same engine. Hosts that do not know of each other's latest choices
+ * may choose the same engine: with 70 hosts, this affects one in seven prompts of 60,000 tokens or more.
  *
- * @param own - Request that was sent from here.
- * @param other - Request that a peer tells of.
+ * @param own - Job that this host sent.
+ * @param other - Job that a peer sent.
  * @param now - Time in milliseconds.
- * @returns Whether the own one is to look for another place: the other one was first.
+ * @returns Whether this host should look for another placement of its own job.
  */
 export function isToYield(own: Job, other: Job, now: number): boolean {
 	if (own.firstByte !== undefined || now - own.began > yieldWindowMs || !isFirst(other, own)) {
@@ -52,9 +52,9 @@
 }
 
 /**
- * @param stayingLoss - What the request loses where it is, in requests of usual worth.
- * @param reroutedLoss - What it would lose at another engine.
- * @returns Whether it goes there.
+ * @param stayingLoss - Expected loss at the current engine, in requests of usual weight.
+ * @param reroutedLoss - Expected loss at another engine.
+ * @returns Whether the request should be rerouted there.
  */
 export function isWorthMoving(stayingLoss: number, reroutedLoss: number): boolean {
 	return reroutedLoss + reroutingLoss < stayingLoss;
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -1,4 +1,4 @@
-/** Chooses the upstream of a request, and for long prompts the engines that help to read it, by what callers lose. */
+/** Chooses the upstream of a request, and for long prompts the engines that help to prefill it, so that the expected loss is least. */
 import {hashText, mix} from '../utils/hashes.js';
 import {footprint, estimatePrefill, type PrefillTime} from './engine.js';
 import {type Health} from './health.js';
@@ -13,42 +13,45 @@
 } from './types.js';
 import {urgencyOf} from './urgency.js';
 
-/** Chunks of an engine from which on a prompt is worth sharing. */
+/** Shortest prompt, in prefill chunks, for which several engines are considered. */
 const minSharedChunks = 4;
 
-/** What a plain service's upstream costs when all its places are taken, as a share of a request's worth: the least busy is chosen. */
+/** Loss at a plain service's upstream whose slots are all taken; scales with its load, so that the least busy one is chosen. */
 const busyLoss = 0.15;
 
-/** Hashes are below this. */
+/** Exclusive upper bound of hashes. */
 const hashRange = 2 ** 32;
 
-/** What is told to decide. */
+/** State of this host that a placement depends on. */
 export type Surroundings = {
 	readonly policy: Policy;
 	readonly load: Load;
 	readonly health: Health;
 	readonly host: string;
 	readonly failureDomain: string;
-	/** Failure domains that this host does not reach now. */
+	/** Failure domains that this host cannot reach now. */
 	readonly unreachable: ReadonlySet<string>;
 	readonly eligibility: Eligibility;
-	/** Job of this request that is looked at as if it had not been sent. */
+	/** Job of this request to leave out of forecasts, as if it had not been sent. */
 	readonly except?: string;
+	/** Monotonic time in milliseconds. */
 	readonly now: number;
 };
 
-/** Where a request goes. */
+/** Chosen upstream of a request, and its expected cost. */
 export type Place = {
+	/** Upstream that answers. */
 	readonly upstream: GatewayUpstream;
+	/** Other engines that prefill a part of the prompt. */
 	readonly helpers: readonly GatewayUpstream[];
-	/** Tokens to reserve at each of these engines; 0 where one engine holds the whole prompt. */
+	/** Tokens to reserve at each of these engines; 0 if one engine holds the whole prompt. */
 	readonly holdTokens: number;
 	readonly reading: PrefillTime;
-	/** Milliseconds until the first byte, as predicted. */
+	/** Predicted milliseconds until the first byte. */
 	readonly firstByte: number;
-	/** Rank in the queue of the engine, 0 first; undefined for plain services. */
+	/** Rank in the queue of the engine, 0 is first; undefined for plain services. */
 	readonly urgency?: number;
-	/** Expected loss, in requests of usual worth. */
+	/** Expected loss, in requests of usual weight. */
 	readonly loss: number;
 };
 
@@ -66,11 +69,12 @@
 	}));
 }
 
-/** How little a host likes an upstream, 0 to 1: among equals hosts that have not heard of each other's choice differ. */
+/** Offset of an upstream for a host, 0 to 1: hosts that do not know of each other's latest choices rank equal upstreams differently. */
 function hashSpread(host: number, upstream: string): number {
 	return mix(host, hashText(upstream)) / hashRange;
 }
 
+/** Engines that prefill a prompt together; `first` answers the request. */
 type PromptSplit = {
 	readonly first: Candidate;
 	readonly helpers: readonly Candidate[];
@@ -90,7 +94,7 @@
 	loss += estimateOwnLoss(first, firstByte, demand, weigh(model, prompt), now);
 	return {
 		upstream: first.upstream,
-		helpers: helpers.map(option => option.upstream),
+		helpers: helpers.map(candidate => candidate.upstream),
 		holdTokens,
 		reading: prefill,
 		firstByte,
@@ -99,7 +103,7 @@
 	};
 }
 
-/** The cheapest engines to read a part, for those who are there already. */
+/** Sorts engines by the loss that prefilling one part causes there, the least first. */
 function rankCandidates(candidates: readonly Candidate[], prefill: PrefillTime, {now, policy}: Surroundings): readonly Candidate[] {
 	const cost = new Map<Candidate, number>();
 	for (const candidate of candidates) {
@@ -123,7 +127,7 @@
 		const ranked = rankCandidates(candidates, estimatePrefill(model, prompt.tokens, parts), options);
 		const first = ranked.find(candidate => fitting.includes(candidate));
 		if (first !== undefined) {
-			splits.push({first, helpers: ranked.filter(option => option !== first).slice(0, parts - 1), holdTokens: 0});
+			splits.push({first, helpers: ranked.filter(candidate => candidate !== first).slice(0, parts - 1), holdTokens: 0});
 			continue;
 		}
 
@@ -131,7 +135,7 @@
 		const available = ranked.filter(candidate => candidate.forecast.freeMemory >= holdTokens && candidate.forecast.requests < model.slots);
 		const answering = available.find(candidate => canAnswer(candidate));
 		if (available.length >= parts && answering !== undefined) {
-			splits.push({first: answering, helpers: available.filter(option => option !== answering).slice(0, parts - 1), holdTokens});
+			splits.push({first: answering, helpers: available.filter(candidate => candidate !== answering).slice(0, parts - 1), holdTokens});
 		}
 	}
 
@@ -153,7 +157,7 @@
 
 const noPrefill: PrefillTime = {total: 0, perPass: 0};
 
-/** Fewest requests for its size; the first in order of equals, so that hosts do not agree by chance. */
+/** Chooses the upstream with the fewest requests per slot. Takes the first one among equals, so that hosts do not agree by chance. */
 function placeAtService(upstreams: readonly GatewayUpstream[], {eligibility, load, health, failureDomain, policy, now}: Surroundings): Place | undefined {
 	let best: Place | undefined;
 	for (const upstream of upstreams) {
@@ -174,7 +178,7 @@
 	return best;
 }
 
-/** Upstreams to choose from: those that are not left alone; all of them rather than none. */
+/** Returns the upstreams that are neither backed off nor unreachable, or else all that are eligible: a doubtful one is better than none. */
 function findUsable(upstreams: readonly GatewayUpstream[], {eligibility, health, unreachable, now}: Surroundings): readonly GatewayUpstream[] {
 	const eligible = upstreams.filter(each => !each.isDraining && !eligibility.tried.has(each.id));
 	const healthy = eligible.filter(each => !health.isPaused(each.id, now) && !unreachable.has(each.failureDomain));
@@ -184,9 +188,9 @@
 /**
  * @param demand - Request.
  * @param upstreams - Upstreams of its service.
- * @param model - How the service's engines spend their time; undefined for plain services.
- * @param options - What else decides.
- * @returns Where it goes, or undefined if nothing can take it.
+ * @param model - Performance model of the service's engines; undefined for plain services.
+ * @param options - State of this host that the placement depends on.
+ * @returns The placement, or undefined if no upstream can take the request.
  */
 export function place(demand: Demand, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Place | undefined {
 	const usable = findUsable(upstreams, options);
@@ -195,21 +199,22 @@
 		: placeAtService(usable, options);
 }
 
-/** What a request loses where it was sent, and where it could go instead. */
+/** Comparison of the current placement of a request with the best alternative. */
 export type Second = {
+	/** Expected loss at the current placement, in requests of usual weight. */
 	readonly staying: number;
 	readonly best: Place | undefined;
 };
 
 /**
- * Looks again at where a request was sent a moment ago: hosts that had not heard of each other may have chosen the same engine.
+ * Reevaluates a recent placement: hosts that did not know of each other's choices may have chosen the same engine.
  *
  * @param demand - Request.
- * @param current - Where it went.
+ * @param current - Current placement.
  * @param upstreams - Upstreams of its service.
- * @param model - How the service's engines spend their time.
- * @param options - What else decides; its own job is the exception there.
- * @returns Both losses, in requests of usual worth; undefined for plain services.
+ * @param model - Performance model of the service's engines; undefined for plain services.
+ * @param options - State of this host; the job of the request is excluded there.
+ * @returns The current loss and the best placement; undefined for plain services.
  */
 export function reconsider(demand: Demand, current: Place, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Second | undefined {
 	const {prompt} = demand;
--- a/src/core/gateway/policy.ts
+++ b/src/core/gateway/policy.ts
@@ -1,27 +1,27 @@
-/** What decides where requests go and which are refused, as one value: an experiment plays it without one mechanism or another. */
+/** Parameters of placement, refusal and rerouting. Simulations disable single mechanisms to show their effect. */
 
-/** Losses are shares of a usual request's worth unless said otherwise. */
+/** Losses are in requests of usual weight unless stated otherwise. */
 export type Policy = {
-	/** Most engines that share a prompt. */
+	/** Maximum number of engines that share a prompt. */
 	readonly maxParts: number;
-	/** Lost by whoever finds an idle engine no more. */
+	/** Loss when a stream that needs short pauses is sent to an engine that serves none yet: long prompts then have one engine fewer. */
 	readonly openingLoss: number;
-	/** What an upstream in another failure domain costs: the link may be cut. */
+	/** Loss at an upstream in another failure domain: the link may be cut. */
 	readonly distanceLoss: number;
 	/**
-	 * Most that an upstream costs one host more than another: hosts that have not heard of each other's latest choices would all
-	 * take the same idle engine. More than this wins less from it than it loses by worse choices under load.
+	 * Largest difference in the loss at an upstream between two hosts. Without it, hosts that do not know of each other's latest choices
+	 * would all choose the same idle engine. A larger value costs more by worse choices under load than it gains.
 	 */
 	readonly spreadingLoss: number;
-	/** What a millisecond of waiting counts among engines that disturb nobody: enough to prefer the one that is free first. */
+	/** Loss per millisecond of waiting, to prefer the engine that is free first among those where no other job is delayed. */
 	readonly waitLossPerMs: number;
-	/** Whether requests that cost others more than they are worth are refused. */
+	/** Whether requests whose expected loss exceeds their weight are refused. */
 	readonly isRefusalEnabled: boolean;
-	/** Whether the later of two requests that met at an engine goes elsewhere. */
+	/** Whether the later of two requests at the same engine is rerouted. */
 	readonly yields: boolean;
 };
 
-/** What hosts follow. */
+/** Policy of the hosts. */
 export const usualPolicy: Policy = {
 	maxParts: 16,
 	openingLoss: 0.08,
@@ -32,7 +32,7 @@
 	yields: true,
 };
 
-/** How the policy is without one mechanism. */
+/** Changes to the policy that disable one mechanism. */
 const ablations = {
 	sharing: {maxParts: 1},
 	opening: {openingLoss: 0},
@@ -45,12 +45,12 @@
 
 export type Mechanism = keyof typeof ablations;
 
-/** Mechanisms that a policy can be played without. */
+/** Names of the mechanisms that can be disabled. */
 export const mechanisms: readonly string[] = Object.keys(ablations);
 
 /**
- * @param name - Text.
- * @returns Whether it names a mechanism.
+ * @param name - Possible name of a mechanism.
+ * @returns Whether there is such a mechanism.
  */
 export function isMechanism(name: string): name is Mechanism {
 	return Object.hasOwn(ablations, name);
@@ -58,8 +58,8 @@
 
 /**
  * @param policy - Policy.
- * @param without - Mechanisms that it is to lack.
- * @returns The policy without them.
+ * @param without - Mechanisms to disable.
+ * @returns The policy with these mechanisms disabled.
  */
 export function policyWithout(policy: Policy, without: readonly Mechanism[]): Policy {
 	let ablated = policy;
--- a/src/core/gateway/queue.ts
+++ b/src/core/gateway/queue.ts
@@ -1,31 +1,31 @@
 /**
- * When an engine whose places are taken has one for another request. Answers bursts of short prompts, which fill the batches of
- * all engines before they fill their time: whoever is sent where a place comes free first hardly waits.
+ * Estimates when an engine whose slots are all taken has one for another request. Bursts of short prompts fill the batches of all engines
+ * before they use up their time; a request that is sent to the engine with the first free slot hardly waits.
  */
 import {type EngineModel} from './types.js';
 
-/** Share of the usual length for which an answer that has reached it goes on. */
+/** Remaining time of an answer that has exceeded the usual duration, as a share of that duration. */
 const overtimeShare = 0.3;
 
-/** A request at an engine that holds a place or waits for one. Times in milliseconds. */
+/** A request at an engine that takes a slot or waits for one. Times are in milliseconds. */
 export type Occupant = {
-	/** Since its first event; undefined while its prompt is read. */
+	/** Time since its first event; undefined until then. */
 	readonly decodeTime?: number;
-	/** Rank in the engine's queue, 0 first. */
+	/** Rank in the engine's queue; 0 is first. */
 	readonly urgency: number;
 };
 
-/** Milliseconds until an answer is expected to be whole that has been written for so long. */
+/** Returns the expected milliseconds until an answer is complete. */
 function estimateRemainingTime(decodeTime: number, usualDuration: number): number {
 	return Math.max(usualDuration - decodeTime, usualDuration * overtimeShare);
 }
 
 /**
  * @param model - Engine.
- * @param occupants - Requests that it answers, those that still wait for a place included.
- * @param iteration - Milliseconds of one of its passes now.
- * @param urgency - Rank of another request.
- * @returns Milliseconds until a place is free for that one; 0 if one is free now.
+ * @param occupants - Requests that it answers, including those that wait for a slot.
+ * @param iteration - Current duration of an engine iteration in milliseconds.
+ * @param urgency - Rank of the new request.
+ * @returns Milliseconds until a slot is free for the new request; 0 if one is free now.
  */
 export function estimateSlotWait(model: EngineModel, occupants: readonly Occupant[], iteration: number, urgency: number): number {
 	if (occupants.length < model.slots) {
@@ -40,7 +40,7 @@
 		return usualDuration;
 	}
 
-	// Each answer that ends makes room for one of those ahead, whose own answers end a usual time later.
+	// Each answer that ends frees a slot for one request ahead, whose own answer ends a usual duration later.
 	const overtaken = occupants.filter(each => each.decodeTime === undefined && each.urgency > urgency);
 	const ahead = Math.max(occupants.length - overtaken.length - model.slots, 0);
 	const rounds = Math.floor(ahead / remainingTimes.length);
--- a/src/core/gateway/reach.ts
+++ b/src/core/gateway/reach.ts
@@ -1,23 +1,23 @@
-/** Which failure domains are out of reach, from attempts at their upstreams. */
+/** Tracks the reachability of other failure domains from the attempts at their upstreams. */
 
-/** Upstreams of one domain that must fail without a success between before the link is blamed, not them. */
+/** Failed upstreams of one domain, without a success in between, after which the link is considered cut. */
 const failedUpstreamThreshold = 2;
 
 /**
- * Milliseconds for which failures speak against a domain. Where connections are reset at a cut each attempt fails within
- * 5 ms, and a request has two: without this both went across the cut for half of all prompts of a cut-off domain.
+ * Time in milliseconds for which failures count against a domain. If connections are reset at a cut link, each attempt fails within 5 ms,
+ * and a request has two: without this memory, half of all prompts in a cut-off domain lose both attempts across the cut.
  */
 const failureWindowMs = 1000;
 
-/** What is seen of the links to failure domains. */
+/** Reachability of other failure domains. */
 export class Reach {
 	/** Times of failures, by domain and upstream. */
 	readonly #failures = new Map<string, Map<string, number>>();
-	/** Last signs of life, by domain. */
+	/** Times of the last successes, by domain. */
 	readonly #lastSuccess = new Map<string, number>();
 
 	/**
-	 * @param domain - Failure domain an upstream of which gave a sign of life.
+	 * @param domain - Failure domain with an upstream that responded.
 	 * @param now - Time in milliseconds.
 	 */
 	heard(domain: string, now: number): void {
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * @param domain - Failure domain whose hosts are silent.
+	 * @param domain - Failure domain whose hosts are unresponsive.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether its upstreams answer all the same: then its hosts are gone, and not the link.
+	 * @returns Whether an upstream there responded recently, which means that the hosts have failed and not the link.
 	 */
 	isAlive(domain: string, now: number): boolean {
 		return now - (this.#lastSuccess.get(domain) ?? Number.NEGATIVE_INFINITY) < failureWindowMs;
@@ -36,7 +36,7 @@
 
 	/**
 	 * @param domain - Failure domain.
-	 * @param upstream - Upstream whose connection broke, could not be made or fell silent.
+	 * @param upstream - Upstream whose connection broke, could not be made or timed out.
 	 * @param now - Time in milliseconds.
 	 */
 	missed(domain: string, upstream: string, now: number): void {
@@ -47,7 +47,7 @@
 
 	/**
 	 * @param now - Time in milliseconds.
-	 * @returns Domains to leave alone for now.
+	 * @returns Failure domains that are considered unreachable.
 	 */
 	cutOff(now: number): ReadonlySet<string> {
 		const unreachable = new Set<string>();
--- a/src/core/gateway/registry.ts
+++ b/src/core/gateway/registry.ts
@@ -1,26 +1,25 @@
-/** The upstreams that are registered at the platform, as of one revision of its store. */
+/** Replica of the platform's registry of upstreams, as of one revision of its store. */
 import {type GatewayUpstream} from './types.js';
 
-/** An upstream that was written or removed at a revision of the store. */
+/** Write or removal of an upstream at a revision of the store. */
 export type RegistryChange
 	= | {readonly type: 'removed'; readonly id: string; readonly revision: number}
 		| {readonly type: 'written'; readonly upstream: GatewayUpstream; readonly revision: number};
 
-/** All that was registered as of a revision. */
+/** All registered upstreams as of a revision. */
 export type RegistrySnapshot = {
 	readonly upstreams: readonly GatewayUpstream[];
 	readonly revision: number;
-	/** Revision of the last change, or a later one that is not after `revision`. */
+	/** Revision of the last change, or a later one up to `revision`. */
 	readonly changed: number;
 };
 
-/** What a snapshot changes. */
+/** What a snapshot changed. */
 export type RegistryDifference = {
 	readonly written: readonly GatewayUpstream[];
 	readonly removed: readonly string[];
 };
 
-/** What changes nothing. */
 export const noDifference: RegistryDifference = {written: [], removed: []};
 
 function isEqual(a: GatewayUpstream | undefined, b: GatewayUpstream): boolean {
@@ -34,15 +33,15 @@
 }
 
 /**
- * A replica that only moves forward: what is not newer than its revision changes nothing, whoever tells it and whenever that was
- * confirmed.
+ * Replica that only moves forward: changes and snapshots of peers that are not newer than its revision are ignored, whichever host sent
+ * them and whenever they were confirmed.
  */
 export class Registry {
 	readonly #upstreams = new Map<string, GatewayUpstream>();
 	#revision = 0;
 	#changed = 0;
 
-	/** Revision up to which each change is known; 0 before anything is. */
+	/** Revision up to which every change is known; 0 initially. */
 	get revision(): number {
 		return this.#revision;
 	}
@@ -57,8 +56,8 @@
 	}
 
 	/**
-	 * @param revision - Revision that another host's registry has.
-	 * @returns Whether that registry holds the same upstreams, as far as this one knows.
+	 * @param revision - Revision of another host's registry.
+	 * @returns Whether that registry includes the last change known here.
 	 */
 	isCurrent(revision: number): boolean {
 		return revision >= this.#changed;
@@ -66,7 +65,7 @@
 
 	/**
 	 * @param change - Next change in the history of the store.
-	 * @returns Whether it changes anything.
+	 * @returns Whether it changed anything.
 	 */
 	apply(change: RegistryChange): boolean {
 		if (change.revision <= this.#revision || !this.#write(change)) {
@@ -78,23 +77,23 @@
 	}
 
 	/**
-	 * @param revision - Revision up to which each change was applied.
+	 * @param revision - Revision up to which every change was applied.
 	 */
 	advance(revision: number): void {
 		this.#revision = Math.max(this.#revision, revision);
 	}
 
 	/**
-	 * @param snapshot - What a peer has.
-	 * @returns What it changes here: nothing if it is not newer.
+	 * @param snapshot - Snapshot of a peer. Ignored if it is not newer.
+	 * @returns What it changed here.
 	 */
 	merge(snapshot: RegistrySnapshot): RegistryDifference {
 		return snapshot.revision > this.#revision ? this.reset(snapshot) : noDifference;
 	}
 
 	/**
-	 * @param snapshot - What the store holds, which counts whatever was known.
-	 * @returns What it changes here.
+	 * @param snapshot - Content of the store. Replaces the replica even if its revision is older.
+	 * @returns What it changed here.
 	 */
 	reset({upstreams, revision, changed}: RegistrySnapshot): RegistryDifference {
 		const ids = new Set(upstreams.map(upstream => upstream.id));
--- a/src/core/gateway/retries.ts
+++ b/src/core/gateway/retries.ts
@@ -1,35 +1,38 @@
-/** Which attempts may be followed by another, within a budget that all hosts share. */
+/** Decides which attempts may be retried, within a budget that all hosts share. */
 import {assertNever} from '../utils/common.js';
 import {type Placing} from './load.js';
 import {type RouteKind} from './types.js';
 
-/** Why an attempt is given up: an engine that is silent or about to pause, or memory that is about to go, is left for another one. */
+/**
+ * Why a host cancels an attempt: the caller has left, its time is over, the memory of its hold is lost, it is rerouted (`moved`), or the
+ * engine is unresponsive (`silent`).
+ */
 export type CancelReason = 'caller left' | 'memory lost' | 'moved' | 'silent' | 'time over';
 
-/** What is provably true of an attempt that is over. */
+/** What is known for certain about an attempt that has ended. */
 export type AttemptEnding
-	/** The upstream answered; its answer was passed on whole. */
+	/** The upstream answered, and its complete answer was forwarded. */
 	= | {readonly type: 'answered'; readonly status: number}
-	/** Provably not run; `isShed` if the upstream refused it for load. */
+	/** The upstream certainly did not run it; `isShed` if it refused because of its load. */
 		| {readonly type: 'not-run'; readonly reason: string; readonly isShed: boolean}
-	/** The upstream ran it and answered with an error that another upstream may not have. */
+	/** The upstream ran it and answered with an error that another upstream may not return. */
 		| {readonly type: 'failed'; readonly status: number}
-	/** It was sent and no whole answer came. */
+	/** It was sent, but no complete answer arrived. */
 		| {readonly type: 'unknown'; readonly reason: string}
-	/** Given up by this host. */
+	/** This host cancelled it. */
 		| {readonly type: 'cancelled'; readonly reason: CancelReason};
 
-/** Bounds of retries over all hosts. */
+/** Limits on the retries of all hosts together. */
 export type RetryLimits = {
-	/** Retries as a share of a service's requests within the window. */
+	/** Retries as a share of the requests to a service within the window. */
 	readonly ratio: number;
 	/** Window in milliseconds. */
 	readonly window: number;
-	/** Retries beside the share within a window. */
+	/** Additional retries within the window. */
 	readonly allowance: number;
 };
 
-/** Part of the bounds that is used: hosts know each other's number only roughly, and windows slide. */
+/** Share of the limits that is used: hosts know the fleet size only roughly, and windows slide. */
 const usedShare = 0.7;
 
 type AttemptTimes = {
@@ -47,32 +50,32 @@
 	times.splice(0, count);
 }
 
-/** Hosts among which the allowance is shared out. */
+/** Hosts that share the allowance. */
 export type BudgetShare = {
 	/** Hosts of the fleet, this one included. */
 	readonly hosts: number;
-	/** Those of them whose sendings are counted here, this one included. */
+	/** Hosts whose requests are counted here, this one included. */
 	readonly counted: number;
 };
 
 /**
- * Retries that this host may still make, by service. In a large fleet the hosts of a failure domain count each other's sendings and share
- * one part. Answers faults that meet a few of hundreds of hosts: the part of one host is a retry or two, while those of its neighbours go
- * unused. A failure domain or a host that is cut off keeps to the part of those that it hears of.
+ * Retry budget of this host, by service. In a large fleet the hosts of a failure domain count each other's requests and share one part of
+ * the allowance: the part of a single host is a retry or two, which is too little for a fault that affects only a few hosts. A failure
+ * domain or host that is cut off uses only the part of the hosts that it receives updates from.
  */
 export class RetryBudget {
 	readonly #limits: RetryLimits;
 	readonly #times = new Map<string, AttemptTimes>();
 
 	/**
-	 * @param limits - Bounds over all hosts.
+	 * @param limits - Limits on all hosts together.
 	 */
 	constructor(limits: RetryLimits) {
 		this.#limits = limits;
 	}
 
 	/**
-	 * @param service - Service that a caller's request goes to.
+	 * @param service - Service that a request is sent to for the first time.
 	 * @param now - Time in milliseconds.
 	 */
 	countRequest(service: string, now: number): void {
@@ -80,7 +83,7 @@
 	}
 
 	/**
-	 * @param service - Service that a request is sent to once more.
+	 * @param service - Service that a request is sent to again.
 	 * @param now - Time in milliseconds.
 	 */
 	countRetry(service: string, now: number): void {
@@ -88,8 +91,10 @@
 	}
 
 	/**
-	 * @param service - Service that another host of this failure domain has sent a request to.
-	 * @param kind - Which placing of it that was.
+	 * Counts a request that another host of this failure domain has sent.
+	 *
+	 * @param service - Service that it was sent to.
+	 * @param kind - Kind of its placement.
 	 * @param now - Time in milliseconds.
 	 */
 	hear(service: string, kind: Placing, now: number): void {
@@ -116,9 +121,9 @@
 
 	/**
 	 * @param service - Service.
-	 * @param sharers - Hosts that share the allowance.
+	 * @param share - Hosts that share the allowance.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether this host may send one more request again.
+	 * @returns Whether this host may make one more retry.
 	 */
 	allows(service: string, {hosts, counted}: BudgetShare, now: number): boolean {
 		const {requests, retries} = this.#recentTimes(service, now);
@@ -136,10 +141,10 @@
 }
 
 /**
- * @param kind - What the request's route allows.
- * @param isResumable - Whether a stream may go on at another engine.
+ * @param kind - Kind of the route.
+ * @param isResumable - Whether another engine may resume a stream.
  * @param ending - How the attempt ended.
- * @returns Whether another attempt can do no harm.
+ * @returns Whether another attempt is safe.
  */
 export function isRepeatable(kind: RouteKind, isResumable: boolean, ending: AttemptEnding): boolean {
 	switch (ending.type) {
--- a/src/core/gateway/suspects.ts
+++ b/src/core/gateway/suspects.ts
@@ -1,25 +1,26 @@
 /**
- * Requests that crash the engines which run them, recognised when they come again. A crash is told once and cleared once, by its
- * id, so that hosts which pass on what is news to them end, in whatever order news of the two arrive.
+ * Detects poison requests, which crash the engines that run them. A suspicion is one crash that is attributed to a request; enough of
+ * them convict it, so that it is refused; an acquittal clears them. Hosts forward only changes to their peers, and each crash is recorded
+ * once and cleared once by its id, so forwarding ends in whatever order the messages arrive.
  */
 
-/** Distinct crashes after which a request is refused: two may be chance where engines fail in groups. */
+/** Distinct crashes after which a request is refused: two may be a coincidence if engines fail in groups. */
 const convictionThreshold = 3;
 
-/** Milliseconds that a crash is held against a request. */
+/** Time in milliseconds for which a crash counts against a request. */
 const crashRetentionMs = 60_000;
 
-/** Fingerprints remembered. */
+/** Maximum number of fingerprints in memory. */
 const maxSuspects = 2000;
 
-/** An engine that broke down while a request ran there. */
+/** Crash of an engine while it ran a request. */
 export type Crash = {
-	/** Equal for a request that is sent again. */
+	/** Same for every repetition of a request. */
 	readonly fingerprint: string;
-	/** Equal for all who tell of the same crash. */
+	/** Same at all hosts that report the crash. */
 	readonly id: string;
 	readonly upstream: string;
-	/** Start of the upstream's process, where it tells. */
+	/** Start of the upstream's process, if the upstream reports it. */
 	readonly started?: number;
 };
 
@@ -29,19 +30,19 @@
 	isCleared: boolean;
 };
 
-/** Crashes by request, own and told by peers. */
+/** Crashes by request, observed here or reported by peers. */
 export class Suspects {
 	readonly #records = new Map<string, Map<string, CrashRecord>>();
 
-	/** Requests remembered. */
+	/** Number of fingerprints in memory. */
 	get size(): number {
 		return this.#records.size;
 	}
 
 	/**
-	 * @param crash - Crash seen here or by a peer.
+	 * @param crash - Crash that this host or a peer observed.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it was new.
+	 * @returns Whether it is new here.
 	 */
 	record(crash: Crash, now: number): boolean {
 		const known = this.#recentCrashes(crash.fingerprint, now);
@@ -54,20 +55,20 @@
 	}
 
 	/**
-	 * A request that was answered does not crash engines: what broke its connections was something else. Many callers may ask for
-	 * the same, so that three lost answers within a minute would refuse all of them.
+	 * Clears all crashes of a request that was answered: something else broke its connections. Many callers may send the same request,
+	 * and without this three lost answers within a minute would refuse all of them.
 	 *
-	 * @param fingerprint - Request.
-	 * @returns Crashes that were held against it until now.
+	 * @param fingerprint - Fingerprint of the request.
+	 * @returns Crashes that were cleared.
 	 */
 	acquit(fingerprint: string): readonly Crash[] {
 		return this.review(fingerprint, () => true);
 	}
 
 	/**
-	 * @param crashes - Crashes that a peer has cleared; those not heard of yet need not be held against the request later.
+	 * @param crashes - Crashes that a peer has cleared. Unknown ones are recorded as cleared, in case their report arrives later.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether any of them was not cleared here.
+	 * @returns Whether any of them was not yet cleared here.
 	 */
 	clear(crashes: readonly Crash[], now: number): boolean {
 		let hasChanged = false;
@@ -82,9 +83,11 @@
 	}
 
 	/**
-	 * @param fingerprint - Request.
-	 * @param hasSurvived - Whether an upstream that is said to have crashed at a time runs on as it did.
-	 * @returns Crashes that were none after all.
+	 * Clears crashes that did not happen.
+	 *
+	 * @param fingerprint - Fingerprint of the request.
+	 * @param hasSurvived - Returns whether the upstream of a crash is still the same process, given the time of its record.
+	 * @returns Crashes that were cleared.
 	 */
 	review(fingerprint: string, hasSurvived: (crash: Crash, at: number) => boolean): readonly Crash[] {
 		const cleared: Crash[] = [];
@@ -99,9 +102,9 @@
 	}
 
 	/**
-	 * @param fingerprint - Request.
+	 * @param fingerprint - Fingerprint of the request.
 	 * @param now - Time in milliseconds.
-	 * @returns Crashes that are held against it.
+	 * @returns Number of crashes that count against it.
 	 */
 	crashes(fingerprint: string, now: number): number {
 		let count = 0;
@@ -113,15 +116,15 @@
 	}
 
 	/**
-	 * @param fingerprint - Request.
+	 * @param fingerprint - Fingerprint of the request.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it must not run again.
+	 * @returns Whether the request must not run again.
 	 */
 	isConvicted(fingerprint: string, now: number): boolean {
 		return this.crashes(fingerprint, now) >= convictionThreshold;
 	}
 
-	/** What is remembered of a request, the most lately suspected last; what is too old to count is dropped. */
+	/** Returns the crashes of a request without expired ones, and makes the request the most recent one. Evicts the oldest if there are too many. */
 	#recentCrashes(fingerprint: string, now: number): Map<string, CrashRecord> {
 		const known = this.#records.get(fingerprint) ?? new Map<string, CrashRecord>();
 		for (const [id, {at}] of known) {
--- a/src/core/gateway/tries.ts
+++ b/src/core/gateway/tries.ts
@@ -1,36 +1,37 @@
-/** The attempts of one request: where it went, and whether it may go on elsewhere. */
+/** Tracks the attempts of one request: which upstreams it was sent to, and whether another attempt may follow. */
 import {type Placing} from './load.js';
 import {isRepeatable, type AttemptEnding} from './retries.js';
 import {type Route} from './types.js';
 
-/** Refusals of holds after which no other engines are tried. */
+/** Refused holds after which the request is given up. */
 const maxRefusedHolds = 3;
 
-/** Refusals for an engine that was to help after which no others are tried. */
+/** Attempts without a required helper after which the request is given up. */
 const maxMissingHelpers = 4;
 
 /**
- * Upstreams without a connection after which no others are tried. Two in each of several failure domains fail within
- * milliseconds where links are reset, while those of the own domain would answer.
+ * Upstreams without a connection after which the request is given up. Must allow for two in each of several failure domains: they fail
+ * within milliseconds if links are reset, while upstreams in the own domain would answer.
  */
 const maxUnreachedUpstreams = 8;
 
 type RetryRules = Pick<Route, 'attempts' | 'isResumable' | 'kind'>;
 
-/** Upstreams that a request may go to next. */
+/** Upstreams that a request may be sent to next. */
 export type Eligibility = {
-	/** Upstreams that it went to, or that refused it memory or help: neither asked again nor asked to help. */
+	/** Upstreams that received the request, or that refused it memory or help. They neither answer nor help. */
 	readonly tried: ReadonlySet<string>;
-	/** One of these must answer, where the route allows no further upstream. */
+	/** If set, one of these must answer, as the route allows no further upstream. */
 	readonly permitted?: ReadonlySet<string>;
 };
 
+/** Attempts of one request. */
 export class Tries {
 	readonly #rules: RetryRules;
 	readonly #excluded = new Set<string>();
-	/** Upstreams that were sent the request. */
+	/** Upstreams that the request was sent to. */
 	readonly #contacted = new Set<string>();
-	/** Those of them that would have taken it, had an engine helped them: asked again they are no further upstream. */
+	/** Upstreams that only lacked a helper. Sending the request to them again does not count against the limit of the route. */
 	readonly #askableAgain = new Set<string>();
 	#sent = 0;
 	#refusedHolds = 0;
@@ -38,23 +39,23 @@
 	#unreached = 0;
 
 	/**
-	 * @param rules - What the request's route allows.
+	 * @param rules - Retry rules of the route.
 	 */
 	constructor(rules: RetryRules) {
 		this.#rules = rules;
 	}
 
-	/** Upstreams that the request may go to next. */
+	/** Upstreams that the request may be sent to next. */
 	get eligibility(): Eligibility {
 		return {tried: this.#excluded, permitted: this.#hasUpstreamsLeft ? undefined : this.#askableAgain};
 	}
 
-	/** Times that it was sent. */
+	/** Number of times that the request was sent. */
 	get sent(): number {
 		return this.#sent;
 	}
 
-	/** Which placing of the request comes next. */
+	/** Kind of the next placement. */
 	get placing(): Placing {
 		if (this.#sent > 0) {
 			return 'retry';
@@ -63,7 +64,7 @@
 		return this.#unreached > 0 ? 'unreached before' : 'first';
 	}
 
-	/** Whether an engine that is silent could be left for another one. */
+	/** Whether the request may move from an unresponsive engine to another one. */
 	get mayLeave(): boolean {
 		return this.#hasUpstreamsLeft && this.#isRepeatable({type: 'unknown', reason: 'silent'});
 	}
@@ -79,7 +80,9 @@
 	}
 
 	/**
-	 * @param upstream - Upstream to which no connection was made: nothing was sent after all.
+	 * Takes back the last attempt.
+	 *
+	 * @param upstream - Upstream that could not be connected to, so that nothing was sent.
 	 */
 	noteUnreached(upstream: string): void {
 		this.#sent--;
@@ -89,7 +92,7 @@
 
 	/**
 	 * @param upstream - Engine that did not run the request.
-	 * @param helper - Engine that was to help it and did not.
+	 * @param helper - Engine that should have helped and did not.
 	 */
 	noteMissedHelper(upstream: string, helper: string): void {
 		this.#missingHelpers++;
@@ -99,7 +102,7 @@
 	}
 
 	/**
-	 * @param engines - Engines that refused memory.
+	 * @param engines - Engines that refused to reserve memory.
 	 */
 	noteRefusedHold(engines: readonly string[]): void {
 		this.#refusedHolds++;
@@ -110,10 +113,10 @@
 
 	/**
 	 * @param ending - How the last attempt ended.
-	 * @returns Whether another one may follow, as far as this request goes.
+	 * @returns Whether the request may be retried, apart from the retry budget.
 	 */
 	mayFollow(ending: AttemptEnding): boolean {
-		// What this host gave up itself may have run all the same.
+		// An attempt that this host cancelled may have run anyway.
 		const known: AttemptEnding = ending.type === 'cancelled' ? {type: 'unknown', reason: ending.reason} : ending;
 		return this.#isRepeatable(known)
 			&& (this.#hasUpstreamsLeft || this.#askableAgain.size > 0)
--- a/src/core/gateway/types.ts
+++ b/src/core/gateway/types.ts
@@ -1,10 +1,10 @@
-/** What the gateway serves: routes, services, organisations, upstreams and requests. Times are in milliseconds. */
+/** Configuration and request types of the gateway: routes, services, organisations, upstreams and requests. Times are in milliseconds. */
 import {type Address} from '../types/configuration.js';
 
-/** What may be repeated: `idempotent` always, `streaming` where the stream can be resumed, `non-idempotent` never. */
+/** Whether requests may be retried: `idempotent` always, `streaming` if the stream can be resumed, `non-idempotent` never. */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'streaming';
 
-/** A service that a route leads to and its share of the route's requests. */
+/** A service that a route sends requests to, and its share of them. */
 export type RouteTarget = {
 	readonly service: string;
 	readonly weight: number;
@@ -13,48 +13,49 @@
 export type Route = {
 	readonly name: string;
 	readonly authority: string;
-	/** Begins and ends with a slash. */
+	/** Path prefix. Begins and ends with a slash. */
 	readonly prefix: string;
 	readonly kind: RouteKind;
-	/** Longest time that a caller is kept waiting. */
+	/** Time after which a request is given up. */
 	readonly timeout: number;
-	/** Time to the first byte of the answer within which it is worth most. */
+	/** Latency target: time to the first byte of the answer. A later answer loses most of its value. */
 	readonly objective: number;
-	/** Longest pause between events within which a stream is worth most. */
+	/** Longest pause between events of a stream that meets the latency target. */
 	readonly pause?: number;
-	/** Lower goes first. */
+	/** Lower values are served first. */
 	readonly priority: number;
 	readonly targets: readonly RouteTarget[];
-	/** Upstreams that one request may be sent to. */
+	/** Maximum number of upstreams that one request is sent to. */
 	readonly attempts: number;
-	/** Needs no key. */
+	/** Whether requests need no API key. */
 	readonly isPublic: boolean;
-	/** A stream may go on at another engine after its last whole event. */
+	/** Whether another engine may resume a stream after its last complete event. */
 	readonly isResumable: boolean;
 };
 
-/** How an engine spends its time; see docs/design/engine-model.md. */
+/** Performance model of an engine; see docs/design/engine-model.md. */
 export type EngineModel = {
-	/** Requests in one batch. */
+	/** Maximum number of requests in the batch. */
 	readonly slots: number;
-	/** Tokens of KV memory. */
+	/** KV memory in tokens. */
 	readonly memory: number;
-	/** Steps of one pass that includes requests being written. */
+	/** Steps per engine iteration while the batch includes decoding requests. */
 	readonly stride: number;
-	/** Milliseconds of a step, and what each request being written adds. */
+	/** Base duration of a step in milliseconds. */
 	readonly step: number;
+	/** Milliseconds that each decoding request adds to a step. */
 	readonly perRequest: number;
-	/** Milliseconds that each 1,000 tokens of a written request's context add to a step. */
+	/** Milliseconds that each 1,000 context tokens of a decoding request add to a step. */
 	readonly perThousand: number;
-	/** Prompt tokens read in a millisecond. */
+	/** Prompt tokens prefilled per millisecond. */
 	readonly readRate: number;
-	/** Milliseconds for a million pairs of a prompt token and an earlier one. */
+	/** Attention cost: milliseconds per million pairs of a prompt token and an earlier one. */
 	readonly pairs: number;
-	/** Prompt tokens read in one step. */
+	/** Prompt tokens prefilled in one step. */
 	readonly chunk: number;
-	/** Milliseconds a step takes longer when the prompt lies at several engines. */
+	/** Milliseconds added to a step when several engines hold parts of the prompt. */
 	readonly hop: number;
-	/** Mean tokens of prompts and answers. */
+	/** Mean lengths of prompts and answers in tokens. */
 	readonly usualPrompt: number;
 	readonly usualAnswer: number;
 };
@@ -62,20 +63,20 @@
 export type GatewayService = {
 	readonly name: string;
 	readonly healthPath: string;
-	/** Connections that one upstream accepts from all hosts. */
+	/** Connections that one upstream accepts from all hosts together. */
 	readonly connections: number;
-	/** Present for services of model engines. */
+	/** Set for services of model engines, undefined for plain services. */
 	readonly engine?: EngineModel;
 };
 
 export type GatewayOrganisation = {
 	readonly name: string;
 	readonly keys: readonly string[];
-	/** Goes before the priority of the route. */
+	/** Overrides the priority of the route. */
 	readonly priority?: number;
 };
 
-/** Bounds on what a caller may send. */
+/** Limits on what a caller may send. */
 export type CallerLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
@@ -88,11 +89,11 @@
 	readonly routes: readonly Route[];
 	readonly services: readonly GatewayService[];
 	readonly limits: CallerLimits;
-	/** Undefined where callers need no keys at all. */
+	/** Undefined if callers need no API keys. */
 	readonly organisations?: readonly GatewayOrganisation[];
 };
 
-/** A running upstream as it is registered. */
+/** A registered upstream. */
 export type GatewayUpstream = {
 	readonly id: string;
 	readonly service: string;
@@ -100,29 +101,30 @@
 	readonly failureDomain: string;
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** Milliseconds since 1970 of its start, where it tells. */
+	/** Start of its process in milliseconds since 1970, if the upstream reports it. */
 	readonly started?: number;
 };
 
 /** Size of a model request. */
 export type Prompt = {
 	readonly tokens: number;
-	/** Most tokens of the answer. */
+	/** Maximum length of the answer in tokens. */
 	readonly answer: number;
 };
 
-/** What a request asks of an upstream, as far as decisions need it. */
+/** Properties of a request that placement and retries depend on. */
 export type Demand = {
 	readonly id: string;
 	readonly service: string;
 	readonly kind: RouteKind;
 	readonly priority: number;
-	/** Monotonic time. */
+	/** Time of arrival; monotonic. */
 	readonly arrived: number;
-	/** When the next event is due, which is the first unless the answer has begun, and when the request is over; monotonic. */
+	/** When the next event is due (the first one unless the answer has begun); monotonic. */
 	readonly due: number;
+	/** When the request times out; monotonic. */
 	readonly deadline: number;
-	/** Whether the caller has a part of the answer. */
+	/** Whether the caller has received part of the answer. */
 	readonly isBegun?: boolean;
 	readonly pause?: number;
 	readonly prompt?: Prompt;
--- a/src/core/gateway/urgency.ts
+++ b/src/core/gateway/urgency.ts
@@ -1,27 +1,29 @@
-/** In which order an engine whose places are taken takes those who wait. */
+/** Ranks of requests in the queue of an engine whose slots are all taken. */
 import {type Prompt} from './types.js';
 
-/** Tokens up to which prompts go first, and from which on they go last. */
+/** Longest prompt, in tokens, that is ranked as urgent. */
 const maxUrgentTokens = 16_000;
+
+/** Shortest prompt, in tokens, that is ranked last. */
 const minPatientTokens = 80_000;
 
-/** Ranks at an engine, 0 first. */
+/** Ranks in the queue; 0 is first. */
 const urgencies = {
 	begun: 1, urgent: 2, usual: 4, patient: 5,
 } as const;
 
-/** Rank of a request that says nothing of itself. */
+/** Rank of a request without a stated one. */
 export const usualUrgency: number = urgencies.patient;
 
 /**
- * An answer that has begun goes first: what was done for it is lost if its caller leaves.
+ * Ranks a request by the length of its prompt. An answer that has begun is ranked first: the work done for it is lost if the caller leaves.
  *
  * @param prompt - Size of the request.
- * @param isBegun - Whether its caller has a part of the answer.
- * @returns Its rank, 0 first.
+ * @param hasBegun - Whether its caller has received part of the answer.
+ * @returns Rank in the queue; 0 is first.
  */
-export function urgencyOf({tokens}: Prompt, isBegun: boolean): number {
-	if (isBegun) {
+export function urgencyOf({tokens}: Prompt, hasBegun: boolean): number {
+	if (hasBegun) {
 		return urgencies.begun;
 	}
 
