--- a/src/core/gateway/load.ts
+++ b/src/core/gateway/load.ts
@@ -26,7 +26,7 @@
 	readonly read: number;
 	/** Longest part of the prefill within one engine iteration. */
 	readonly readPerPass: number;
-	/** Longest pause between events that meets the latency target; undefined for answers that are not streams. */
+	/** Longest pause between events that meets the latency target, if there is one for pauses. */
 	readonly pause?: number;
 	/** Rank in the queue of the upstream; 0 is first. */
 	readonly urgency?: number;
--- a/src/core/gateway/losses.ts
+++ b/src/core/gateway/losses.ts
@@ -20,7 +20,7 @@
 const longPauseMs = 400;
 
 /** Added probability of too long a pause above which rerouting a stream is considered. */
-const interferenceThreshold = 0.5;
+const disruptionThreshold = 0.5;
 
 /** An engine that a request could be sent to. */
 export type Candidate = {
@@ -61,7 +61,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns Loss of the jobs that the engine already decodes or prefills.
  */
-export function estimateInterference({forecast}: Candidate, prefill: PrefillTime, now: number): number {
+export function estimateDisruptionLoss({forecast}: Candidate, prefill: PrefillTime, now: number): number {
 	const current = estimatePrefillIteration(forecast);
 	let loss = 0;
 	for (const job of forecast.decoding) {
@@ -139,7 +139,7 @@
 		}
 
 		const probability = estimateLateProbability(iteration, job.pause) - estimateLateProbability(forecast.pass, job.pause);
-		if (probability > interferenceThreshold) {
+		if (probability > disruptionThreshold) {
 			found.push({job, loss: probability * job.weight * lateLoss});
 		}
 	}
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -4,7 +4,7 @@
 import {type Health} from './health.js';
 import {type Load} from './load.js';
 import {
-	estimateInterference, estimateOpeningLoss, estimateOwnLoss, estimatePrefillEnd, weigh, type Candidate,
+	estimateDisruptionLoss, estimateOpeningLoss, estimateOwnLoss, estimatePrefillEnd, weigh, type Candidate,
 } from './losses.js';
 import {type Policy} from './policy.js';
 import {type Eligibility} from './tries.js';
@@ -87,7 +87,7 @@
 	let loss = first.fixedLoss + estimateOpeningLoss(first, demand, policy);
 	let firstByte = 0;
 	for (const candidate of [first, ...helpers]) {
-		loss += estimateInterference(candidate, prefill, now) + (candidate === first ? 0 : candidate.fixedLoss);
+		loss += estimateDisruptionLoss(candidate, prefill, now) + (candidate === first ? 0 : candidate.fixedLoss);
 		firstByte = Math.max(firstByte, estimatePrefillEnd(candidate, prefill));
 	}
 
@@ -107,7 +107,7 @@
 function rankCandidates(candidates: readonly Candidate[], prefill: PrefillTime, {now, policy}: Surroundings): readonly Candidate[] {
 	const cost = new Map<Candidate, number>();
 	for (const candidate of candidates) {
-		cost.set(candidate, estimateInterference(candidate, prefill, now) + candidate.fixedLoss + (estimatePrefillEnd(candidate, prefill) * policy.waitLossPerMs));
+		cost.set(candidate, estimateDisruptionLoss(candidate, prefill, now) + candidate.fixedLoss + (estimatePrefillEnd(candidate, prefill) * policy.waitLossPerMs));
 	}
 
 	return candidates.toSorted((a, b) => cost.get(a)! - cost.get(b)!);
--- a/src/core/gateway/retries.ts
+++ b/src/core/gateway/retries.ts
@@ -60,8 +60,8 @@
 
 /**
  * Retry budget of this host, by service. In a large fleet the hosts of a failure domain count each other's requests and share one part of
- * the allowance: the part of a single host is a retry or two, which is too little for a fault that affects only a few hosts. A failure
- * domain or host that is cut off uses only the part of the hosts that it receives updates from.
+ * the allowance: if a fault affects a few of hundreds of hosts, the part of a single host is only a retry or two, while the parts of the
+ * others go unused. A failure domain or host that is cut off uses only the parts of the hosts that it receives updates from.
  */
 export class RetryBudget {
 	readonly #limits: RetryLimits;
