--- a/src/core/gateway/__tests__/tries.test.ts
+++ b/src/core/gateway/__tests__/tries.test.ts
@@ -4,78 +4,78 @@
 
 const notRun: AttemptEnding = {type: 'not-run', reason: 'refused', isShed: true};
 const unknown: AttemptEnding = {type: 'unknown', reason: 'broken'};
-const givenUp: AttemptEnding = {type: 'cancelled', reason: 'silent'};
+const cancelled: AttemptEnding = {type: 'cancelled', reason: 'silent'};
 
-describe('a request that may run only once', () => {
-	const once = {kind: 'non-idempotent', isResumable: false, attempts: 3} as const;
+describe('a non-idempotent request', () => {
+	const rules = {kind: 'non-idempotent', isResumable: false, attempts: 3} as const;
 
-	it('goes on after "not run", and never where it may have run', () => {
-		const tries = new Tries(once);
-		tries.noteSent('a');
-		expect(tries.mayFollow(notRun)).toBe(true);
-		expect([unknown, givenUp, {type: 'failed', status: 500} as const].map(ending => tries.mayFollow(ending))).toEqual([false, false, false]);
-		expect(tries.mayLeave).toBe(false);
+	it('is retried only if it has certainly not run', () => {
+		const attempts = new Tries(rules);
+		attempts.noteSent('a');
+		expect(attempts.mayFollow(notRun)).toBe(true);
+		expect([unknown, cancelled, {type: 'failed', status: 500} as const].map(ending => attempts.mayFollow(ending))).toEqual([false, false, false]);
+		expect(attempts.mayLeave).toBe(false);
 	});
 });
 
-describe('a request that may be repeated', () => {
-	const safe = {kind: 'idempotent', isResumable: false, attempts: 2} as const;
+describe('an idempotent request', () => {
+	const rules = {kind: 'idempotent', isResumable: false, attempts: 2} as const;
 
 	it('is sent to as many upstreams as its route allows', () => {
-		const tries = new Tries(safe);
-		tries.noteSent('a');
-		expect([tries.mayLeave, tries.mayFollow(unknown)]).toEqual([true, true]);
-		tries.noteSent('b');
-		expect([tries.mayLeave, tries.mayFollow(unknown), tries.mayFollow(notRun)]).toEqual([false, false, false]);
-		expect([...tries.eligibility.tried]).toEqual(['a', 'b']);
+		const attempts = new Tries(rules);
+		attempts.noteSent('a');
+		expect([attempts.mayLeave, attempts.mayFollow(unknown)]).toEqual([true, true]);
+		attempts.noteSent('b');
+		expect([attempts.mayLeave, attempts.mayFollow(unknown), attempts.mayFollow(notRun)]).toEqual([false, false, false]);
+		expect([...attempts.eligibility.tried]).toEqual(['a', 'b']);
 	});
 
-	it('does not count upstreams without a connection as attempts, but gives up after eight of them', () => {
-		const tries = new Tries(safe);
-		const goesOn = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(upstream => {
-			tries.noteSent(upstream);
-			tries.noteUnreached(upstream);
-			return tries.mayFollow(notRun);
+	it('does not count upstreams without a connection as attempts, but is given up after eight of them', () => {
+		const attempts = new Tries(rules);
+		const results = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(upstream => {
+			attempts.noteSent(upstream);
+			attempts.noteUnreached(upstream);
+			return attempts.mayFollow(notRun);
 		});
-		expect(goesOn).toEqual([true, true, true, true, true, true, true, false]);
-		expect(tries.sent).toBe(0);
+		expect(results).toEqual([true, true, true, true, true, true, true, false]);
+		expect(attempts.sent).toBe(0);
 	});
 
-	it('asks an engine again that missed a helper, also where no further engine may be asked', () => {
-		const tries = new Tries({...safe, attempts: 1});
-		tries.noteSent('a');
-		tries.noteMissedHelper('a', 'h');
-		expect(tries.mayFollow(notRun)).toBe(true);
-		expect([[...tries.eligibility.tried], [...tries.eligibility.among ?? []]]).toEqual([['h'], ['a']]);
-		tries.noteSent('a');
-		expect([tries.sent, tries.mayFollow(notRun)]).toEqual([2, false]);
+	it('can be sent again to an engine that lacked a helper, even if no further engine is allowed', () => {
+		const attempts = new Tries({...rules, attempts: 1});
+		attempts.noteSent('a');
+		attempts.noteMissedHelper('a', 'h');
+		expect(attempts.mayFollow(notRun)).toBe(true);
+		expect([[...attempts.eligibility.tried], [...attempts.eligibility.permitted ?? []]]).toEqual([['h'], ['a']]);
+		attempts.noteSent('a');
+		expect([attempts.sent, attempts.mayFollow(notRun)]).toEqual([2, false]);
 	});
 
-	it('does not ask again and again for helpers', () => {
-		const tries = new Tries(safe);
-		const goesOn = ['h', 'i', 'j', 'k'].map(helper => {
-			tries.noteSent('a');
-			tries.noteMissedHelper('a', helper);
-			return tries.mayFollow(notRun);
+	it('is given up after four missing helpers', () => {
+		const attempts = new Tries(rules);
+		const results = ['h', 'i', 'j', 'k'].map(helper => {
+			attempts.noteSent('a');
+			attempts.noteMissedHelper('a', helper);
+			return attempts.mayFollow(notRun);
 		});
-		expect(goesOn).toEqual([true, true, true, false]);
+		expect(results).toEqual([true, true, true, false]);
 	});
 
-	it('looks for memory three times, each time elsewhere', () => {
-		const tries = new Tries(safe);
-		const goesOn = [['a', 'b'], ['c'], ['d']].map(engines => {
-			tries.noteRefusedHold(engines);
-			return tries.mayFollow(notRun);
+	it('is given up after three refused holds, and excludes the engines that refused', () => {
+		const attempts = new Tries(rules);
+		const results = [['a', 'b'], ['c'], ['d']].map(engines => {
+			attempts.noteRefusedHold(engines);
+			return attempts.mayFollow(notRun);
 		});
-		expect(goesOn).toEqual([true, true, false]);
-		expect([...tries.eligibility.tried]).toEqual(['a', 'b', 'c', 'd']);
+		expect(results).toEqual([true, true, false]);
+		expect([...attempts.eligibility.tried]).toEqual(['a', 'b', 'c', 'd']);
 	});
 });
 
-it('a stream goes on elsewhere only if it can be resumed', () => {
+it('a stream can fail over to another engine only if it can be resumed', () => {
 	for (const isResumable of [true, false]) {
-		const tries = new Tries({kind: 'streaming', isResumable, attempts: 2});
-		tries.noteSent('a');
-		expect([tries.mayLeave, tries.mayFollow(unknown), tries.mayFollow(givenUp)]).toEqual([isResumable, isResumable, isResumable]);
+		const attempts = new Tries({kind: 'streaming', isResumable, attempts: 2});
+		attempts.noteSent('a');
+		expect([attempts.mayLeave, attempts.mayFollow(unknown), attempts.mayFollow(cancelled)]).toEqual([isResumable, isResumable, isResumable]);
 	}
 });
--- a/src/core/gateway/suspects.ts
+++ b/src/core/gateway/suspects.ts
@@ -1,50 +1,51 @@
 /**
- * Requests that crash the engines which run them, recognised when they come again. A crash is told once and cleared once, by its
- * id, so that hosts which pass on what is news to them end, in whatever order news of the two arrive.
+ * Detects poison requests, which crash the engines that run them. A suspicion is one crash that is attributed to a request; enough of
+ * them convict it, so that it is refused; an acquittal clears them. Hosts forward only changes to their peers, and each crash is recorded
+ * once and cleared once by its id, so forwarding ends in whatever order the messages arrive.
  */
 
-/** Distinct crashes after which a request is refused: two may be chance where engines fail in groups. */
-const convictingCrashes = 3;
+/** Distinct crashes after which a request is refused: two may be a coincidence if engines fail in groups. */
+const convictionThreshold = 3;
 
-/** Milliseconds that a crash is held against a request. */
-const memory = 60_000;
+/** Time in milliseconds for which a crash counts against a request. */
+const crashRetentionMs = 60_000;
 
-/** Fingerprints remembered. */
-const mostSuspects = 2000;
+/** Maximum number of fingerprints in memory. */
+const maxSuspects = 2000;
 
-/** An engine that broke down while a request ran there. */
+/** Crash of an engine while it ran a request. */
 export type Crash = {
-	/** Equal for a request that is sent again. */
+	/** Same for every repetition of a request. */
 	readonly fingerprint: string;
-	/** Equal for all who tell of the same crash. */
+	/** Same at all hosts that report the crash. */
 	readonly id: string;
 	readonly upstream: string;
-	/** Start of the upstream's process, where it tells. */
+	/** Start of the upstream's process, if the upstream reports it. */
 	readonly started?: number;
 };
 
-type Entry = {
+type CrashRecord = {
 	readonly crash: Crash;
 	readonly at: number;
 	isCleared: boolean;
 };
 
-/** Crashes by request, own and told by peers. */
+/** Crashes by request, observed here or reported by peers. */
 export class Suspects {
-	readonly #records = new Map<string, Map<string, Entry>>();
+	readonly #records = new Map<string, Map<string, CrashRecord>>();
 
-	/** Requests remembered. */
+	/** Number of fingerprints in memory. */
 	get size(): number {
 		return this.#records.size;
 	}
 
 	/**
-	 * @param crash - Crash seen here or by a peer.
+	 * @param crash - Crash that this host or a peer observed.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it was new.
+	 * @returns Whether it is new here.
 	 */
 	record(crash: Crash, now: number): boolean {
-		const known = this.#known(crash.fingerprint, now);
+		const known = this.#recentCrashes(crash.fingerprint, now);
 		if (known.has(crash.id)) {
 			return false;
 		}
@@ -54,42 +55,44 @@
 	}
 
 	/**
-	 * A request that was answered does not crash engines: what broke its connections was something else. Many callers may ask for
-	 * the same, so that three lost answers within a minute would refuse all of them.
+	 * Clears all crashes of a request that was answered: something else broke its connections. Many callers may send the same request,
+	 * and without this three lost answers within a minute would refuse all of them.
 	 *
-	 * @param fingerprint - Request.
-	 * @returns Crashes that were held against it until now.
+	 * @param fingerprint - Fingerprint of the request.
+	 * @returns Crashes that were cleared.
 	 */
 	acquit(fingerprint: string): readonly Crash[] {
 		return this.review(fingerprint, () => true);
 	}
 
 	/**
-	 * @param crashes - Crashes that a peer has cleared; those not heard of yet need not be held against the request later.
+	 * @param crashes - Crashes that a peer has cleared. Unknown ones are recorded as cleared, in case their report arrives later.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether any of them was not cleared here.
+	 * @returns Whether any of them was not yet cleared here.
 	 */
 	clear(crashes: readonly Crash[], now: number): boolean {
-		let isNews = false;
+		let hasChanged = false;
 		for (const crash of crashes) {
 			this.record(crash, now);
 			const record = this.#records.get(crash.fingerprint)!.get(crash.id)!;
-			isNews ||= !record.isCleared;
+			hasChanged ||= !record.isCleared;
 			record.isCleared = true;
 		}
 
-		return isNews;
+		return hasChanged;
 	}
 
 	/**
-	 * @param fingerprint - Request.
-	 * @param survived - Whether an upstream that is said to have crashed at a time runs on as it did.
-	 * @returns Crashes that were none after all.
+	 * Clears crashes that did not happen.
+	 *
+	 * @param fingerprint - Fingerprint of the request.
+	 * @param hasSurvived - Returns whether the upstream of a crash is still the same process, given the time of its record.
+	 * @returns Crashes that were cleared.
 	 */
-	review(fingerprint: string, survived: (crash: Crash, at: number) => boolean): readonly Crash[] {
+	review(fingerprint: string, hasSurvived: (crash: Crash, at: number) => boolean): readonly Crash[] {
 		const cleared: Crash[] = [];
 		for (const record of this.#records.get(fingerprint)?.values() ?? []) {
-			if (!record.isCleared && survived(record.crash, record.at)) {
+			if (!record.isCleared && hasSurvived(record.crash, record.at)) {
 				record.isCleared = true;
 				cleared.push(record.crash);
 			}
@@ -99,40 +102,40 @@
 	}
 
 	/**
-	 * @param fingerprint - Request.
+	 * @param fingerprint - Fingerprint of the request.
 	 * @param now - Time in milliseconds.
-	 * @returns Crashes that are held against it.
+	 * @returns Number of crashes that count against it.
 	 */
 	crashes(fingerprint: string, now: number): number {
 		let count = 0;
 		for (const {at, isCleared} of this.#records.get(fingerprint)?.values() ?? []) {
-			count += !isCleared && now - at < memory ? 1 : 0;
+			count += !isCleared && now - at < crashRetentionMs ? 1 : 0;
 		}
 
 		return count;
 	}
 
 	/**
-	 * @param fingerprint - Request.
+	 * @param fingerprint - Fingerprint of the request.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it must not run again.
+	 * @returns Whether the request must not run again.
 	 */
 	isConvicted(fingerprint: string, now: number): boolean {
-		return this.crashes(fingerprint, now) >= convictingCrashes;
+		return this.crashes(fingerprint, now) >= convictionThreshold;
 	}
 
-	/** What is remembered of a request, the most lately suspected last; what is too old to count is dropped. */
-	#known(fingerprint: string, now: number): Map<string, Entry> {
-		const known = this.#records.get(fingerprint) ?? new Map<string, Entry>();
+	/** Returns the crashes of a request without expired ones, and makes the request the most recent one. Evicts the oldest if there are too many. */
+	#recentCrashes(fingerprint: string, now: number): Map<string, CrashRecord> {
+		const known = this.#records.get(fingerprint) ?? new Map<string, CrashRecord>();
 		for (const [id, {at}] of known) {
-			if (now - at >= memory) {
+			if (now - at >= crashRetentionMs) {
 				known.delete(id);
 			}
 		}
 
 		this.#records.delete(fingerprint);
 		this.#records.set(fingerprint, known);
-		if (this.#records.size > mostSuspects) {
+		if (this.#records.size > maxSuspects) {
 			const [oldest] = this.#records.keys();
 			this.#records.delete(oldest!);
 		}
--- a/src/core/gateway/tries.ts
+++ b/src/core/gateway/tries.ts
@@ -1,60 +1,61 @@
-/** The attempts of one request: where it went, and whether it may go on elsewhere. */
+/** Tracks the attempts of one request: which upstreams it was sent to, and whether another attempt may follow. */
 import {type Placing} from './load.js';
 import {isRepeatable, type AttemptEnding} from './retries.js';
 import {type Route} from './types.js';
 
-/** Refusals of holds after which no other engines are tried. */
-const mostRefusedHolds = 3;
+/** Refused holds after which the request is given up. */
+const maxRefusedHolds = 3;
 
-/** Refusals for an engine that was to help after which no others are tried. */
-const mostMissedHelpers = 4;
+/** Attempts without a required helper after which the request is given up. */
+const maxMissingHelpers = 4;
 
 /**
- * Upstreams without a connection after which no others are tried. Two in each of several failure domains fail within
- * milliseconds where links are reset, while those of the own domain would answer.
+ * Upstreams without a connection after which the request is given up. Must allow for two in each of several failure domains: they fail
+ * within milliseconds if links are reset, while upstreams in the own domain would answer.
  */
-const mostUnreached = 8;
+const maxUnreachedUpstreams = 8;
 
-type Rules = Pick<Route, 'attempts' | 'isResumable' | 'kind'>;
+type RetryRules = Pick<Route, 'attempts' | 'isResumable' | 'kind'>;
 
-/** Upstreams that a request may go to next. */
+/** Upstreams that a request may be sent to next. */
 export type Eligibility = {
-	/** Upstreams that it went to, or that refused it memory or help: neither asked again nor asked to help. */
+	/** Upstreams that received the request, or that refused it memory or help. They neither answer nor help. */
 	readonly tried: ReadonlySet<string>;
-	/** One of these must answer, where the route allows no further upstream. */
-	readonly among?: ReadonlySet<string>;
+	/** If set, one of these must answer, as the route allows no further upstream. */
+	readonly permitted?: ReadonlySet<string>;
 };
 
+/** Attempts of one request. */
 export class Tries {
-	readonly #rules: Rules;
-	readonly #tried = new Set<string>();
-	/** Upstreams that were sent the request. */
-	readonly #asked = new Set<string>();
-	/** Those of them that would have taken it, had an engine helped them: asked again they are no further upstream. */
-	readonly #willing = new Set<string>();
+	readonly #rules: RetryRules;
+	readonly #excluded = new Set<string>();
+	/** Upstreams that the request was sent to. */
+	readonly #contacted = new Set<string>();
+	/** Upstreams that only lacked a helper. Sending the request to them again does not count against the limit of the route. */
+	readonly #askableAgain = new Set<string>();
 	#sent = 0;
 	#refusedHolds = 0;
-	#missedHelpers = 0;
+	#missingHelpers = 0;
 	#unreached = 0;
 
 	/**
-	 * @param rules - What the request's route allows.
+	 * @param rules - Retry rules of the route.
 	 */
-	constructor(rules: Rules) {
+	constructor(rules: RetryRules) {
 		this.#rules = rules;
 	}
 
-	/** Upstreams that the request may go to next. */
+	/** Upstreams that the request may be sent to next. */
 	get eligibility(): Eligibility {
-		return {tried: this.#tried, among: this.#hasFurther ? undefined : this.#willing};
+		return {tried: this.#excluded, permitted: this.#hasUpstreamsLeft ? undefined : this.#askableAgain};
 	}
 
-	/** Times that it was sent. */
+	/** Number of times that the request was sent. */
 	get sent(): number {
 		return this.#sent;
 	}
 
-	/** Which placing of the request comes next. */
+	/** Kind of the next placement. */
 	get placing(): Placing {
 		if (this.#sent > 0) {
 			return 'retry';
@@ -63,9 +64,9 @@
 		return this.#unreached > 0 ? 'unreached before' : 'first';
 	}
 
-	/** Whether an engine that is silent could be left for another one. */
+	/** Whether the request may move from an unresponsive engine to another one. */
 	get mayLeave(): boolean {
-		return this.#hasFurther && this.#isRepeatable({type: 'unknown', reason: 'silent'});
+		return this.#hasUpstreamsLeft && this.#isRepeatable({type: 'unknown', reason: 'silent'});
 	}
 
 	/**
@@ -73,57 +74,59 @@
 	 */
 	noteSent(upstream: string): void {
 		this.#sent++;
-		this.#tried.add(upstream);
-		this.#asked.add(upstream);
-		this.#willing.delete(upstream);
+		this.#excluded.add(upstream);
+		this.#contacted.add(upstream);
+		this.#askableAgain.delete(upstream);
 	}
 
 	/**
-	 * @param upstream - Upstream to which no connection was made: nothing was sent after all.
+	 * Takes back the last attempt.
+	 *
+	 * @param upstream - Upstream that could not be connected to, so that nothing was sent.
 	 */
 	noteUnreached(upstream: string): void {
 		this.#sent--;
 		this.#unreached++;
-		this.#asked.delete(upstream);
+		this.#contacted.delete(upstream);
 	}
 
 	/**
 	 * @param upstream - Engine that did not run the request.
-	 * @param helper - Engine that was to help it and did not.
+	 * @param helper - Engine that should have helped and did not.
 	 */
 	noteMissedHelper(upstream: string, helper: string): void {
-		this.#missedHelpers++;
-		this.#tried.delete(upstream);
-		this.#willing.add(upstream);
-		this.#tried.add(helper);
+		this.#missingHelpers++;
+		this.#excluded.delete(upstream);
+		this.#askableAgain.add(upstream);
+		this.#excluded.add(helper);
 	}
 
 	/**
-	 * @param engines - Engines that refused memory.
+	 * @param engines - Engines that refused to reserve memory.
 	 */
 	noteRefusedHold(engines: readonly string[]): void {
 		this.#refusedHolds++;
 		for (const engine of engines) {
-			this.#tried.add(engine);
+			this.#excluded.add(engine);
 		}
 	}
 
 	/**
 	 * @param ending - How the last attempt ended.
-	 * @returns Whether another one may follow, as far as this request goes.
+	 * @returns Whether the request may be retried, apart from the retry budget.
 	 */
 	mayFollow(ending: AttemptEnding): boolean {
-		// What this host gave up itself may have run all the same.
+		// An attempt that this host cancelled may have run anyway.
 		const known: AttemptEnding = ending.type === 'cancelled' ? {type: 'unknown', reason: ending.reason} : ending;
 		return this.#isRepeatable(known)
-			&& (this.#hasFurther || this.#willing.size > 0)
-			&& this.#refusedHolds < mostRefusedHolds
-			&& this.#missedHelpers < mostMissedHelpers
-			&& this.#unreached < mostUnreached;
+			&& (this.#hasUpstreamsLeft || this.#askableAgain.size > 0)
+			&& this.#refusedHolds < maxRefusedHolds
+			&& this.#missingHelpers < maxMissingHelpers
+			&& this.#unreached < maxUnreachedUpstreams;
 	}
 
-	get #hasFurther(): boolean {
-		return this.#asked.size < this.#rules.attempts;
+	get #hasUpstreamsLeft(): boolean {
+		return this.#contacted.size < this.#rules.attempts;
 	}
 
 	#isRepeatable(ending: AttemptEnding): boolean {
