--- a/src/gateway/__tests__/registrations.test.ts
+++ b/src/gateway/__tests__/registrations.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that may be used, kept in step with the platform's registry. */
+/** The usable upstreams are kept in sync with the platform's registry. */
 import {
 	afterEach, beforeEach, expect, it, vi,
 } from 'vitest';
@@ -15,7 +15,7 @@
 	vi.useRealTimers();
 });
 
-function scene() {
+function setUp() {
 	const log = {write: ignore};
 	const upstreams = new Upstreams(log, {restarted: ignore, gone: ignore});
 	const registrations = new Registrations({upstreams, log, now: () => performance.now()});
@@ -30,28 +30,28 @@
 
 const removed = {type: 'removed', id: 'e1', revision: 6} as const;
 
-it('a host that was cut off from the store does not tell its peers of an upstream that has been removed', () => {
-	const reader = scene();
-	const asker = scene();
+it('a host that was cut off from the store does not send peers an upstream that has been removed', () => {
+	const reader = setUp();
+	const asker = setUp();
 	reader.registrations.list([upstream('e1'), upstream('e2')], 5);
 	asker.registrations.list([upstream('e2')], 6);
 	reader.registrations.lost();
 	reader.registrations.follow([removed], 7);
 	reader.registrations.regained();
-	asker.registrations.take('reader', reader.registrations.newsFor(0));
+	asker.registrations.take('reader', reader.registrations.createUpdate(0));
 	expect(reader.known()).toEqual(['e1', 'e2']);
 	expect(asker.known()).toEqual(['e2']);
 });
 
-it('an upstream that a peer no longer knows is dropped at once where the store was never lost', () => {
-	const {registrations, known} = scene();
+it('an upstream that a peer no longer knows is removed at once if the store was never lost', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1'), upstream('e2')], 5);
 	registrations.take('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
 	expect(known()).toEqual(['e2']);
 });
 
-it('an upstream whose registration lapsed with the store is used for two seconds after its return', () => {
-	const {registrations, known} = scene();
+it('an upstream whose registration expired during an outage of the store is used for two seconds after the store returns', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1')], 5);
 	registrations.lost();
 	registrations.follow([removed], 6);
@@ -62,8 +62,8 @@
 	expect(known()).toEqual([]);
 });
 
-it('an upstream that registers again while it is kept stays', () => {
-	const {registrations, known} = scene();
+it('an upstream that registers again during the grace period stays', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1')], 5);
 	registrations.lost();
 	registrations.follow([removed], 6);
@@ -72,23 +72,23 @@
 	expect(known()).toEqual(['e1']);
 });
 
-it('a peer that says that nothing has changed moves the revision on', () => {
-	const {registrations, known} = scene();
+it('an update without changes advances the revision', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1')], 5);
 	registrations.take('peer', {revision: 9, changed: 4});
 	expect([registrations.revision, known()]).toEqual([9, ['e1']]);
 });
 
-it('a host that alone has lost the store drops at once what a peer says is removed', () => {
-	const {registrations, known} = scene();
+it('a host that alone has lost the store removes at once what a peer reports removed', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1'), upstream('e2')], 5);
 	registrations.lost();
 	registrations.take('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
 	expect(known()).toEqual(['e2']);
 });
 
-it('an upstream that lapsed with the store stays while a peer keeps it too', () => {
-	const {registrations, known} = scene();
+it('an upstream whose registration expired during an outage stays while a peer keeps it too', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1'), upstream('e2')], 5);
 	registrations.lost();
 	registrations.take('peer', {
@@ -99,8 +99,8 @@
 	expect(known()).toEqual(['e2']);
 });
 
-it('a peer that knows less than a removal says nothing of what is kept', () => {
-	const {registrations, known} = scene();
+it('an update older than a removal does not end the grace period', () => {
+	const {registrations, known} = setUp();
 	registrations.list([upstream('e1')], 5);
 	registrations.lost();
 	registrations.follow([removed], 6);
@@ -108,13 +108,13 @@
 	expect(known()).toEqual(['e1']);
 });
 
-it('what a host keeps itself is told with the rest', () => {
-	const {registrations} = scene();
+it('updates name the upstreams that the host keeps itself', () => {
+	const {registrations} = setUp();
 	registrations.list([upstream('e1')], 5);
 	registrations.lost();
 	registrations.follow([removed], 6);
-	expect(registrations.newsFor(0)).toEqual({
+	expect(registrations.createUpdate(0)).toEqual({
 		upstreams: [], revision: 6, changed: 6, kept: ['e1'],
 	});
-	expect(registrations.newsFor(6)).toEqual({revision: 6, changed: 6, kept: ['e1']});
+	expect(registrations.createUpdate(6)).toEqual({revision: 6, changed: 6, kept: ['e1']});
 });
--- a/src/gateway/__tests__/relays.test.ts
+++ b/src/gateway/__tests__/relays.test.ts
@@ -1,4 +1,4 @@
-/** A large fleet in one process, over real sockets: what one host sends, all hosts know, also when relays end. */
+/** A large fleet in one process over real sockets: all hosts receive the load updates of each, also when relays stop. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
 	describe, expect, it, vi,
@@ -13,8 +13,7 @@
 import {Peers} from '../peers/peers.js';
 import {relaysOf} from '../peers/topology.js';
 
-/** Lines of the log are no part of these tests. */
-const quiet: Pick<Log, 'write'> = {
+const silentLog: Pick<Log, 'write'> = {
 	write: ignore,
 };
 
@@ -26,19 +25,19 @@
 	};
 }
 
-class Member implements AsyncDisposable {
+class TestHost implements AsyncDisposable {
 	readonly host: Host;
 	readonly load = new Load();
 	readonly peers: Peers;
 	readonly news: News;
-	/** Upstreams that peers say are not there. */
-	readonly absent: string[] = [];
+	/** Upstreams that peers reported unreachable or replaced. */
+	readonly reportedAbsences: string[] = [];
 	/** Jobs of other hosts of the same failure domain. */
-	readonly neighbours: string[] = [];
-	/** Messages of load that came. */
+	readonly domainJobs: string[] = [];
+	/** Number of load updates received. */
 	loads = 0;
-	/** Called when a relay has answered a question. */
-	#answered: (() => void) | undefined;
+	/** Called when a relay responds to a request. */
+	#onResponse: (() => void) | undefined;
 
 	constructor(host: Host, seeds: readonly Host[]) {
 		this.host = host;
@@ -46,14 +45,14 @@
 		this.peers = new Peers({
 			self: host,
 			seeds: seeds.map(each => each.address),
-			log: quiet,
+			log: silentLog,
 			now,
 			events: {
 				joined: (other, send) => {
 					this.news.joined(other, send);
 				},
 				message: (from, message) => {
-					this.hear(from, message);
+					this.handleMessage(from, message);
 				},
 				lost: (other, reason) => {
 					this.news.lost(other, reason);
@@ -62,10 +61,10 @@
 		});
 		this.news = new News({
 			self: host.name, failureDomain: host.failureDomain, load: this.load, peers: this.peers, now, modelAt: () => undefined, absent: absence => {
-				this.absent.push(absence.upstream);
+				this.reportedAbsences.push(absence.upstream);
 			},
 			sent: sent => {
-				this.neighbours.push(sent.id);
+				this.domainJobs.push(sent.id);
 			},
 		});
 	}
@@ -78,16 +77,16 @@
 		await this.peers[Symbol.asyncDispose]();
 	}
 
-	/** What holds when a relay next answers a question. */
-	async answer(holds: () => boolean): Promise<boolean> {
+	/** Evaluates a condition when a relay next responds to a request. */
+	async checkOnResponse(holds: () => boolean): Promise<boolean> {
 		return new Promise(resolve => {
-			this.#answered = () => {
+			this.#onResponse = () => {
 				resolve(holds());
 			};
 		});
 	}
 
-	hear(from: Host, message: Message): void {
+	handleMessage(from: Host, message: Message): void {
 		switch (message.type) {
 			case 'load': {
 				this.loads++;
@@ -106,7 +105,7 @@
 			}
 
 			case 'load-told': {
-				this.#answered?.();
+				this.#onResponse?.();
 				this.news.told(from, message);
 				break;
 			}
@@ -118,8 +117,8 @@
 	}
 }
 
-class Members implements AsyncDisposable {
-	static async start(domains: number, perDomain: number): Promise<Members> {
+class TestFleet implements AsyncDisposable {
+	static async start(domains: number, perDomain: number): Promise<TestFleet> {
 		const hosts: Host[] = [];
 		for (let index = 0; index < domains * perDomain; index++) {
 			hosts.push({
@@ -127,28 +126,28 @@
 			});
 		}
 
-		const members = new Members(hosts.map(host => new Member(host, hosts.slice(0, 2))));
-		await Promise.all(members.all.map(async member => member.peers.start()));
-		await members.until(() => members.all.every(member => member.peers.isLargeFleet && member.peers.hosts.length === members.linksOf(member)));
-		return members;
+		const fleet = new TestFleet(hosts.map(host => new TestHost(host, hosts.slice(0, 2))));
+		await Promise.all(fleet.all.map(async member => member.peers.start()));
+		await fleet.until(() => fleet.all.every(member => member.peers.isLargeFleet && member.peers.hosts.length === fleet.expectedLinks(member)));
+		return fleet;
 	}
 
-	all: readonly Member[];
+	all: readonly TestHost[];
 
-	private constructor(all: readonly Member[]) {
+	private constructor(all: readonly TestHost[]) {
 		this.all = all;
 	}
 
-	relays(domain: string): readonly Member[] {
+	relays(domain: string): readonly TestHost[] {
 		return relaysOf(domain, this.all.map(member => member.host)).map(host => this.all.find(member => member.host === host)!);
 	}
 
-	plain(domain: string): readonly Member[] {
+	nonRelays(domain: string): readonly TestHost[] {
 		const relays = this.relays(domain);
 		return this.all.filter(member => member.host.failureDomain === domain && !relays.includes(member));
 	}
 
-	linksOf(member: Member): number {
+	expectedLinks(member: TestHost): number {
 		const {failureDomain} = member.host;
 		const hosts = this.all.filter(each => each.host.failureDomain === failureDomain).length;
 		const foreign = new Set(this.all.map(each => each.host.failureDomain)).size - 1;
@@ -161,11 +160,11 @@
 		}
 	}
 
-	async know(id: string, isKnown: boolean): Promise<void> {
+	async untilKnown(id: string, isKnown: boolean): Promise<void> {
 		await this.until(() => this.all.every(member => (member.load.job(id) !== undefined) === isKnown));
 	}
 
-	async end(member: Member): Promise<void> {
+	async stop(member: TestHost): Promise<void> {
 		this.all = this.all.filter(each => each !== member);
 		await member[Symbol.asyncDispose]();
 	}
@@ -176,52 +175,52 @@
 }
 
 describe('a fleet of 18 hosts in three domains', () => {
-	it('knows what every host sent, its progress and its end', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		for (const [index, member] of members.all.entries()) {
+	it('receives the jobs of every host, their first bytes and their ends', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		for (const [index, member] of fleet.all.entries()) {
 			member.begin(`j${index}`);
 		}
 
-		for (const [index, member] of members.all.entries()) {
-			await members.know(`j${index}`, true);
+		for (const [index, member] of fleet.all.entries()) {
+			await fleet.untilKnown(`j${index}`, true);
 			member.news.progress(`j${index}`);
-			await members.until(() => members.all.every(each => each.load.job(`j${index}`)?.firstByte !== undefined));
+			await fleet.until(() => fleet.all.every(each => each.load.job(`j${index}`)?.firstByte !== undefined));
 			member.news.end(`j${index}`);
-			await members.know(`j${index}`, false);
+			await fleet.untilKnown(`j${index}`, false);
 		}
 	});
 
-	it('goes on when the relays of a domain end, and forgets what these had sent', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [first, second] = members.relays('domain-0');
-		const [plain] = members.plain('domain-0');
+	it('continues when the relays of a domain stop, and removes their jobs', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [first, second] = fleet.relays('domain-0');
+		const [plain] = fleet.nonRelays('domain-0');
 		plain!.begin('kept');
 		first!.begin('lost');
-		await members.know('kept', true);
-		await members.know('lost', true);
-		await members.end(first!);
-		await members.know('lost', false);
+		await fleet.untilKnown('kept', true);
+		await fleet.untilKnown('lost', true);
+		await fleet.stop(first!);
+		await fleet.untilKnown('lost', false);
 		plain!.begin('later');
-		await members.know('later', true);
-		await members.end(second!);
-		await members.until(() => members.all.every(member => member.peers.hosts.length >= members.linksOf(member)));
+		await fleet.untilKnown('later', true);
+		await fleet.stop(second!);
+		await fleet.until(() => fleet.all.every(member => member.peers.hosts.length >= fleet.expectedLinks(member)));
 		plain!.begin('last');
-		await members.know('last', true);
-		await members.know('kept', true);
+		await fleet.untilKnown('last', true);
+		await fleet.untilKnown('kept', true);
 	});
 
-	it('forgets what a host that is no relay had sent, once it is gone', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [plain] = members.plain('domain-1');
+	it('removes the jobs of a stopped host that is not a relay', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [plain] = fleet.nonRelays('domain-1');
 		plain!.begin('lost');
-		await members.know('lost', true);
-		await members.end(plain!);
-		await members.know('lost', false);
+		await fleet.untilKnown('lost', true);
+		await fleet.stop(plain!);
+		await fleet.untilKnown('lost', false);
 	});
 
-	it('tells a host that decides nothing of a busy second in few messages', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [busy, idle] = members.plain('domain-0');
+	it('batches the updates of a busy second for a host that places no requests', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [busy, idle] = fleet.nonRelays('domain-0');
 		const before = idle!.loads;
 		const began = performance.now();
 		for (let index = 0; index < 150; index++) {
@@ -229,68 +228,68 @@
 			await sleep(5);
 		}
 
-		await members.know('busy-149', true);
+		await fleet.untilKnown('busy-149', true);
 		const elapsed = performance.now() - began;
-		// A message in 40 ms at most: half of what a relay tells the other domains.
+		// At most one message in 40 ms: half as many as a relay sends to the other domains.
 		expect(idle!.loads - before).toBeLessThan(2 + (elapsed / 40));
 	});
 
-	it('tells a host that decides all that its relay knows', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [relay] = members.relays('domain-0');
-		const [plain] = members.plain('domain-0');
+	it('sends a host all updates of its relay before a placement', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [relay] = fleet.relays('domain-0');
+		const [plain] = fleet.nonRelays('domain-0');
 		for (let index = 0; index < 20; index++) {
 			relay!.begin(`known-${index}`);
-			const answered = plain!.answer(() => plain!.load.job(`known-${index}`) !== undefined);
+			const answered = plain!.checkOnResponse(() => plain!.load.job(`known-${index}`) !== undefined);
 			await plain!.news.refresh();
 			expect(await answered).toBe(true);
 		}
 	});
 
-	it('tells a host at once of a long prompt at the engine of its own request', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [relay] = members.relays('domain-0');
-		const [plain] = members.plain('domain-0');
+	it('sends a host at once the update of a long prompt at the engine of its own request', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [relay] = fleet.relays('domain-0');
+		const [plain] = fleet.nonRelays('domain-0');
 		plain!.begin('own');
-		await members.know('own', true);
+		await fleet.untilKnown('own', true);
 		const flushed = vi.spyOn(relay!.peers, 'flush');
 		relay!.begin('short');
-		await members.know('short', true);
+		await fleet.untilKnown('short', true);
 		expect(flushed).not.toHaveBeenCalled();
 		relay!.begin('long', 500);
-		await members.until(() => flushed.mock.calls.length > 0);
+		await fleet.until(() => flushed.mock.calls.length > 0);
 		expect(flushed.mock.calls).toEqual([[plain!.host.name]]);
-		await members.know('long', true);
+		await fleet.untilKnown('long', true);
 	});
 
-	it('hears of an upstream that is not there as far as that holds', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [plain] = members.plain('domain-0');
+	it('reports an absent upstream to the hosts for which it is absent', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [plain] = fleet.nonRelays('domain-0');
 		plain!.news.tellAbsence(absenceOf('refused abroad', 'refused', 'domain-1', 'domain-0'));
 		plain!.news.tellAbsence(absenceOf('refused at home', 'refused', 'domain-0', 'domain-0'));
 		plain!.news.tellAbsence(absenceOf('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
-		const others = members.all.filter(member => member !== plain);
-		await members.until(() => others.every(member => member.absent.includes('replaced abroad')));
-		for (const {host, absent} of others) {
+		const others = fleet.all.filter(member => member !== plain);
+		await fleet.until(() => others.every(member => member.reportedAbsences.includes('replaced abroad')));
+		for (const {host, reportedAbsences} of others) {
 			const abroad = host.failureDomain === 'domain-0' ? ['refused abroad'] : [];
-			expect(absent).toEqual([...abroad, 'refused at home', 'replaced abroad']);
+			expect(reportedAbsences).toEqual([...abroad, 'refused at home', 'replaced abroad']);
 		}
 	});
 
-	it('counts what the other hosts of a domain send once, and nothing of other domains', {timeout: 60_000}, async () => {
-		await using members = await Members.start(3, 6);
-		const [relay] = members.relays('domain-0');
-		const [plain] = members.plain('domain-0');
+	it('reports each job of the other hosts of a domain once, and no job of other domains', {timeout: 60_000}, async () => {
+		await using fleet = await TestFleet.start(3, 6);
+		const [relay] = fleet.relays('domain-0');
+		const [plain] = fleet.nonRelays('domain-0');
 		relay!.begin('near');
-		members.plain('domain-1')[0]!.begin('far');
+		fleet.nonRelays('domain-1')[0]!.begin('far');
 		plain!.begin('own');
-		await members.know('near', true);
-		await members.know('far', true);
-		await members.know('own', true);
+		await fleet.untilKnown('near', true);
+		await fleet.untilKnown('far', true);
+		await fleet.untilKnown('own', true);
 		relay!.news.joined(plain!.host, message => {
-			plain!.hear(relay!.host, message);
+			plain!.handleMessage(relay!.host, message);
 		});
-		expect(plain!.neighbours).toEqual(['near']);
+		expect(plain!.domainJobs).toEqual(['near']);
 		expect([relay!.peers.domainHosts, plain!.peers.domainHosts]).toEqual([6, 6]);
 	});
 });
--- a/src/gateway/__tests__/reputation.test.ts
+++ b/src/gateway/__tests__/reputation.test.ts
@@ -1,4 +1,4 @@
-/** What a host believes of upstreams and failure domains, and that each change of it is told once. */
+/** Health of upstreams and reachability of failure domains, where each change is logged once. */
 import {expect, it} from 'vitest';
 import {type GatewayUpstream} from '../../core/gateway/types.js';
 import {type Log} from '../../entry/logs.js';
@@ -7,7 +7,7 @@
 
 type Line = {readonly event: string; readonly domain?: unknown};
 
-function recorder(): {readonly lines: Line[]; readonly log: Pick<Log, 'write'>} {
+function createRecorder(): {readonly lines: Line[]; readonly log: Pick<Log, 'write'>} {
 	const lines: Line[] = [];
 	return {
 		lines,
@@ -29,8 +29,8 @@
 	return lines.map(line => line.event);
 }
 
-it('tells once that an upstream is left alone, and once that it answers again', () => {
-	const {lines, log} = recorder();
+it('logs once that an upstream is excluded, and once that it answers again', () => {
+	const {lines, log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	const engine = upstream('e1', 'a');
 	for (const [now, verdict] of [[0, 'unreachable'], [10, 'unreachable'], [20, 'faulty']] as const) {
@@ -43,8 +43,8 @@
 	expect([events(lines), reputation.doubted]).toEqual([['upstream-doubted', 'upstream-trusted'], 0]);
 });
 
-it('tells once of each failure domain out of reach, why, and that it is back', () => {
-	const {lines, log} = recorder();
+it('logs once that a failure domain is out of reach, with the reason, and once that it is back', () => {
+	const {lines, log} = createRecorder();
 	let silent: string[] = [];
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set(silent)});
 	reputation.judge('e1', upstream('e1', 'b'), 'broken', 0);
@@ -68,8 +68,8 @@
 	expect(reputation.unreachable.size).toBe(0);
 });
 
-it('keeps upstreams by service, and tells of those that are another process or gone', () => {
-	const {log} = recorder();
+it('lists upstreams by service, and reports those that were restarted or removed', () => {
+	const {log} = createRecorder();
 	const told: string[] = [];
 	const upstreams = new Upstreams(log, {
 		restarted(id) {
@@ -91,8 +91,8 @@
 	expect(told).toEqual(['e1 restarted', 'e2 gone']);
 });
 
-it('upstreams that were replaced by other processes do not put their failure domain out of reach', () => {
-	const {lines, log} = recorder();
+it('upstreams replaced by other processes do not make their failure domain unreachable', () => {
+	const {lines, log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	for (const id of ['e1', 'e2', 'e3']) {
 		reputation.judge(id, upstream(id, 'b'), 'replaced', 0);
@@ -104,8 +104,8 @@
 	expect([reputation.health.isPaused('e1', 1900), reputation.health.isPaused('e1', 2100)]).toEqual([true, false]);
 });
 
-it('what several peers say of an upstream that is left alone does not leave it alone for longer', () => {
-	const {log} = recorder();
+it('reports of several peers about an excluded upstream do not extend its exclusion', () => {
+	const {log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	for (let now = 0; now < 200; now += 10) {
 		reputation.hear({upstream: 'e1', reason: 'refused', isForAll: true}, now);
@@ -114,8 +114,8 @@
 	expect([reputation.health.isPaused('e1', 240), reputation.health.isPaused('e1', 260)]).toEqual([true, false]);
 });
 
-it('silence at a peer makes an upstream doubtful and does not exclude it', () => {
-	const {log} = recorder();
+it('an upstream that is silent for a peer has a higher failure probability, but is not excluded', () => {
+	const {log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	const before = reputation.health.risk('e1', 0);
 	reputation.hear({upstream: 'e1', reason: 'silent', isForAll: true}, 0);
--- a/src/gateway/__tests__/sharing.test.ts
+++ b/src/gateway/__tests__/sharing.test.ts
@@ -1,12 +1,12 @@
-/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- Only what an answer to a peer reaches stands in for the rest. */
+/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- The fake gateway has only what answering a peer needs. */
 import {expect, it} from 'vitest';
 import {Clock} from '../../entry/clock.js';
 import {type Gateway} from '../gateway.js';
 import {messageReader, type Message} from '../peers/messages.js';
 import {Sharing} from '../sharing.js';
 
-function scene() {
-	const told: Message[] = [];
+function setUp() {
+	const sent: Message[] = [];
 	const configuration = {
 		version: 5,
 		routes: [],
@@ -18,44 +18,44 @@
 	const gateway = {
 		directory: {configuration},
 		confirmedAge: 10,
-		registrations: {revision: 3, newsFor: () => ({revision: 3, changed: 3})},
+		registrations: {revision: 3, createUpdate: () => ({revision: 3, changed: 3})},
 		peers: {
 			sendFrame(_: string, frame: Uint8Array) {
-				told.push(...messageReader().push(frame));
+				sent.push(...messageReader().push(frame));
 			},
 			send(_: string, message: Message) {
-				told.push(message);
+				sent.push(message);
 			},
 		},
 	} as unknown as Gateway;
-	return {told, configuration, sharing: new Sharing(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
+	return {told: sent, configuration, sharing: new Sharing(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
 }
 
-const wanted = {
+const stateRequest = {
 	type: 'state-wanted', ask: 1, version: 4, revision: 3,
 } as const;
 
-it('a peer that asks again while the configuration is on its way is not told of it twice', () => {
-	const {told, configuration, sharing} = scene();
-	sharing.answer('h1', wanted);
-	sharing.answer('h1', {...wanted, ask: 2});
+it('a peer that repeats its request while the configuration is being sent does not get it twice', () => {
+	const {told, configuration, sharing} = setUp();
+	sharing.answer('h1', stateRequest);
+	sharing.answer('h1', {...stateRequest, ask: 2});
 	expect(told.map(message => message.type)).toEqual(['configuration', 'state', 'state']);
 	expect(told[0]).toEqual({type: 'configuration', configuration});
 });
 
-it('a peer that is linked anew is told again, and one that has it is not', () => {
-	const {told, sharing} = scene();
-	sharing.answer('h1', wanted);
+it('a peer gets the configuration again over a new link, and not if it has it already', () => {
+	const {told, sharing} = setUp();
+	sharing.answer('h1', stateRequest);
 	sharing.joined('h1');
-	sharing.answer('h1', wanted);
-	sharing.answer('h2', {...wanted, version: 5});
+	sharing.answer('h1', stateRequest);
+	sharing.answer('h2', {...stateRequest, version: 5});
 	expect(told.map(message => message.type)).toEqual(['configuration', 'state', 'configuration', 'state', 'state']);
 });
 
-it('another version is told at once', () => {
-	const {told, configuration, sharing} = scene();
-	sharing.answer('h1', wanted);
+it('a new version is sent at once', () => {
+	const {told, configuration, sharing} = setUp();
+	sharing.answer('h1', stateRequest);
 	Object.assign(configuration, {version: 6});
-	sharing.answer('h1', wanted);
+	sharing.answer('h1', stateRequest);
 	expect(told.filter(message => message.type === 'configuration').map(({configuration: {version}}) => version)).toEqual([5, 6]);
 });
--- a/src/gateway/convictions.ts
+++ b/src/gateway/convictions.ts
@@ -1,4 +1,7 @@
-/** Requests that crash upstreams, as all hosts together know them. */
+/**
+ * Detects requests that crash upstreams, together with the other hosts. A crash makes the request that ran there suspected; after several
+ * crashes the request is convicted and no longer run; it is acquitted when it is answered or the crash turns out not to have happened.
+ */
 import {type Crash} from '../core/gateway/suspects.js';
 import {type Clock} from '../entry/clock.js';
 import {type Message} from './peers/messages.js';
@@ -6,44 +9,41 @@
 import {type Reputation} from './reputation.js';
 import {type Upstreams} from './upstreams.js';
 
-/** Milliseconds within which an engine's lost connections and a failed connection to it count as one crash. */
-const crashWindow = 1500;
+/** Broken connections and failed connection attempts to one engine within this time count as one crash. */
+const crashWindowMs = 1500;
 
 /**
- * Milliseconds after a crash by which the platform has told of it: an upstream's registration lapses after three heartbeats, and
- * one that started anew has another start.
+ * Time after a crash by which the registry shows it: an upstream's registration expires after three heartbeats, and a restarted upstream
+ * has another start time.
  */
-const crashSettle = 5000;
+const crashSettleMs = 5000;
 
 export type ConvictionsOptions = {
 	readonly reputation: Reputation;
 	readonly upstreams: Upstreams;
 	readonly peers: Peers;
 	readonly clock: Clock;
-	/** Milliseconds since the upstreams were the newest for certain. */
+	/** Returns the milliseconds since the upstreams were last confirmed current. */
 	readonly confirmedAge: () => number;
 };
 
 export class Convictions {
 	readonly #options: ConvictionsOptions;
 
-	/**
-	 * @param options - What is known, and who is told.
-	 */
 	constructor(options: ConvictionsOptions) {
 		this.#options = options;
 	}
 
 	/**
-	 * Holds a crash against a request, here and at the peers.
+	 * Records that a request may have crashed an upstream, and notifies the peers.
 	 *
-	 * @param fingerprint - Request that ran at an upstream when its connection broke.
+	 * @param fingerprint - Request that was running when the connection broke.
 	 * @param upstream - Upstream.
 	 */
 	suspect(fingerprint: string, upstream: string): void {
 		const {reputation, upstreams, peers, clock} = this.#options;
 		const crash = {
-			fingerprint, id: `${upstream}.${Math.floor(clock.wall() / crashWindow)}`, upstream, started: upstreams.get(upstream)?.started,
+			fingerprint, id: `${upstream}.${Math.floor(clock.wall() / crashWindowMs)}`, upstream, started: upstreams.get(upstream)?.started,
 		};
 		if (reputation.suspect(crash, clock.now())) {
 			peers.broadcast({type: 'crash', crash});
@@ -51,17 +51,17 @@
 	}
 
 	/**
-	 * Holds no crash against a request any more, here and at the peers.
+	 * Acquits a request of all crashes, and notifies the peers.
 	 *
-	 * @param fingerprint - Request that was answered whole.
+	 * @param fingerprint - Request that was answered completely.
 	 */
 	acquit(fingerprint: string): void {
-		this.#tellCleared(this.#options.reputation.acquit(fingerprint));
+		this.#broadcastAcquittal(this.#options.reputation.acquit(fingerprint));
 	}
 
 	/**
 	 * @param fingerprint - Request.
-	 * @returns Whether it crashes the engines that run it, as far as is known; then it must not run again.
+	 * @returns Whether the request is known to crash the engines that run it and must not run again.
 	 */
 	isConvicted(fingerprint: string): boolean {
 		const {reputation, clock} = this.#options;
@@ -70,32 +70,32 @@
 			return false;
 		}
 
-		this.#tellCleared(reputation.review(fingerprint, (crash, at) => this.#survived(crash, at)));
+		this.#broadcastAcquittal(reputation.review(fingerprint, (crash, at) => this.#hasSurvived(crash, at)));
 		return reputation.suspects.isConvicted(fingerprint, now);
 	}
 
 	/**
-	 * Takes what a peer tells; in a large fleet what is news here is news to others.
+	 * Handles a message of a peer. In a large fleet, forwards it if it is new here, as hosts aren't all linked.
 	 *
-	 * @param message - Crash, or crashes that were none.
+	 * @param message - A crash, or withdrawn crashes.
 	 */
 	heard(message: Extract<Message, {readonly type: 'acquittal' | 'crash'}>): void {
 		const {reputation, peers, clock} = this.#options;
-		const isNews = message.type === 'crash'
+		const isNew = message.type === 'crash'
 			? reputation.suspects.record(message.crash, clock.now())
 			: reputation.clear(message.crashes, clock.now());
-		if (isNews && peers.isLargeFleet) {
+		if (isNew && peers.isLargeFleet) {
 			peers.broadcast(message);
 		}
 	}
 
-	/** An upstream that is registered under the same start long after it is said to have crashed has not: its links broke. */
-	#survived({upstream, started}: Crash, at: number): boolean {
+	/** An upstream still registered with the same start time long after a suspected crash did not crash: only its connections broke. */
+	#hasSurvived({upstream, started}: Crash, at: number): boolean {
 		const {upstreams, clock, confirmedAge} = this.#options;
-		return started !== undefined && clock.now() - confirmedAge() > at + crashSettle && upstreams.get(upstream)?.started === started;
+		return started !== undefined && clock.now() - confirmedAge() > at + crashSettleMs && upstreams.get(upstream)?.started === started;
 	}
 
-	#tellCleared(crashes: readonly Crash[]): void {
+	#broadcastAcquittal(crashes: readonly Crash[]): void {
 		if (crashes.length > 0) {
 			this.#options.peers.broadcast({type: 'acquittal', crashes: [...crashes]});
 		}
--- a/src/gateway/bundle.ts
+++ b/src/gateway/load-batch.ts
@@ -1,18 +1,18 @@
-/** Gathers news of load that are told together. */
+/** Collects changes of load that are sent in one message. */
 import {type Absence} from '../core/gateway/absences.js';
 import {type Job} from '../core/gateway/load.js';
 
-export type Changes = {
+export type LoadChanges = {
 	readonly began: readonly Job[];
 	readonly progressed: readonly string[];
 	readonly ended: readonly string[];
-	/** Upstreams that were found not to be there. */
+	/** Upstreams found unreachable or replaced. */
 	readonly absences: readonly Absence[];
 };
 
-export class Bundle {
+export class LoadBatch {
 	readonly #delay: number;
-	readonly #send: (changes: Changes) => void;
+	readonly #send: (changes: LoadChanges) => void;
 	#began: Job[] = [];
 	#progressed: string[] = [];
 	#ended: string[] = [];
@@ -20,18 +20,15 @@
 	#timer: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param delay - Milliseconds from the first change to the sending.
-	 * @param send - Takes what was gathered.
+	 * @param delay - Milliseconds from the first change until the batch is sent.
+	 * @param send - Sends a batch.
 	 */
-	constructor(delay: number, send: (changes: Changes) => void) {
+	constructor(delay: number, send: (changes: LoadChanges) => void) {
 		this.#delay = delay;
 		this.#send = send;
 	}
 
-	/**
-	 * @param changes - What has happened.
-	 */
-	add({began = [], progressed = [], ended = [], absences = []}: Partial<Changes>): void {
+	add({began = [], progressed = [], ended = [], absences = []}: Partial<LoadChanges>): void {
 		this.#began.push(...began);
 		this.#progressed.push(...progressed);
 		this.#ended.push(...ended);
@@ -41,7 +38,7 @@
 		}, this.#delay);
 	}
 
-	/** Sends what there is. */
+	/** Sends the batch at once, unless it is empty. */
 	flush(): void {
 		if (this.#timer === undefined) {
 			return;
--- a/src/gateway/news.ts
+++ b/src/gateway/news.ts
@@ -1,36 +1,37 @@
 /**
- * News of load: what this host sent, told to its peers, and what they tell. In a small fleet each host tells each other one.
- * In a large one it tells the relay of its failure domain, which tells the relays of the other domains at once, and the hosts of its
- * own when they decide, when they may have to move a request, and otherwise now and then. Answers hundreds of hosts that each serve
- * one or two requests a second: most of what happens elsewhere matters to them only when the next one comes.
+ * Exchanges load updates between hosts, so that each knows the jobs at all upstreams. In a small fleet every host broadcasts its own. In a
+ * large one it sends them to the relay of its failure domain. The relay forwards them to the relays of the other domains with a short
+ * delay, and to the hosts of its own domain when they request them before a placement, when a running request may have to be rerouted,
+ * and otherwise in batches: with hundreds of hosts that each serve one or two requests a second, a host needs most updates only when
+ * its next request arrives.
  */
 import {holdsAt, type Absence} from '../core/gateway/absences.js';
 import {type Job, type Load} from '../core/gateway/load.js';
 import {harmfulReading, isToYield, mayMove} from '../core/gateway/moves.js';
 import {disturbed} from '../core/gateway/losses.js';
 import {type EngineModel} from '../core/gateway/types.js';
-import {Bundle, type Changes} from './bundle.js';
-import {Inquiry} from './inquiry.js';
+import {LoadBatch, type LoadChanges} from './load-batch.js';
+import {LoadRequester} from './load-requester.js';
 import {
-	heard, tell, type Host, type HostsLost, type LoadNews, type LoadTold, type LoadWanted, type Message,
+	heard, tell, type Host, type HostsLost, type LoadUpdate, type LoadResponse, type LoadRequest, type Message,
 } from './peers/messages.js';
 import {type Peers} from './peers/peers.js';
 
-/** Milliseconds within which news of load are gathered into one message: under a pass of an engine. */
-const tellDelay = 3;
+/** Collects changes into one message; shorter than an engine iteration. */
+const updateDelayMs = 3;
 
-/** Milliseconds within which a relay gathers what it tells the other domains: who knows less of other hosts chooses worse. */
-const relayDelay = 8;
+/** How long a relay collects changes for the other domains; kept short, as outdated load information leads to worse placements. */
+const otherDomainsDelayMs = 8;
 
 /**
- * Milliseconds within which a relay gathers news for its own domain, and for which what it gathered waits for others to the same host,
- * where nobody asks for them.
+ * How long a relay collects changes for its own domain, and how long a message then waits to be sent together with others to the same
+ * host, unless that host requests them.
  */
-const domainDelay = 50;
-const linkDelay = 50;
+const domainDelayMs = 50;
+const linkDelayMs = 50;
 
-/** Milliseconds after which the jobs of a host that fell silent are forgotten: most answers are over by then. */
-const silentJobs = 3000;
+/** Time after which the jobs of an unresponsive host are removed: most answers have ended by then. */
+const silentHostRetentionMs = 3000;
 
 export type NewsOptions = {
 	readonly self: string;
@@ -38,191 +39,190 @@
 	readonly load: Load;
 	readonly peers: Peers;
 	readonly now: () => number;
-	/** How an engine spends its time, if it is known. */
+	/** Timing model of an engine, if known. */
 	readonly modelAt: (upstream: string) => EngineModel | undefined;
-	/** A peer has found an upstream not to be there. */
+	/** Called when a peer reports an upstream unreachable or replaced. */
 	readonly absent: (absence: Absence) => void;
-	/** Another host of this failure domain has sent a request. */
+	/** Called for each new job of another host of this failure domain. */
 	readonly sent: (job: Job) => void;
 };
 
-/** What news may tell of a job that could go on elsewhere. */
+/** Notified of changes that may make it worthwhile to reroute a job. */
 export type Moves = {
-	/** Another one was first at an engine of it. */
+	/** Another host's job started earlier at one of the job's engines. */
 	readonly met: () => void;
-	/** A long prompt will be read at the engine that writes it: what it loses by staying, in requests of usual worth. */
+	/** The prefill of a long prompt will interrupt the job's decode: the loss of staying, in requests of usual weight. */
 	readonly disturbed: (loss: number) => void;
 };
 
 export class News {
 	readonly #options: NewsOptions;
-	/** Own jobs that could go on elsewhere. */
-	readonly #movable = new Map<string, Moves>();
-	/** What this host did. */
-	readonly #own = new Bundle(tellDelay, changes => {
-		this.#tellOwn(changes);
+	/** Listeners of own jobs that could be rerouted, by job. */
+	readonly #reroutable = new Map<string, Moves>();
+	/** Changes of this host's own jobs. */
+	readonly #ownChanges = new LoadBatch(updateDelayMs, changes => {
+		this.#sendOwnChanges(changes);
 	});
 
-	/** What this host, as a relay, passes on to its failure domain, and to the others. */
-	readonly #forDomain = new Bundle(domainDelay, changes => {
-		this.#options.peers.tellDomain(this.#message(changes), linkDelay);
+	/** Changes that this host forwards to its failure domain as a relay, and those for the other domains. */
+	readonly #domainChanges = new LoadBatch(domainDelayMs, changes => {
+		this.#options.peers.sendToDomain(this.#createUpdate(changes), linkDelayMs);
 	});
 
-	readonly #forOthers = new Bundle(relayDelay, changes => {
-		this.#options.peers.tellForeign(this.#message(changes, 'domain'));
+	readonly #otherDomainsChanges = new LoadBatch(otherDomainsDelayMs, changes => {
+		this.#options.peers.sendToOtherDomains(this.#createUpdate(changes, 'domain'));
 	});
 
-	readonly #inquiry = new Inquiry((relay, ask) => {
+	readonly #loadRequester = new LoadRequester((relay, ask) => {
 		this.#options.peers.send(relay, {type: 'load-wanted', ask});
 	});
 
-	/** Relay that knows all that this host has sent; undefined if that is this host. */
-	#informed: string | undefined;
+	/** Relay that has received all jobs of this host; undefined if this host is the relay. */
+	#informedRelay: string | undefined;
 
-	/**
-	 * @param options - What is told to whom.
-	 */
 	constructor(options: NewsOptions) {
 		this.#options = options;
 	}
 
 	/**
-	 * @param job - Job that this host sent.
+	 * @param job - Job that this host has just started.
 	 */
 	begin(job: Job): void {
 		const {load, now} = this.#options;
 		load.begin(job, now());
-		this.#own.add({began: [job]});
-		this.#warn(job);
+		this.#ownChanges.add({began: [job]});
+		this.#notifyDisturbed(job);
 	}
 
 	/**
-	 * @param id - Own job whose first byte has come.
+	 * @param id - Own job whose first byte has arrived.
 	 */
 	progress(id: string): void {
 		const {load, now} = this.#options;
 		load.progress(id, now());
-		this.#own.add({progressed: [id]});
+		this.#ownChanges.add({progressed: [id]});
 	}
 
 	/**
-	 * @param id - Own job that is over.
+	 * @param id - Own job that has ended.
 	 */
 	end(id: string): void {
 		const {load, now} = this.#options;
-		this.#movable.delete(id);
+		this.#reroutable.delete(id);
 		load.end(id, now());
-		this.#own.add({ended: [id]});
+		this.#ownChanges.add({ended: [id]});
 	}
 
 	/**
-	 * @param absence - Upstream that this host has found not to be there.
+	 * @param absence - Upstream that this host found unreachable or replaced.
 	 */
 	tellAbsence(absence: Absence): void {
-		this.#own.add({absences: [absence]});
+		this.#ownChanges.add({absences: [absence]});
 	}
 
 	/**
-	 * @param id - Own job that could go on elsewhere.
-	 * @param moves - Told of news that speak for it.
+	 * @param id - Own job that could be rerouted.
+	 * @param moves - Notified until the job ends.
 	 */
 	watch(id: string, moves: Moves): void {
-		this.#movable.set(id, moves);
+		this.#reroutable.set(id, moves);
 	}
 
 	/**
-	 * @param host - Host that is linked now: it learns what it cannot learn from others.
-	 * @param send - Tells it.
+	 * Sends a newly linked host the jobs that it can't get from others.
+	 *
+	 * @param host - Host.
+	 * @param send - Sends a message over the new link.
 	 */
 	joined(host: Host, send: (message: Message) => void): void {
 		const {load, now, self, peers, failureDomain} = this.#options;
 		if (!peers.isLargeFleet) {
 			load.forgetHost(host.name, now());
-			send(this.#message({began: load.jobsOf(self)}));
+			send(this.#createUpdate({began: load.jobsOf(self)}));
 			return;
 		}
 
-		const relay = this.#relay();
+		const relay = this.#findRelay();
 		if (relay === host.name) {
-			this.#inform(relay);
+			this.#sendOwnJobs(relay);
 		} else if (relay === undefined && host.failureDomain === failureDomain) {
-			send(this.#message({began: load.all.filter(job => job.host !== host.name)}));
+			send(this.#createUpdate({began: load.all.filter(job => job.host !== host.name)}));
 		} else if (relay === undefined) {
-			const own = new Set([self, ...peers.hostsOf(failureDomain)]);
-			send(this.#message({began: load.all.filter(job => own.has(job.host))}, 'domain'));
+			const own = new Set([self, ...peers.listDomainHosts(failureDomain)]);
+			send(this.#createUpdate({began: load.all.filter(job => own.has(job.host))}, 'domain'));
 		}
 	}
 
-	/** Learns what the relay knows, where news come through one; settles within a bounded time. */
+	/** Requests the pending updates of this host's relay, if there is one; resolves within a bounded time. */
 	async refresh(): Promise<void> {
-		const relay = this.#options.peers.isLargeFleet ? this.#relay() : undefined;
+		const relay = this.#options.peers.isLargeFleet ? this.#findRelay() : undefined;
 		if (relay !== undefined) {
-			await this.#inquiry.ask(relay);
+			await this.#loadRequester.requestUpdates(relay);
 		}
 	}
 
 	/**
-	 * Tells a host what this one knows, then that it has.
+	 * Sends a host all pending updates, then the response.
 	 *
-	 * @param from - Host that asks.
-	 * @param wanted - Its question.
+	 * @param from - Requester.
+	 * @param request - Request.
 	 */
-	wanted(from: Host, {ask}: LoadWanted): void {
-		this.#own.flush();
-		this.#forDomain.flush();
+	wanted(from: Host, {ask}: LoadRequest): void {
+		this.#ownChanges.flush();
+		this.#domainChanges.flush();
 		this.#options.peers.send(from.name, {type: 'load-told', ask});
 	}
 
 	/**
-	 * @param from - Relay that answers a question.
-	 * @param told - Its answer.
+	 * @param from - Relay that responds.
+	 * @param response - Response.
 	 */
-	told(from: Host, told: LoadTold): void {
-		this.#inquiry.answered(from.name, told);
+	told(from: Host, response: LoadResponse): void {
+		this.#loadRequester.handleResponse(from.name, response);
 	}
 
 	/**
-	 * @param from - Host that told.
-	 * @param news - News of its own, or of others that it passes on.
+	 * @param from - Sender.
+	 * @param update - Changes of the sender's own jobs, or of others' jobs that it forwards.
 	 */
-	heard(from: Host, news: LoadNews): void {
+	heard(from: Host, update: LoadUpdate): void {
 		const {load, now, self} = this.#options;
-		const began = news.began.map(told => heard(told, from.name, now())).filter(job => job.host !== self);
-		this.#noteSent(began);
+		const began = update.began.map(wireJob => heard(wireJob, from.name, now())).filter(job => job.host !== self);
+		this.#reportDomainJobs(began);
 		for (const job of began) {
 			load.begin(job, now());
-			this.#warn(job);
-			this.#yield(job);
+			this.#notifyDisturbed(job);
+			this.#notifyPreceded(job);
 		}
 
-		for (const id of news.progressed) {
+		for (const id of update.progressed) {
 			load.progress(id, now());
 		}
 
-		for (const id of news.ended) {
+		for (const id of update.ended) {
 			load.end(id, now());
 		}
 
-		const absences = (news.absences ?? []).filter(absence => holdsAt(absence, from.failureDomain, this.#options.failureDomain));
+		const absences = (update.absences ?? []).filter(absence => holdsAt(absence, from.failureDomain, this.#options.failureDomain));
 		for (const absence of absences) {
 			this.#options.absent(absence);
 		}
 
-		this.#passOn({
-			began, progressed: news.progressed, ended: news.ended, absences,
-		}, news.audience);
+		this.#forward({
+			began, progressed: update.progressed, ended: update.ended, absences,
+		}, update.audience);
 	}
 
 	/**
-	 * @param news - Hosts that a peer has lost; those that are linked with this one live.
+	 * @param message - Hosts that a peer has lost; those that are linked with this one are alive and keep their jobs.
 	 */
 	heardLost({hosts, audience}: HostsLost): void {
 		this.#forgetUnlinked(hosts, audience);
 	}
 
 	/**
-	 * @param host - Host that is linked no more.
-	 * @param reason - Why.
+	 * @param host - Host whose link was closed.
+	 * @param reason - Reason.
 	 */
 	lost(host: Host, reason: string): void {
 		const {peers, failureDomain} = this.#options;
@@ -231,27 +231,27 @@
 		}
 
 		if (reason !== 'silent') {
-			this.#forget([host.name], 'fleet');
+			this.#forgetHosts([host.name], 'fleet');
 			return;
 		}
 
 		setTimeout(() => {
-			const isDomain = peers.isLargeFleet && host.failureDomain !== failureDomain;
-			if (!isDomain) {
+			const isOtherDomain = peers.isLargeFleet && host.failureDomain !== failureDomain;
+			if (!isOtherDomain) {
 				this.#forgetUnlinked([host.name], 'fleet');
 			} else if (!peers.hosts.some(each => each.failureDomain === host.failureDomain)) {
-				this.#forgetUnlinked(peers.hostsOf(host.failureDomain), 'domain');
+				this.#forgetUnlinked(peers.listDomainHosts(host.failureDomain), 'domain');
 			}
-		}, silentJobs);
+		}, silentHostRetentionMs);
 	}
 
 	#forgetUnlinked(hosts: readonly string[], audience: HostsLost['audience']): void {
 		const linked = new Set(this.#options.peers.hosts.map(host => host.name));
-		this.#forget(hosts.filter(name => !linked.has(name)), audience);
+		this.#forgetHosts(hosts.filter(name => !linked.has(name)), audience);
 	}
 
-	/** Forgets the jobs of hosts that are gone, and tells those who can't know it. */
-	#forget(hosts: readonly string[], audience: HostsLost['audience']): void {
+	/** Removes the jobs of failed or stopped hosts, and notifies the hosts that aren't linked with them. */
+	#forgetHosts(hosts: readonly string[], audience: HostsLost['audience']): void {
 		const {load, now, peers} = this.#options;
 		for (const name of hosts) {
 			load.forgetHost(name, now());
@@ -261,30 +261,30 @@
 			return;
 		}
 
-		peers.tellDomain({type: 'hosts-lost', hosts: [...hosts]});
+		peers.sendToDomain({type: 'hosts-lost', hosts: [...hosts]});
 		if (audience === 'fleet') {
-			peers.tellForeign({type: 'hosts-lost', hosts: [...hosts], audience: 'domain'});
+			peers.sendToOtherDomains({type: 'hosts-lost', hosts: [...hosts], audience: 'domain'});
 		}
 	}
 
-	/** Notes what other hosts of this failure domain have sent, once for each job though news may come over two ways. */
-	#noteSent(began: readonly Job[]): void {
+	/** Reports new jobs of other hosts of this failure domain, once per job although updates may arrive over two paths. */
+	#reportDomainJobs(began: readonly Job[]): void {
 		if (began.length === 0) {
 			return;
 		}
 
 		const {load, peers, failureDomain, sent} = this.#options;
-		const neighbours = new Set(peers.hostsOf(failureDomain));
+		const domainHosts = new Set(peers.listDomainHosts(failureDomain));
 		for (const job of began) {
-			if (neighbours.has(job.host) && !load.isKnown(job.id)) {
+			if (domainHosts.has(job.host) && !load.isKnown(job.id)) {
 				sent(job);
 			}
 		}
 	}
 
-	/** Warns own streams of the reading of a new job. */
-	#warn(job: Job): void {
-		if (job.readPerPass < harmfulReading || this.#movable.size === 0) {
+	/** Notifies own streams whose decode the prefill of a new job will interrupt for too long. */
+	#notifyDisturbed(job: Job): void {
+		if (job.readPerPass < harmfulReading || this.#reroutable.size === 0) {
 			return;
 		}
 
@@ -292,15 +292,15 @@
 		for (const upstream of [job.upstream, ...job.helpers]) {
 			const model = modelAt(upstream);
 			for (const {job: stream, loss} of model === undefined ? [] : disturbed(load.forecast(upstream, model, now()))) {
-				this.#movable.get(stream.id)?.disturbed(loss);
+				this.#reroutable.get(stream.id)?.disturbed(loss);
 			}
 		}
 	}
 
-	/** Lets own jobs look for another place that met this one at an engine. */
-	#yield(other: Job): void {
+	/** Notifies own jobs that started after another host's job at the same engine. */
+	#notifyPreceded(other: Job): void {
 		const {load, now} = this.#options;
-		for (const [id, {met}] of this.#movable) {
+		for (const [id, {met}] of this.#reroutable) {
 			const own = load.job(id);
 			if (own !== undefined && isToYield(own, other, now())) {
 				met();
@@ -308,70 +308,70 @@
 		}
 	}
 
-	/** Relay of this failure domain; undefined if that is this host. */
-	#relay(): string | undefined {
+	/** Returns the relay of this failure domain; undefined if that is this host. */
+	#findRelay(): string | undefined {
 		const {peers, self} = this.#options;
 		const [first] = peers.relays;
 		return first === self ? undefined : first;
 	}
 
-	#tellOwn(changes: Changes): void {
+	#sendOwnChanges(changes: LoadChanges): void {
 		const {peers} = this.#options;
 		if (!peers.isLargeFleet) {
-			peers.broadcast(this.#message(changes));
-			peers.noteLoad();
+			peers.broadcast(this.#createUpdate(changes));
+			peers.recordLoadBroadcast();
 			return;
 		}
 
-		const relay = this.#relay();
-		if (relay !== this.#informed) {
-			this.#inform(relay);
+		const relay = this.#findRelay();
+		if (relay !== this.#informedRelay) {
+			this.#sendOwnJobs(relay);
 		}
 
 		if (relay === undefined) {
-			this.#passOn(changes, 'fleet');
+			this.#forward(changes, 'fleet');
 		} else {
-			peers.send(relay, this.#message(changes, 'fleet'));
+			peers.send(relay, this.#createUpdate(changes, 'fleet'));
 		}
 	}
 
-	/** Tells a new relay all that this host has sent: the one before may not have passed everything on. */
-	#inform(relay: string | undefined): void {
+	/** Sends a new relay all jobs of this host: the previous one may not have forwarded all of them. */
+	#sendOwnJobs(relay: string | undefined): void {
 		const {load, peers, self} = this.#options;
-		this.#informed = relay;
+		this.#informedRelay = relay;
 		if (relay !== undefined) {
-			peers.send(relay, this.#message({began: load.jobsOf(self)}, 'fleet'));
+			peers.send(relay, this.#createUpdate({began: load.jobsOf(self)}, 'fleet'));
 		}
 	}
 
-	#passOn(changes: Changes, audience: LoadNews['audience']): void {
+	#forward(changes: LoadChanges, audience: LoadUpdate['audience']): void {
 		if (audience === undefined) {
 			return;
 		}
 
-		this.#forDomain.add(changes);
+		this.#domainChanges.add(changes);
 		if (audience === 'fleet') {
-			this.#forOthers.add({...changes, absences: changes.absences.filter(absence => absence.isForAll)});
+			this.#otherDomainsChanges.add({...changes, absences: changes.absences.filter(absence => absence.isForAll)});
 		}
 
-		this.#hurry(changes.began);
+		this.#flushAffectedHosts(changes.began);
 	}
 
-	/** Tells at once the hosts that may have to move a request because of what has begun. */
-	#hurry(began: readonly Job[]): void {
+	/** Sends pending updates at once to the hosts that may have to reroute a request because of new jobs. */
+	#flushAffectedHosts(began: readonly Job[]): void {
 		const {load, peers, now} = this.#options;
-		const concerned = new Set(began.flatMap(job => load.companions(job).filter(each => mayMove(each, job, now())).map(each => each.host)));
-		if (concerned.size === 0) {
+		const affectedHosts = new Set(began.flatMap(job => load.companions(job).filter(each => mayMove(each, job, now())).map(each => each.host)));
+		if (affectedHosts.size === 0) {
 			return;
 		}
 
-		this.#forDomain.flush();
-		for (const host of concerned) {
+		this.#domainChanges.flush();
+		for (const host of affectedHosts) {
 			peers.flush(host);
 		}
 	}
 
-	#message({began = [], progressed = [], ended = [], absences = []}: Partial<Changes>, audience?: LoadNews['audience']): LoadNews {
+	#createUpdate({began = [], progressed = [], ended = [], absences = []}: Partial<LoadChanges>, audience?: LoadUpdate['audience']): LoadUpdate {
 		const {self, now} = this.#options;
 		return {
 			type: 'load',
--- a/src/gateway/peers/__tests__/silence.test.ts
+++ b/src/gateway/peers/__tests__/silence-detector.test.ts
@@ -1,4 +1,4 @@
-/** Failure domains that fall silent, as a host of a large fleet sees it. */
+/** Detection of silent failure domains in a large fleet. */
 import {once} from 'node:events';
 import {createConnection, type Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -18,7 +18,7 @@
 	};
 }
 
-/** Connects as a host that says who it is. */
+/** Connects to a host and sends the handshake of another one. */
 async function connect(self: Host, port: number, known: readonly Host[]): Promise<Socket> {
 	const socket = createConnection({host: loopback, port});
 	socket.on('error', ignore);
@@ -30,11 +30,11 @@
 it.each([
 	['a relay', 0, ['b']],
 	['another host', 2, []],
-] as const)('are told by the links of %s', {timeout: 20_000}, async (_, rank, expected) => {
+] as const)('finds the expected silent failure domains as %s', {timeout: 20_000}, async (_, rank, expected) => {
 	const own = [0, 1, 2].map(index => hostAt(index, 'a'));
 	const ranked = [...relaysOf('a', own), ...own].filter((host, index, all) => all.indexOf(host) === index);
 	const self = {...ranked[rank]!, address: {host: loopback, port: await takePort()}};
-	// None of these listens: the host learns of a large fleet, and links with those that connect.
+	// None of these listens: the host knows a large fleet, but links only with the hosts that connect to it.
 	const fleet = Array.from({length: 15}, (_each, index) => hostAt(10 + index, 'c', 2 + index));
 	await using peers = new Peers({
 		self, seeds: [], log: {write: ignore}, now, events: {joined: ignore, message: ignore, lost: ignore},
@@ -43,14 +43,14 @@
 	const others = ranked.filter(host => host.name !== self.name);
 	const sockets = await Promise.all([...others, hostAt(9, 'b', 30)].map(async host => connect(host, self.address.port, fleet)));
 	await expect.poll(() => peers.hosts.length).toBe(3);
-	const beats = setInterval(() => {
+	const heartbeats = setInterval(() => {
 		for (const socket of sockets.slice(0, -1)) {
 			socket.write(encode({type: 'heartbeat'}));
 		}
 	}, 300);
 	await sleep(2800);
 	expect([...peers.unreachableDomains(now())]).toEqual(expected);
-	clearInterval(beats);
+	clearInterval(heartbeats);
 	for (const socket of sockets) {
 		socket.destroy();
 	}
--- a/src/gateway/peers/__tests__/start.test.ts
+++ b/src/gateway/peers/__tests__/start.test.ts
@@ -1,4 +1,4 @@
-/** Hosts that start together, as after a loss of power: each is to hear of the others before callers come back. */
+/** Hosts that start together, as after a power failure, must discover each other before callers return. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
 	afterEach, beforeEach, expect, it, vi,
@@ -10,7 +10,7 @@
 
 const loopback = '127.0.0.1';
 
-/** Milliseconds on the hosts' clock: heartbeats come each 500 of them, and only when the test lets time pass. */
+/** Milliseconds on the hosts' clock: heartbeats are sent every 500 ms, and only when the test advances the clock. */
 let clock = 0;
 
 beforeEach(() => {
@@ -22,7 +22,7 @@
 	vi.useRealTimers();
 });
 
-function pass(time: number): void {
+function advance(time: number): void {
 	clock += time;
 	vi.advanceTimersByTime(time);
 }
@@ -36,7 +36,7 @@
 	});
 }
 
-async function linked(peers: Peers, count: number): Promise<void> {
+async function expectLinked(peers: Peers, count: number): Promise<void> {
 	for (const end = performance.now() + 5000; performance.now() < end && peers.hosts.length < count;) {
 		await sleep(5);
 	}
@@ -44,19 +44,19 @@
 	expect(peers.hosts.length).toBe(count);
 }
 
-it('a host that was there before its seed is linked before the next heartbeat', async () => {
+it('a host that started before its seed is linked before the next heartbeat', async () => {
 	const [early, seed] = [await takePort(), await takePort()];
 	await using first = peersOf('early', early, seed);
 	await first.start();
-	// The seed's refusal comes within this, as nothing else happens.
+	// Leaves time for the first dial to be refused by the seed's port, and nothing else.
 	await sleep(200);
 	await using second = peersOf('seed', seed, seed);
 	await second.start();
-	pass(150);
-	await linked(first, 1);
+	advance(150);
+	await expectLinked(first, 1);
 });
 
-it('hosts that hear of each other from a seed are linked without a heartbeat', async () => {
+it('hosts that discover each other through a seed are linked without a heartbeat', async () => {
 	const ports = [await takePort(), await takePort(), await takePort()] as const;
 	await using seed = peersOf('seed', ports[0], ports[0]);
 	await seed.start();
@@ -64,6 +64,6 @@
 	await first.start();
 	await using second = peersOf('second', ports[2], ports[0]);
 	await second.start();
-	await linked(first, 2);
-	await linked(second, 2);
+	await expectLinked(first, 2);
+	await expectLinked(second, 2);
 });
--- a/src/gateway/peers/__tests__/topology.test.ts
+++ b/src/gateway/peers/__tests__/topology.test.ts
@@ -1,9 +1,9 @@
-/** Who is linked with whom, alike on every host, and how little it grows with the fleet. */
+/** Selection of links: the same on every host, and with few links per host in a large fleet. */
 import {describe, expect, it} from 'vitest';
 import {type Host} from '../messages.js';
-import {neighbours, relaysOf} from '../topology.js';
+import {selectNeighbours, relaysOf} from '../topology.js';
 
-function fleet(domains: number, perDomain: number): readonly Host[] {
+function createFleet(domains: number, perDomain: number): readonly Host[] {
 	return Array.from({length: domains * perDomain}, (_, index) => ({
 		name: `host-${index}`,
 		failureDomain: `domain-${index % domains}`,
@@ -12,25 +12,25 @@
 	}));
 }
 
-function linksOf(hosts: readonly Host[]): ReadonlyMap<string, readonly Host[]> {
-	return new Map(hosts.map(host => [host.name, neighbours(host, hosts.filter(each => each !== host))]));
+function selectLinks(hosts: readonly Host[]): ReadonlyMap<string, readonly Host[]> {
+	return new Map(hosts.map(host => [host.name, selectNeighbours(host, hosts.filter(each => each !== host))]));
 }
 
 describe('links of a large fleet', () => {
-	it.each([[3, 10], [4, 18], [8, 43]])('are two for each host, and a few more for relays (%i domains of %i)', (domains, perDomain) => {
-		const hosts = fleet(domains, perDomain);
-		const links = linksOf(hosts);
+	it.each([[3, 10], [4, 18], [8, 43]])('are two per host, and a few more for relays (%i domains of %i)', (domains, perDomain) => {
+		const hosts = createFleet(domains, perDomain);
+		const links = selectLinks(hosts);
 		for (const host of hosts) {
 			const isRelay = relaysOf(host.failureDomain, hosts).includes(host);
 			expect(links.get(host.name)).toHaveLength(isRelay ? 1 + (2 * (domains - 1)) : 2);
 		}
 	});
 
-	it('lead from every host to every other one while any one host is gone', () => {
-		const all = fleet(4, 18);
+	it('connect all hosts while any one host is down', () => {
+		const all = createFleet(4, 18);
 		for (const gone of all) {
 			const hosts = all.filter(host => host !== gone);
-			const links = linksOf(hosts);
+			const links = selectLinks(hosts);
 			const reached = new Set<string>();
 			const next = [hosts[0]!.name];
 			const both = new Map<string, Set<string>>();
@@ -52,19 +52,19 @@
 		}
 	});
 
-	it('lead through the hosts with the most processor time, and through others only when these are gone', () => {
-		const hosts = fleet(1, 20).map((host, index) => ({...host, capacity: [4, 11].includes(index) ? 1.35 : 0.324}));
+	it('lead through the hosts with the most processor time, and through others only when these are down', () => {
+		const hosts = createFleet(1, 20).map((host, index) => ({...host, capacity: [4, 11].includes(index) ? 1.35 : 0.324}));
 		const names = (among: readonly Host[]) => relaysOf('domain-0', among).map(host => host.name);
 		expect(names(hosts).toSorted()).toEqual(['host-11', 'host-4']);
 		const [first, second] = names(hosts.filter(host => host.name !== 'host-4'));
 		expect([first, second]).toEqual(['host-11', names(hosts.filter(host => host.capacity < 1))[0]]);
 	});
 
-	it('move only where a relay comes or goes', () => {
-		const hosts = fleet(4, 18);
-		const before = linksOf(hosts);
+	it('change only when a relay is added or removed', () => {
+		const hosts = createFleet(4, 18);
+		const before = selectLinks(hosts);
 		const plain = hosts.find(host => !relaysOf(host.failureDomain, hosts).includes(host))!;
-		const after = linksOf(hosts.filter(host => host !== plain));
+		const after = selectLinks(hosts.filter(host => host !== plain));
 		for (const [name, linked] of after) {
 			expect(new Set(linked)).toEqual(new Set(before.get(name)));
 		}
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/link.ts
@@ -1,4 +1,4 @@
-/** One TCP connection to another host: frames in and out, silence and buffers bounded. */
+/** One TCP connection to another host, which reads and writes framed messages and bounds the send buffer. */
 import {Buffer} from 'node:buffer';
 import {type Socket} from 'node:net';
 import {messageOf} from '../../core/index.js';
@@ -6,8 +6,8 @@
 	encode, messageReader, type Hello, type Message,
 } from './messages.js';
 
-/** Bytes that may wait for a slow peer before its connection is given up. */
-const sendBuffer = 4_000_000;
+/** Unsent data above which the connection to a slow peer is closed. */
+const maxSendBufferBytes = 4_000_000;
 
 export type LinkEvents = {
 	readonly hello: (link: Link, hello: Hello) => void;
@@ -15,23 +15,22 @@
 	readonly closed: (link: Link, reason: string) => void;
 };
 
-/** A connection from its first byte to its last. */
 export class Link {
-	/** Whether this host opened it. */
+	/** Whether this host opened the connection. */
 	readonly isDialled: boolean;
 	readonly #socket: Socket;
 	readonly #reader = messageReader();
 	readonly #events: LinkEvents;
-	/** Frames that wait to be sent together. */
-	#waiting: Uint8Array[] = [];
-	#timer: NodeJS.Timeout | undefined;
-	#greeting: Hello | undefined;
-	#reason = 'closed by the peer';
+	/** Frames to be sent with one system call. */
+	#pendingFrames: Uint8Array[] = [];
+	#flushTimer: NodeJS.Timeout | undefined;
+	#hello: Hello | undefined;
+	#closeReason = 'closed by the peer';
 
 	/**
-	 * @param socket - Connection.
-	 * @param isDialled - Whether this host opened it.
-	 * @param events - Told of what comes.
+	 * @param socket - Connected socket, owned by the link from now on.
+	 * @param isDialled - Whether this host opened the connection.
+	 * @param events - Listeners.
 	 */
 	constructor(socket: Socket, isDialled: boolean, events: LinkEvents) {
 		this.isDialled = isDialled;
@@ -39,93 +38,94 @@
 		this.#events = events;
 		socket.setNoDelay(true);
 		socket.on('data', chunk => {
-			this.#read(chunk);
+			this.#readMessages(chunk);
 		});
 		socket.on('error', error => {
-			this.#reason = error.message;
+			this.#closeReason = error.message;
 		});
 		socket.on('end', () => {
 			socket.destroy();
 		});
 		socket.on('close', () => {
-			clearTimeout(this.#timer);
-			events.closed(this, this.#reason);
+			clearTimeout(this.#flushTimer);
+			events.closed(this, this.#closeReason);
 		});
 	}
 
-	/** The peer's first message, once it has come. */
-	get greeting(): Hello | undefined {
-		return this.#greeting;
+	/** The peer's handshake, once received. */
+	get hello(): Hello | undefined {
+		return this.#hello;
 	}
 
 	/**
-	 * @param bytes - Frame to send, after those that wait; a peer that takes nothing loses its connection.
+	 * Sends a frame after the pending ones. Closes the connection if the send buffer is full, as the peer reads too slowly.
+	 *
+	 * @param frame - Encoded message.
 	 */
-	write(bytes: Uint8Array): void {
-		this.#waiting.push(bytes);
+	write(frame: Uint8Array): void {
+		this.#pendingFrames.push(frame);
 		this.flush();
 	}
 
 	/**
 	 * Sends a frame together with others.
 	 *
-	 * @param bytes - Frame.
-	 * @param delay - Milliseconds that it may wait.
+	 * @param frame - Encoded message.
+	 * @param delay - Milliseconds that the frame may wait.
 	 */
-	writeWithin(bytes: Uint8Array, delay: number): void {
-		this.#waiting.push(bytes);
-		this.#timer ??= setTimeout(() => {
+	writeBatched(frame: Uint8Array, delay: number): void {
+		this.#pendingFrames.push(frame);
+		this.#flushTimer ??= setTimeout(() => {
 			this.flush();
 		}, delay);
 	}
 
-	/** Sends what waits, in one call of the system. */
+	/** Sends all pending frames with one system call. */
 	flush(): void {
-		clearTimeout(this.#timer);
-		this.#timer = undefined;
-		const frames = this.#waiting;
-		this.#waiting = [];
-		if (this.#socket.writableLength > sendBuffer) {
+		clearTimeout(this.#flushTimer);
+		this.#flushTimer = undefined;
+		const frames = this.#pendingFrames;
+		this.#pendingFrames = [];
+		if (this.#socket.writableLength > maxSendBufferBytes) {
 			this.close('too slow');
 		} else if (this.#socket.writable && frames.length > 0) {
 			this.#socket.write(frames.length === 1 ? frames[0]! : Buffer.concat(frames));
 		}
 	}
 
-	/**
-	 * @param message - Message to send.
-	 */
 	send(message: Message): void {
 		this.write(encode(message));
 	}
 
-	/** Closes once everything has been sent. */
-	finish(): void {
+	/** Sends all pending frames, then closes the connection. */
+	closeAfterFlush(): void {
 		this.flush();
 		this.#socket.end();
 	}
 
 	/**
-	 * @param reason - Why it is closed, for the log.
+	 * Closes the connection at once and drops what hasn't been sent.
+	 *
+	 * @param reason - Reason for the log.
 	 */
 	close(reason: string): void {
 		if (!this.#socket.destroyed) {
-			this.#reason = reason;
+			this.#closeReason = reason;
 			this.#socket.destroy();
 		}
 	}
 
-	#read(chunk: Uint8Array): void {
+	#readMessages(chunk: Uint8Array): void {
 		try {
 			for (const message of this.#reader.push(chunk)) {
-				this.#take(message);
+				this.#handleMessage(message);
 			}
 		} catch (error) {
 			this.close(messageOf(error));
 		}
 	}
 
-	#take(message: Message): void {
+	#handleMessage(message: Message): void {
 		if (this.#socket.destroyed) {
 			return;
 		}
@@ -135,7 +135,7 @@
 			return;
 		}
 
-		this.#greeting = message;
+		this.#hello = message;
 		this.#events.hello(this, message);
 	}
 }
--- a/src/gateway/peers/messages.ts
+++ b/src/gateway/peers/messages.ts
@@ -1,33 +1,33 @@
-/** What hosts tell each other: who they are, what they sent to upstreams, and which requests crash engines. */
+/** Messages between hosts: handshake, heartbeats, load updates, crash reports and state. */
 import {Encoder} from 'cbor-x';
 import {z} from 'zod';
 import {raise} from '../../core/index.js';
 import {type Job} from '../../core/gateway/load.js';
 import {frame, FrameReader} from '../../protocol/frames.js';
-import {configurationMessageSchema, stateSchema, stateWantedSchema} from './state.js';
+import {configurationMessageSchema, stateSchema, stateRequestSchema} from './state.js';
 
-const text = z.string().max(256);
+const shortText = z.string().max(256);
 const amount = z.number();
-const listLimit = 4096;
-const address = z.object({host: text.min(1), port: z.number().int().min(1).max(65_535)});
-
-const host = z.object({
-	name: text.min(1),
-	failureDomain: text,
-	address,
-	/** Wall-clock start: a restarted host has another. */
+const maxListLength = 4096;
+const addressSchema = z.object({host: shortText.min(1), port: z.number().int().min(1).max(65_535)});
+
+const hostSchema = z.object({
+	name: shortText.min(1),
+	failureDomain: shortText,
+	address: addressSchema,
+	/** Wall-clock start time, which tells a restarted host from its former process. */
 	started: amount,
-	/** Cores that it may use. */
+	/** Processor cores that the host may use. */
 	capacity: amount.optional(),
 });
 
-/** A job as told: times are relative to the telling, so that clocks need not agree. */
-const job = z.object({
-	id: text,
-	/** Host that sent it, where that is not the one that tells. */
-	host: text.optional(),
-	upstream: text,
-	helpers: z.array(text).max(64),
+/** A job on the wire. Its times are relative to the time of sending, so that clocks needn't agree. */
+const jobSchema = z.object({
+	id: shortText,
+	/** Host that owns the job; absent if it is the sender. */
+	host: shortText.optional(),
+	upstream: shortText,
+	helpers: z.array(shortText).max(64),
 	prompt: amount,
 	answer: amount,
 	isHeld: z.boolean(),
@@ -43,71 +43,71 @@
 	firstByteAge: amount.optional(),
 });
 
-/** An upstream that was found not to be there. */
-const absence = z.object({upstream: text, reason: z.enum(['refused', 'replaced', 'silent']), isForAll: z.boolean()});
+/** An upstream that could not be reached, or that another process has replaced. */
+const absenceSchema = z.object({upstream: shortText, reason: z.enum(['refused', 'replaced', 'silent']), isForAll: z.boolean()});
 
-/** An upstream that broke down while a request ran there. */
-const crash = z.object({
-	fingerprint: text, id: text, upstream: text, started: amount.optional(),
+/** A crash of an upstream while it ran a request. */
+const crashSchema = z.object({
+	fingerprint: shortText, id: shortText, upstream: shortText, started: amount.optional(),
 });
 
 /**
- * Whom a relay passes a message on to: the hosts of its failure domain alone, or the relays of the others as well. Absent
- * where it is meant for the receiver.
+ * Where a relay forwards a message: to the hosts of its failure domain only, or to the relays of the other domains as well. Absent if
+ * the message is for the receiver only.
  */
-const audience = z.enum(['domain', 'fleet']).optional();
+const audienceSchema = z.enum(['domain', 'fleet']).optional();
 
 const messageSchema = z.discriminatedUnion('type', [
-	z.object({type: z.literal('hello'), from: host, known: z.array(host).max(listLimit)}),
+	z.object({type: z.literal('hello'), from: hostSchema, known: z.array(hostSchema).max(maxListLength)}),
 	z.object({
 		type: z.literal('heartbeat'),
-		/** Some of the hosts that the sender is linked with. */
-		known: z.array(host).max(listLimit).optional(),
-		/** Failure domains that the sender, a relay, hears nothing of. */
-		silent: z.array(text).max(listLimit).optional(),
+		/** A sample of the hosts that the sender is linked with. */
+		known: z.array(hostSchema).max(maxListLength).optional(),
+		/** Failure domains from which the sender, a relay, receives nothing. */
+		silent: z.array(shortText).max(maxListLength).optional(),
 	}),
-	/** The sender needs this link no more and closes it; it is not gone. */
+	/** The sender no longer needs this link and closes it; the sender itself goes on. */
 	z.object({type: z.literal('release')}),
 	z.object({
 		type: z.literal('load'),
-		began: z.array(job).max(listLimit),
-		progressed: z.array(text).max(listLimit),
-		ended: z.array(text).max(listLimit),
-		absences: z.array(absence).max(listLimit).optional(),
-		audience,
+		began: z.array(jobSchema).max(maxListLength),
+		progressed: z.array(shortText).max(maxListLength),
+		ended: z.array(shortText).max(maxListLength),
+		absences: z.array(absenceSchema).max(maxListLength).optional(),
+		audience: audienceSchema,
 	}),
-	/** Asks a relay to send at once the news of load that it has. */
+	/** Requests the load updates that a relay holds back for batching. */
 	z.object({type: z.literal('load-wanted'), ask: amount}),
-	/** All that the relay knew when it was asked has been told before. */
+	/** Response to `load-wanted`: all updates that the relay had at the time of the request precede it. */
 	z.object({type: z.literal('load-told'), ask: amount}),
-	/** Hosts that are gone: what they sent has ended. */
-	z.object({type: z.literal('hosts-lost'), hosts: z.array(text).max(listLimit), audience}),
-	z.object({type: z.literal('crash'), crash}),
-	/** Crashes that were none: the request was answered, or the upstream runs on. */
-	z.object({type: z.literal('acquittal'), crashes: z.array(crash).max(listLimit)}),
-	stateWantedSchema,
+	/** Failed or stopped hosts, whose jobs have ended. */
+	z.object({type: z.literal('hosts-lost'), hosts: z.array(shortText).max(maxListLength), audience: audienceSchema}),
+	z.object({type: z.literal('crash'), crash: crashSchema}),
+	/** Withdraws suspected crashes: the request was answered, or the upstream still runs. */
+	z.object({type: z.literal('acquittal'), crashes: z.array(crashSchema).max(maxListLength)}),
+	stateRequestSchema,
 	configurationMessageSchema,
 	stateSchema,
 ]);
 
-export type Host = Readonly<z.infer<typeof host>>;
-export type ToldJob = Readonly<z.infer<typeof job>>;
+export type Host = Readonly<z.infer<typeof hostSchema>>;
+export type ToldJob = Readonly<z.infer<typeof jobSchema>>;
 export type Message = z.infer<typeof messageSchema>;
-export type LoadNews = Extract<Message, {readonly type: 'load'}>;
-export type LoadWanted = Extract<Message, {readonly type: 'load-wanted'}>;
-export type LoadTold = Extract<Message, {readonly type: 'load-told'}>;
+export type LoadUpdate = Extract<Message, {readonly type: 'load'}>;
+export type LoadRequest = Extract<Message, {readonly type: 'load-wanted'}>;
+export type LoadResponse = Extract<Message, {readonly type: 'load-told'}>;
 export type HostsLost = Extract<Message, {readonly type: 'hosts-lost'}>;
 export type Heartbeat = Extract<Message, {readonly type: 'heartbeat'}>;
 export type Hello = Extract<Message, {readonly type: 'hello'}>;
 
-/** Bytes that a message may have: the jobs of a busy host and some room. */
-export const longestMessage = 2_000_000;
+/** Leaves room for the jobs of a busy host. */
+export const maxMessageBytes = 2_000_000;
 
 const codec = new Encoder({useRecords: true, mapsAsObjects: true, tagUint8Array: false});
 
 /**
- * @param message - Message to send.
- * @returns Its frame.
+ * @param message - Message.
+ * @returns Frame of the message.
  */
 export function encode(message: Message): Uint8Array {
 	return frame(codec.encode(message));
@@ -125,22 +125,22 @@
 	return parsed.success ? parsed.data : raise('badPeerMessage', parsed.error.issues[0]?.message ?? '');
 }
 
-/** @returns A reader of the messages of one connection. */
+/** @returns A reader of the messages of one connection; it throws `badPeerMessage` on invalid ones. */
 export function messageReader(): FrameReader<Message> {
-	return new FrameReader(decode, longestMessage);
+	return new FrameReader(decode, maxMessageBytes);
 }
 
 /**
  * @param job - Job.
- * @param self - Host that tells.
+ * @param sender - Host that sends the message.
  * @param now - Time in milliseconds.
- * @returns The job as others are told of it.
+ * @returns The job as sent to peers.
  */
-export function tell(job: Job, self: string, now: number): ToldJob {
+export function tell(job: Job, sender: string, now: number): ToldJob {
 	const {id, upstream, helpers, prompt, answer, isHeld, read, readPerPass, pause, urgency, weight, placing} = job;
 	return {
 		id,
-		host: job.host === self ? undefined : job.host,
+		host: job.host === sender ? undefined : job.host,
 		upstream,
 		helpers: [...helpers],
 		prompt,
@@ -160,17 +160,17 @@
 }
 
 /**
- * @param told - Job as told.
- * @param from - Host that told.
+ * @param wireJob - Job as received.
+ * @param sender - Host that sent the message.
  * @param now - Time in milliseconds.
- * @returns The job on this host's clock.
+ * @returns The job, with times on this host's clock.
  */
-export function heard(told: ToldJob, from: string, now: number): Job {
-	const {id, upstream, helpers, prompt, answer, isHeld, read, readPerPass, pause, urgency, weight, placing, firstByteAge} = told;
-	// Named one by one: a copy by rest is many times slower, and each job of the fleet comes here.
+export function heard(wireJob: ToldJob, sender: string, now: number): Job {
+	const {id, upstream, helpers, prompt, answer, isHeld, read, readPerPass, pause, urgency, weight, placing, firstByteAge} = wireJob;
+	// Properties are copied one by one: a rest copy is many times slower, and this runs for every job of the fleet.
 	return {
 		id,
-		host: told.host ?? from,
+		host: wireJob.host ?? sender,
 		upstream,
 		helpers,
 		prompt,
@@ -182,9 +182,9 @@
 		urgency,
 		weight,
 		placing,
-		began: now - told.age,
-		due: now + told.due,
-		deadline: now + told.deadline,
+		began: now - wireJob.age,
+		due: now + wireJob.due,
+		deadline: now + wireJob.deadline,
 		firstByte: firstByteAge === undefined ? undefined : now - firstByteAge,
 	};
 }
--- a/src/gateway/peers/peers.ts
+++ b/src/gateway/peers/peers.ts
@@ -1,36 +1,37 @@
-/** Links to the other hosts: found through seeds and what they tell, dialled again when they are lost. */
+/** Links to the other hosts. Discovers hosts through seeds and the lists that peers send, and dials again when a link is lost. */
 import {once} from 'node:events';
 import {createServer, type Server, type Socket} from 'node:net';
 import {type Address} from '../../core/index.js';
 import {type Log} from '../../entry/logs.js';
-import {Acquaintances} from './acquaintances.js';
-import {Dialling} from './dialling.js';
+import {KnownPeers} from './known-peers.js';
+import {Dialer} from './dialer.js';
 import {Link, type LinkEvents} from './link.js';
 import {
 	encode, type Heartbeat, type Host, type Message,
 } from './messages.js';
-import {Silence} from './silence.js';
-import {relaysOf, smallFleet} from './topology.js';
+import {SilenceDetector} from './silence-detector.js';
+import {relaysOf, maxFullMeshHosts} from './topology.js';
 
-/** Milliseconds between heartbeats, and between looks for hosts to dial. */
-const heartbeatInterval = 500;
+/** Each heartbeat also updates the links. */
+const heartbeatIntervalMs = 500;
 
 /**
- * Milliseconds of silence after which a link is given up: four heartbeats. A socket's own timeout does not serve, as what is
- * written to a silent peer counts as activity too.
+ * Time without a message after which a link is closed: four heartbeats. The socket's own timeout can't be used, as writing to an
+ * unresponsive peer counts as activity too.
  */
-const silenceTimeout = 2000;
+const silenceTimeoutMs = 2000;
 
-/** One heartbeat in so many tells of other hosts: a host that two others lost sight of is found again within seconds. */
-const beatsPerIntroduction = 8;
+/** Every this many heartbeats, one names other hosts: hosts that lost track of each other are linked again within seconds. */
+const heartbeatsPerHostSample = 8;
 
-/** Hosts named in a heartbeat that tells of some: all are heard of within a minute. */
-const namedHosts = 6;
+/** Hosts named in such a heartbeat: within a minute, all are named. */
+const hostSampleSize = 6;
 
 export type PeerEvents = {
+	/** A host is linked; `send` writes to the new link. */
 	readonly joined: (host: Host, send: (message: Message) => void) => void;
 	readonly message: (from: Host, message: Message) => void;
-	/** A host is out of reach, or has started anew. */
+	/** A link was closed, or the host has restarted. */
 	readonly lost: (host: Host, reason: string) => void;
 };
 
@@ -46,82 +47,80 @@
 	readonly #options: PeersOptions;
 	readonly #server: Server;
 	readonly #links = new Map<string, Link>();
-	readonly #all = new Set<Link>();
-	/** Links that one end needs no more. */
-	readonly #released = new WeakSet<Link>();
-	readonly #acquaintances: Acquaintances;
-	readonly #silence: Silence;
-	/** Last word over each link. */
-	readonly #heardAt = new Map<Link, number>();
+	readonly #openLinks = new Set<Link>();
+	/** Links that one end no longer needs. */
+	readonly #releasedLinks = new WeakSet<Link>();
+	readonly #knownPeers: KnownPeers;
+	readonly #silenceDetector: SilenceDetector;
+	/** Time of the last message over each link. */
+	readonly #lastMessageAt = new Map<Link, number>();
 	readonly #linkEvents: LinkEvents;
-	readonly #timer: NodeJS.Timeout;
-	readonly #dialling: Dialling;
-	#beats = 0;
-	#lastLoad = Number.NEGATIVE_INFINITY;
-	/** Those of the hosts linked now; undefined until asked for. */
+	readonly #heartbeatTimer: NodeJS.Timeout;
+	readonly #dialer: Dialer;
+	#heartbeatCount = 0;
+	#lastLoadBroadcastAt = Number.NEGATIVE_INFINITY;
+	/** Relays among the linked hosts; undefined after the links have changed. */
 	#relays: readonly string[] | undefined;
-	#most = 1;
+	/** Highest number of hosts linked at once, this one included. */
+	#maxLinkedHosts = 1;
 
-	/**
-	 * @param options - Who this host is and who is told.
-	 */
 	constructor(options: PeersOptions) {
 		this.#options = options;
-		this.#acquaintances = new Acquaintances(options.self, options.now());
-		this.#silence = new Silence(options.self.failureDomain);
-		this.#dialling = new Dialling({
+		this.#knownPeers = new KnownPeers(options.self, options.now());
+		this.#silenceDetector = new SilenceDetector(options.self.failureDomain);
+		this.#dialer = new Dialer({
 			self: options.self,
 			seeds: options.seeds,
-			acquaintances: this.#acquaintances,
+			knownPeers: this.#knownPeers,
 			links: this.#links,
 			isLargeFleet: () => this.isLargeFleet,
 			now: options.now,
 			connected: socket => {
-				this.#attach(socket, true);
+				this.#openLink(socket, true);
 			},
 			release: link => {
-				this.#released.add(link);
+				this.#releasedLinks.add(link);
 				link.send({type: 'release'});
-				link.finish();
+				link.closeAfterFlush();
 			},
 		});
 		this.#linkEvents = {
 			hello: (link, hello) => {
-				this.#greeted(link, hello.from, hello.known);
+				this.#handleHello(link, hello.from, hello.known);
 			},
 			message: (link, message) => {
-				this.#heard(link, message);
+				this.#handleMessage(link, message);
 			},
 			closed: (link, reason) => {
-				this.#closed(link, reason);
+				this.#handleClose(link, reason);
 			},
 		};
 		this.#server = createServer(socket => {
-			this.#attach(socket, false);
+			this.#openLink(socket, false);
 		});
 		this.addSeeds(options.seeds);
 
-		this.#timer = setInterval(() => {
-			this.#beat();
-		}, heartbeatInterval);
+		this.#heartbeatTimer = setInterval(() => {
+			this.#heartbeat();
+		}, heartbeatIntervalMs);
 	}
 
-	/** Hosts linked now. */
+	/** Hosts that are linked at present. */
 	get hosts(): readonly Host[] {
-		return [...this.#links.values()].map(link => link.greeting!.from);
+		return [...this.#links.values()].map(link => link.hello!.from);
 	}
 
-	/** Hosts of the fleet, this one included, as far as is known: those cut off still count. */
+	/** Number of hosts of the fleet known here, this one included; hosts that are cut off still count. */
 	get fleetSize(): number {
-		return Math.max(this.#most, this.#acquaintances.knownCount + 1);
+		return Math.max(this.#maxLinkedHosts, this.#knownPeers.hostCount + 1);
 	}
 
 	/** Whether hosts are linked through the relays of their failure domains. */
 	get isLargeFleet(): boolean {
-		return this.fleetSize > smallFleet;
+		return this.fleetSize > maxFullMeshHosts;
 	}
 
-	/** Names of the relays of this host's failure domain, as far as they are linked, the first choice first; it may be one. */
+	/** Names of the relays of this host's failure domain in order of preference, among this host and the linked ones. */
 	get relays(): readonly string[] {
 		const {self} = this.#options;
 		this.#relays ??= relaysOf(self.failureDomain, [self, ...this.hosts]).map(host => host.name);
@@ -130,145 +129,142 @@
 
 	/**
 	 * @param failureDomain - Failure domain.
-	 * @returns Names of its hosts, linked or not, this one excluded.
+	 * @returns Names of the known hosts of the domain, linked or not, without this one.
 	 */
-	hostsOf(failureDomain: string): readonly string[] {
-		return this.#acquaintances.known.filter(host => host.failureDomain === failureDomain).map(host => host.name);
+	listDomainHosts(failureDomain: string): readonly string[] {
+		return this.#knownPeers.hosts.filter(host => host.failureDomain === failureDomain).map(host => host.name);
 	}
 
 	/**
-	 * Hosts of this failure domain, this one included, whose news come here: all that are known through a relay, and those that are linked
-	 * with a relay. A host that has lost its links knows of itself alone.
+	 * Number of hosts of this failure domain, this one included, whose load updates arrive here. These are the linked hosts if this one is
+	 * the relay, and all known hosts otherwise. A host that has lost all links is its own relay and counts itself only.
 	 */
 	get domainHosts(): number {
 		const {name, failureDomain} = this.#options.self;
 		return this.relays[0] === name
 			? this.hosts.filter(host => host.failureDomain === failureDomain).length + 1
-			: this.hostsOf(failureDomain).length + 1;
+			: this.listDomainHosts(failureDomain).length + 1;
 	}
 
 	/**
 	 * @param now - Monotonic time in milliseconds.
-	 * @returns Failure domains whose every host has fallen silent, here or at a relay of this domain.
+	 * @returns Failure domains whose hosts are all silent, as observed here or by a relay of this domain.
 	 */
 	unreachableDomains(now: number): ReadonlySet<string> {
-		return new Set([...this.#silentDomains(now), ...this.#silence.reported(now)]);
+		return new Set([...this.#findSilentDomains(now), ...this.#silenceDetector.getReported(now)]);
 	}
 
-	/** Starts to listen and to dial. */
+	/** Listens for connections and starts to dial peers. */
 	async start(): Promise<void> {
 		const {host, port} = this.#options.self.address;
 		this.#server.listen(port, host);
 		await once(this.#server, 'listening');
-		this.#dialling.start();
+		this.#dialer.start();
 	}
 
-	/**
-	 * @param message - Message for every linked host.
-	 */
 	broadcast(message: Message): void {
 		this.#writeAll(message, [...this.#links.values()]);
 	}
 
-	/** Notes that news of load went to every linked host just now: they say as much as a heartbeat. */
-	noteLoad(): void {
-		this.#lastLoad = this.#options.now();
+	/** Records that a load update was just sent to every linked host: it replaces the next heartbeat. */
+	recordLoadBroadcast(): void {
+		this.#lastLoadBroadcastAt = this.#options.now();
 	}
 
 	/**
-	 * @param message - Message for one relay of each other failure domain.
+	 * @param message - Message for the first relay of each other failure domain.
 	 */
-	tellForeign(message: Message): void {
-		this.#writeAll(message, this.#foreignRelays());
+	sendToOtherDomains(message: Message): void {
+		this.#writeAll(message, this.#linksToOtherDomains());
 	}
 
 	/**
 	 * @param message - Message for the other hosts of this failure domain.
-	 * @param delay - Milliseconds that it may wait for others to the same host.
+	 * @param delay - Milliseconds that the message may wait to be sent together with others.
 	 */
-	tellDomain(message: Message, delay = 0): void {
+	sendToDomain(message: Message, delay = 0): void {
 		const {failureDomain} = this.#options.self;
-		this.#writeAll(message, [...this.#links.values()].filter(link => link.greeting?.from.failureDomain === failureDomain), delay);
+		this.#writeAll(message, [...this.#links.values()].filter(link => link.hello?.from.failureDomain === failureDomain), delay);
 	}
 
 	/**
-	 * Sends what waits for a host.
+	 * Sends the messages that wait for a host.
 	 *
-	 * @param host - Name of a host.
+	 * @param host - Name of the host.
 	 */
 	flush(host: string): void {
 		this.#links.get(host)?.flush();
 	}
 
 	/**
-	 * @param host - Name of a linked host; nothing is sent if it is linked no more.
-	 * @param message - Message for it.
+	 * @param host - Name of a host; nothing is sent if it isn't linked.
+	 * @param message - Message.
 	 */
 	send(host: string, message: Message): void {
 		this.#links.get(host)?.send(message);
 	}
 
 	/**
-	 * @param host - Name of a linked host; nothing is sent if it is linked no more.
-	 * @param frame - Message for it, encoded once for several.
+	 * @param host - Name of a host; nothing is sent if it isn't linked.
+	 * @param frame - Message, encoded once for several hosts.
 	 */
 	sendFrame(host: string, frame: Uint8Array): void {
 		this.#links.get(host)?.write(frame);
 	}
 
 	/**
-	 * @param seeds - Peers to begin with, as settings name them now.
+	 * @param seeds - Seed peers of the current settings.
 	 */
 	addSeeds(seeds: readonly Address[]): void {
 		for (const seed of seeds) {
-			this.#acquaintances.meet(seed, undefined, this.#options.now());
+			this.#knownPeers.add(seed, undefined, this.#options.now());
 		}
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		clearInterval(this.#timer);
-		this.#dialling[Symbol.dispose]();
+		clearInterval(this.#heartbeatTimer);
+		this.#dialer[Symbol.dispose]();
 		const closed = once(this.#server, 'close');
 		this.#server.close();
-		for (const link of this.#all) {
+		for (const link of this.#openLinks) {
 			link.close('shut down');
 		}
 
 		await closed;
 	}
 
-	#beat(): void {
+	#heartbeat(): void {
 		const now = this.#options.now();
-		this.#beats++;
-		const known = this.#beats % beatsPerIntroduction === 0 ? this.#someHosts() : undefined;
-		const isNews = now - this.#lastLoad < heartbeatInterval && known === undefined && !this.isLargeFleet;
-		if (!isNews) {
-			this.broadcast({type: 'heartbeat', known, silent: this.isLargeFleet ? [...this.#silentDomains(now)] : undefined});
+		this.#heartbeatCount++;
+		const knownHosts = this.#heartbeatCount % heartbeatsPerHostSample === 0 ? this.#nextHostSample() : undefined;
+		const isCoveredByLoad = now - this.#lastLoadBroadcastAt < heartbeatIntervalMs && knownHosts === undefined && !this.isLargeFleet;
+		if (!isCoveredByLoad) {
+			this.broadcast({type: 'heartbeat', known: knownHosts, silent: this.isLargeFleet ? [...this.#findSilentDomains(now)] : undefined});
 		}
 
-		for (const link of this.#all) {
-			if (now - (this.#heardAt.get(link) ?? now) > silenceTimeout) {
+		for (const link of this.#openLinks) {
+			if (now - (this.#lastMessageAt.get(link) ?? now) > silenceTimeoutMs) {
 				link.close('silent');
 			}
 		}
 
-		this.#dialling.look();
+		this.#dialer.updateLinks();
 	}
 
 	/**
-	 * Failure domains whose every host that was linked with this one has fallen silent. In a large fleet only relays are linked with
-	 * other domains for long: another host would take one that fell silent as they met for silent for ever.
+	 * Finds failure domains whose linked hosts are all silent. In a large fleet, only relays keep links to other domains: any other host
+	 * would count a domain as silent forever once a short-lived link to it timed out.
 	 */
-	#silentDomains(now: number): readonly string[] {
+	#findSilentDomains(now: number): readonly string[] {
 		if (this.isLargeFleet && !this.relays.includes(this.#options.self.name)) {
 			return [];
 		}
 
-		return this.#silence.observed(now);
+		return this.#silenceDetector.getObserved(now);
 	}
 
-	/** The first linked relay of each other failure domain. */
-	#foreignRelays(): readonly Link[] {
+	/** Links to the first relay of each other failure domain. */
+	#linksToOtherDomains(): readonly Link[] {
 		const {hosts} = this;
 		const domains = new Set(hosts.map(host => host.failureDomain));
 		domains.delete(this.#options.self.failureDomain);
@@ -278,11 +274,11 @@
 		});
 	}
 
-	/** Some known hosts, others each time. */
-	#someHosts(): Host[] {
+	/** A sample of the linked hosts, which rotates with each call. */
+	#nextHostSample(): Host[] {
 		const all = this.hosts;
-		const start = (this.#beats * namedHosts) % Math.max(all.length, 1);
-		return [...all, ...all].slice(start, start + Math.min(namedHosts, all.length));
+		const start = (this.#heartbeatCount * hostSampleSize) % Math.max(all.length, 1);
+		return [...all, ...all].slice(start, start + Math.min(hostSampleSize, all.length));
 	}
 
 	#writeAll(message: Message, links: readonly Link[], delay = 0): void {
@@ -293,103 +289,103 @@
 		const bytes = encode(message);
 		for (const link of links) {
 			if (delay > 0) {
-				link.writeWithin(bytes, delay);
+				link.writeBatched(bytes, delay);
 			} else {
 				link.write(bytes);
 			}
 		}
 	}
 
-	#attach(socket: Socket, isDialled: boolean): void {
+	#openLink(socket: Socket, isDialled: boolean): void {
 		const link = new Link(socket, isDialled, this.#linkEvents);
-		this.#all.add(link);
-		this.#heardAt.set(link, this.#options.now());
-		link.send({type: 'hello', from: this.#options.self, known: [...this.#acquaintances.known]});
+		this.#openLinks.add(link);
+		this.#lastMessageAt.set(link, this.#options.now());
+		link.send({type: 'hello', from: this.#options.self, known: [...this.#knownPeers.hosts]});
 	}
 
-	#greeted(link: Link, from: Host, known: readonly Host[]): void {
+	#handleHello(link: Link, from: Host, known: readonly Host[]): void {
 		const now = this.#options.now();
-		const met = known.map(host => this.#acquaintances.meet(host.address, host, now));
-		this.#acquaintances.revive(from, now);
-		if (met.includes(true)) {
-			this.#dialling.look();
+		const areNew = known.map(host => this.#knownPeers.add(host.address, host, now));
+		this.#knownPeers.markAlive(from, now);
+		if (areNew.includes(true)) {
+			this.#dialer.updateLinks();
 		}
 
-		const before = this.#links.get(from.name);
-		if (before !== undefined && before !== link && !this.#replaces(link, before, from)) {
+		const previous = this.#links.get(from.name);
+		if (previous !== undefined && previous !== link && !this.#isReplacement(link, previous, from)) {
 			link.close('linked already');
 			return;
 		}
 
 		this.#links.set(from.name, link);
 		this.#relays = undefined;
-		this.#most = Math.max(this.#most, this.#links.size + 1);
-		this.#silence.heard(from.failureDomain, now);
-		if (before !== undefined && before.greeting?.from.started !== from.started) {
+		this.#maxLinkedHosts = Math.max(this.#maxLinkedHosts, this.#links.size + 1);
+		this.#silenceDetector.recordMessage(from.failureDomain, now);
+		if (previous !== undefined && previous.hello?.from.started !== from.started) {
 			this.#options.events.lost(from, 'started anew');
 		}
 
-		before?.close('replaced');
+		previous?.close('replaced');
 		this.#options.log.write({
-			event: 'peer-linked', peer: from.name, domain: from.failureDomain, hosts: this.#most,
+			event: 'peer-linked', peer: from.name, domain: from.failureDomain, hosts: this.#maxLinkedHosts,
 		});
-		this.#introduce(from);
+		this.#announce(from);
 		this.#options.events.joined(from, message => {
 			link.send(message);
 		});
 	}
 
-	/** Tells the other hosts of one that has come: hosts that start together hear of each other from their seeds this way. */
-	#introduce(host: Host): void {
-		const others = [...this.#links.values()].filter(link => link.greeting?.from.name !== host.name);
+	/** Announces a new host to the other linked ones: hosts that start together discover each other through their seeds. */
+	#announce(host: Host): void {
+		const others = [...this.#links.values()].filter(link => link.hello?.from.name !== host.name);
 		this.#writeAll({type: 'heartbeat', known: [host]}, others);
 	}
 
-	/** Both ends keep the link that the host with the smaller name dialled, unless the other host has started anew. */
-	#replaces(link: Link, before: Link, from: Host): boolean {
-		if (before.greeting?.from.started !== from.started) {
+	/** Both ends keep the link that was dialled by the host with the smaller name, unless the other host has restarted. */
+	#isReplacement(link: Link, previous: Link, from: Host): boolean {
+		if (previous.hello?.from.started !== from.started) {
 			return true;
 		}
 
 		const isSmaller = this.#options.self.name < from.name;
-		return link.isDialled === isSmaller && before.isDialled !== isSmaller;
+		return link.isDialled === isSmaller && previous.isDialled !== isSmaller;
 	}
 
-	#heard(link: Link, message: Message): void {
-		const from = link.greeting?.from;
+	#handleMessage(link: Link, message: Message): void {
+		const from = link.hello?.from;
 		if (from === undefined) {
 			link.close('no hello');
 			return;
 		}
 
 		const now = this.#options.now();
-		this.#heardAt.set(link, now);
-		this.#silence.heard(from.failureDomain, now);
+		this.#lastMessageAt.set(link, now);
+		this.#silenceDetector.recordMessage(from.failureDomain, now);
 		if (message.type === 'release') {
-			this.#released.add(link);
+			this.#releasedLinks.add(link);
 		} else if (message.type === 'heartbeat') {
-			this.#takeHeartbeat(from, message, now);
+			this.#handleHeartbeat(from, message, now);
 		} else {
 			this.#options.events.message(from, message);
 		}
 	}
 
-	/** Hosts that a peer is linked with are alive; domains that a relay hears nothing of are out of reach from here as well. */
-	#takeHeartbeat(from: Host, {known, silent}: Heartbeat, now: number): void {
-		const met = known?.map(host => this.#acquaintances.revive(host, now));
-		if (met?.includes(true) === true) {
-			this.#dialling.look();
+	/** The hosts that a peer is linked with are alive; a domain that is silent for a relay is out of reach from here as well. */
+	#handleHeartbeat(from: Host, {known, silent}: Heartbeat, now: number): void {
+		const areNew = known?.map(host => this.#knownPeers.markAlive(host, now));
+		if (areNew?.includes(true) === true) {
+			this.#dialer.updateLinks();
 		}
 
 		if (from.failureDomain === this.#options.self.failureDomain && silent !== undefined && silent.length > 0) {
-			this.#silence.report(silent, now);
+			this.#silenceDetector.recordReport(silent, now);
 		}
 	}
 
-	#closed(link: Link, reason: string): void {
-		this.#all.delete(link);
-		this.#heardAt.delete(link);
-		const from = link.greeting?.from;
+	#handleClose(link: Link, reason: string): void {
+		this.#openLinks.delete(link);
+		this.#lastMessageAt.delete(link);
+		const from = link.hello?.from;
 		if (from === undefined || this.#links.get(from.name) !== link) {
 			return;
 		}
@@ -397,15 +393,15 @@
 		this.#links.delete(from.name);
 		this.#relays = undefined;
 		if (reason !== 'silent' && !this.hosts.some(host => host.failureDomain === from.failureDomain)) {
-			this.#silence.closed(from.failureDomain);
+			this.#silenceDetector.recordLastClose(from.failureDomain);
 		}
 
-		if (this.#released.has(link)) {
+		if (this.#releasedLinks.has(link)) {
 			this.#options.log.write({event: 'peer-released', peer: from.name});
 		} else {
 			this.#options.log.write({event: 'peer-lost', peer: from.name, reason}, 'warn');
 		}
 
-		this.#options.events.lost(from, this.#released.has(link) ? 'released' : reason);
+		this.#options.events.lost(from, this.#releasedLinks.has(link) ? 'released' : reason);
 	}
 }
--- a/src/gateway/peers/state.ts
+++ b/src/gateway/peers/state.ts
@@ -1,11 +1,11 @@
-/** What a host knows of the platform, as it tells a peer that asks: the configuration in force, then the upstreams. */
+/** Messages by which a host gets the platform's state from a peer: the configuration in force, then the upstreams. */
 import {z} from 'zod';
 import {type GatewayConfiguration, type GatewayUpstream} from '../../core/gateway/types.js';
 
-const name = z.string().max(512);
-const time = z.number().nonnegative();
+const nameSchema = z.string().max(512);
+const timeSchema = z.number().nonnegative();
 
-const engine = z.object({
+const engineSchema = z.object({
 	slots: z.number(),
 	memory: z.number(),
 	stride: z.number(),
@@ -20,16 +20,16 @@
 	usualAnswer: z.number(),
 });
 
-const route = z.object({
-	name,
-	authority: name,
-	prefix: name,
+const routeSchema = z.object({
+	name: nameSchema,
+	authority: nameSchema,
+	prefix: nameSchema,
 	kind: z.enum(['idempotent', 'non-idempotent', 'streaming']),
-	timeout: time,
-	objective: time,
-	pause: time.optional(),
+	timeout: timeSchema,
+	objective: timeSchema,
+	pause: timeSchema.optional(),
 	priority: z.number(),
-	targets: z.array(z.object({service: name, weight: z.number()})).readonly(),
+	targets: z.array(z.object({service: nameSchema, weight: z.number()})).readonly(),
 	attempts: z.number(),
 	isPublic: z.boolean(),
 	isResumable: z.boolean(),
@@ -37,55 +37,56 @@
 
 export const configurationSchema = z.object({
 	version: z.number(),
-	routes: z.array(route).readonly(),
+	routes: z.array(routeSchema).readonly(),
 	services: z.array(z.object({
-		name, healthPath: name, connections: z.number(), engine: engine.optional(),
+		name: nameSchema, healthPath: nameSchema, connections: z.number(), engine: engineSchema.optional(),
 	})).readonly(),
 	limits: z.object({
-		headerBytes: z.number(), bodyBytes: z.number(), headerTimeout: time, idleTimeout: time,
+		headerBytes: z.number(), bodyBytes: z.number(), headerTimeout: timeSchema, idleTimeout: timeSchema,
 	}),
-	organisations: z.array(z.object({name, keys: z.array(name).readonly(), priority: z.number().optional()})).readonly().optional(),
+	organisations: z.array(z.object({name: nameSchema, keys: z.array(nameSchema).readonly(), priority: z.number().optional()})).readonly().optional(),
 }) satisfies z.ZodType<GatewayConfiguration>;
 
 export const upstreamSchema = z.object({
-	id: name,
-	service: name,
-	address: z.object({host: name, port: z.number().int()}),
-	failureDomain: name,
+	id: nameSchema,
+	service: nameSchema,
+	address: z.object({host: nameSchema, port: z.number().int()}),
+	failureDomain: nameSchema,
 	slots: z.number(),
 	isDraining: z.boolean(),
 	started: z.number().optional(),
 }) satisfies z.ZodType<GatewayUpstream>;
 
-/** Asks a peer for what is newer than what the asker has. */
-export const stateWantedSchema = z.object({
+/** Requests what is newer than the requester's state. */
+export const stateRequestSchema = z.object({
 	type: z.literal('state-wanted'),
-	/** Told again in the answer: the asker knows when it asked. */
+	/** Id of the request, repeated in the response. */
 	ask: z.number(),
-	/** Version in force at the asker; 0 for none. */
+	/** Version of the configuration in force at the requester; 0 for none. */
 	version: z.number(),
-	/** Revision of the store up to which the asker knows each change of upstreams; 0 for none. */
+	/** Revision of the store up to which the requester knows every change of upstreams; 0 for none. */
 	revision: z.number(),
 });
 
-/** The configuration in force, told before the state to an asker that has an older one. */
+/** The configuration in force, sent before the state to a requester that has an older one. */
 export const configurationMessageSchema = z.object({type: z.literal('configuration'), configuration: configurationSchema});
 
 export const stateSchema = z.object({
 	type: z.literal('state'),
 	ask: z.number(),
-	/** Milliseconds since the peer's configuration and upstreams were known to be the newest, as of this answer. */
+	/** Milliseconds since the peer's configuration and upstreams were last confirmed current, as of this response. */
 	age: z.number(),
-	/** Version in force at the peer. */
+	/** Version of the configuration in force at the peer. */
 	version: z.number(),
-	/** Revision of the store up to which the peer knows each change of upstreams, and that of the last one. */
+	/** Revision of the store up to which the peer knows every change of upstreams. */
 	revision: z.number(),
+	/** Revision of the last change of upstreams. */
 	changed: z.number(),
-	/** All that were registered as of the revision; absent where the asker has the same. */
+	/** All upstreams registered as of the revision; absent if the requester has the same. */
 	upstreams: z.array(upstreamSchema).max(4096).optional(),
-	/** Upstreams that are registered no more and that the peer keeps, as they may only have lapsed. */
-	kept: z.array(name).max(4096).optional(),
+	/** Upstreams whose registration is gone and that the peer keeps in use, as it may merely have expired during an outage of the store. */
+	kept: z.array(nameSchema).max(4096).optional(),
 });
 
-export type StateWanted = z.infer<typeof stateWantedSchema>;
+export type StateRequest = z.infer<typeof stateRequestSchema>;
 export type PeerState = z.infer<typeof stateSchema>;
--- a/src/gateway/peers/topology.ts
+++ b/src/gateway/peers/topology.ts
@@ -1,35 +1,38 @@
-/** Who is linked with whom. In a large fleet two hosts of each failure domain relay, and the others are linked with these. */
+/**
+ * Selects which hosts are linked. A small fleet is a full mesh; in a large one, two hosts of each failure domain are relays, and all
+ * other hosts of the domain are linked with them only.
+ */
 import {hashText, mix} from '../../core/utils/hashes.js';
 import {type Host} from './messages.js';
 
 /**
- * Hosts up to which each is linked with each other one and tells all of them of its load. Beyond it the messages would grow
- * with the square of the hosts: 70 hosts, linked within their domains, exchanged 27,000 messages a second for 113 requests.
+ * Largest fleet in which every host is linked with every other one and sends its load updates to all. Messages grow with the square of
+ * the hosts: 70 hosts, linked within their failure domains, exchanged 27,000 messages a second for 113 requests.
  */
-export const smallFleet = 14;
+export const maxFullMeshHosts = 14;
 
-/** Relays of a failure domain: the first one works, the other one takes over when it is gone. */
+/** The first relay does the work; the second one takes over when the first fails or leaves. */
 const relaysPerDomain = 2;
 
-const relayKey = hashText('relays');
+const relayHashKey = hashText('relays');
 
-/** Capacity of a host that does not tell its own. */
-const usualCapacity = 1;
+/** Capacity of a host that doesn't state it, in processor cores. */
+const defaultCapacity = 1;
 
-type Placed = Pick<Host, 'capacity' | 'failureDomain' | 'name'>;
+type RelayCandidate = Pick<Host, 'capacity' | 'failureDomain' | 'name'>;
 
 /**
- * The hosts with the most processor time relay: a relay handles the news of all hosts, which on the weakest takes all of its time
- * while callers press, until what it has yet to send fills its memory.
+ * Selects the hosts with the most processor time. A relay handles the load updates of all hosts; on the weakest host this takes all
+ * processor time under high load, and unsent messages fill its memory.
  *
  * @param failureDomain - Failure domain.
- * @param hosts - Hosts that may relay, of any failure domain.
- * @returns Its relays, the first choice first; alike wherever the same hosts are known.
+ * @param hosts - Candidates, of any failure domain.
+ * @returns Relays of the failure domain in order of preference; the same on every host that knows the same candidates.
  */
-export function relaysOf<T extends Placed>(failureDomain: string, hosts: readonly T[]): readonly T[] {
+export function relaysOf<T extends RelayCandidate>(failureDomain: string, hosts: readonly T[]): readonly T[] {
 	return hosts
 		.filter(host => host.failureDomain === failureDomain)
-		.map(host => ({host, capacity: host.capacity ?? usualCapacity, weight: mix(relayKey, hashText(host.name))}))
+		.map(host => ({host, capacity: host.capacity ?? defaultCapacity, weight: mix(relayHashKey, hashText(host.name))}))
 		.toSorted((a, b) => b.capacity - a.capacity || b.weight - a.weight)
 		.slice(0, relaysPerDomain)
 		.map(each => each.host);
@@ -37,17 +40,17 @@
 
 /**
  * @param self - This host.
- * @param others - Other hosts that can be reached, as far as is known.
- * @returns Hosts that it links itself with in a large fleet.
+ * @param others - Other hosts that are thought to be reachable.
+ * @returns Hosts that this one links with in a large fleet.
  */
-export function neighbours<T extends Placed>(self: T, others: readonly T[]): readonly T[] {
-	const own = relaysOf(self.failureDomain, [self, ...others]);
-	const linked = own.filter(host => host !== self);
-	if (linked.length === own.length) {
-		return own;
+export function selectNeighbours<T extends RelayCandidate>(self: T, others: readonly T[]): readonly T[] {
+	const ownRelays = relaysOf(self.failureDomain, [self, ...others]);
+	const otherRelays = ownRelays.filter(host => host !== self);
+	if (otherRelays.length === ownRelays.length) {
+		return ownRelays;
 	}
 
-	const foreign = new Set(others.map(host => host.failureDomain));
-	foreign.delete(self.failureDomain);
-	return [...linked, ...[...foreign].flatMap(domain => relaysOf(domain, others))];
+	const otherDomains = new Set(others.map(host => host.failureDomain));
+	otherDomains.delete(self.failureDomain);
+	return [...otherRelays, ...[...otherDomains].flatMap(domain => relaysOf(domain, others))];
 }
--- a/src/gateway/registrations.ts
+++ b/src/gateway/registrations.ts
@@ -1,11 +1,11 @@
-/** Keeps the upstreams that may be used in step with the platform's registry, read from its store or told by peers. */
+/** Keeps the usable upstreams in sync with the platform's registry, as read from its store or received from peers. */
 import {Lapses} from '../core/gateway/lapses.js';
 import {
 	noDifference, Registry, type RegistryChange, type RegistryDifference,
 } from '../core/gateway/registry.js';
 import {type GatewayUpstream} from '../core/gateway/types.js';
 import {type Log} from '../entry/logs.js';
-import {type Source, type Upstreams} from './upstreams.js';
+import {type RegistrationSource, type Upstreams} from './upstreams.js';
 
 export type RegistrationsOptions = {
 	readonly upstreams: Upstreams;
@@ -14,58 +14,58 @@
 	readonly now: () => number;
 };
 
-/** What hosts tell each other of the registry. */
-export type RegistryNews = {
-	/** Revision of the store up to which the teller knows each change, and that of the last one. */
+/** State of the registry that hosts send each other. */
+export type RegistryUpdate = {
+	/** Revision of the store up to which the sender knows every change. */
 	readonly revision: number;
+	/** Revision of the last change. */
 	readonly changed: number;
-	/** All that were registered as of the revision; absent where the receiver has the same. */
+	/** All upstreams registered as of the revision; absent if the receiver has the same. */
 	readonly upstreams?: readonly GatewayUpstream[];
-	/** Upstreams that are registered no more and that the teller keeps, as they may only have lapsed; none if absent. */
+	/** Upstreams whose registration is gone and that the sender keeps in use, as it may merely have expired; absent means none. */
 	readonly kept?: readonly string[];
 };
 
-/** An upstream that is registered no more and may only have lapsed. */
-type Lapsing = {
-	readonly source: Source;
+/** An upstream whose registration is gone, perhaps only because it could not be renewed during an outage of the store. */
+type ExpiringRegistration = {
+	readonly source: RegistrationSource;
 	readonly timer: NodeJS.Timeout;
 };
 
-const none: readonly string[] = [];
+const noIds: readonly string[] = [];
 
 export class Registrations implements Disposable {
 	readonly #options: RegistrationsOptions;
 	readonly #registry = new Registry();
-	readonly #lapses = new Lapses();
-	/** What is kept until its registration is back or can be back no more. */
-	readonly #lapsing = new Map<string, Lapsing>();
+	readonly #expiryGrace = new Lapses();
+	/** Upstreams kept in use until they register again or the grace period ends, by id. */
+	readonly #expiring = new Map<string, ExpiringRegistration>();
 
-	/**
-	 * @param options - Upstreams to keep.
-	 */
 	constructor(options: RegistrationsOptions) {
 		this.#options = options;
 	}
 
-	/** Revision of the store up to which each change is known; 0 before anything is. */
+	/** Revision of the store up to which every change is known; 0 if none is. */
 	get revision(): number {
 		return this.#registry.revision;
 	}
 
 	/**
-	 * @param revision - Revision that a peer's registry has.
-	 * @returns What it is told.
+	 * @param revision - Revision of a peer's registry.
+	 * @returns Update for the peer.
 	 */
-	newsFor(revision: number): RegistryNews {
-		const kept = this.#lapsing.size === 0 ? undefined : [...this.#lapsing.keys()];
+	createUpdate(revision: number): RegistryUpdate {
+		const kept = this.#expiring.size === 0 ? undefined : [...this.#expiring.keys()];
 		return this.#registry.isCurrent(revision)
 			? {revision: this.#registry.revision, changed: this.#registry.changed, kept}
 			: {...this.#registry.snapshot, kept};
 	}
 
 	/**
-	 * @param changes - Next changes in the history of the store, in their order.
-	 * @param revision - Revision that they lead to.
+	 * Applies the next changes of the store.
+	 *
+	 * @param changes - Changes in the order of their revisions.
+	 * @param revision - Revision of the store after them.
 	 */
 	follow(changes: readonly RegistryChange[], revision: number): void {
 		for (const change of changes) {
@@ -75,9 +75,9 @@
 			}
 
 			if (change.type === 'written') {
-				this.#use(change.upstream, source);
+				this.#register(change.upstream, source);
 			} else {
-				this.#dropOrKeep(change.id, source);
+				this.#unregisterOrKeep(change.id, source);
 			}
 		}
 
@@ -85,56 +85,60 @@
 	}
 
 	/**
-	 * @param upstreams - All that the store holds.
-	 * @param revision - Revision as of which it was read.
+	 * Replaces the registry by a listing of the store.
+	 *
+	 * @param upstreams - All upstreams in the store.
+	 * @param revision - Revision of the store that was listed.
 	 */
 	list(upstreams: readonly GatewayUpstream[], revision: number): void {
 		const source = {type: 'store', revision} as const;
 		const {written, removed} = this.#registry.reset({upstreams, revision, changed: revision});
 		for (const id of removed) {
-			this.#dropOrKeep(id, source);
+			this.#unregisterOrKeep(id, source);
 		}
 
-		this.#useAll(written, source);
+		this.#registerAll(written, source);
 	}
 
 	/**
-	 * @param peer - Peer that told.
-	 * @param news - What it knows.
+	 * Merges an update of a peer into the registry.
+	 *
+	 * @param peer - Peer.
+	 * @param update - Update.
 	 */
-	take(peer: string, news: RegistryNews): void {
-		const source = {type: 'peer', peer, revision: news.revision} as const;
-		const kept = news.kept ?? none;
-		const {written, removed} = this.#learn(news);
+	take(peer: string, update: RegistryUpdate): void {
+		const source = {type: 'peer', peer, revision: update.revision} as const;
+		const kept = update.kept ?? noIds;
+		const {written, removed} = this.#mergeUpdate(update);
 		for (const id of removed) {
 			if (kept.includes(id)) {
-				this.#dropOrKeep(id, source);
+				this.#unregisterOrKeep(id, source);
 			} else {
-				this.#drop(id, source);
+				this.#unregister(id, source);
 			}
 		}
 
-		this.#useAll(written, source);
-		this.#dropUnkept(kept, source);
+		this.#registerAll(written, source);
+		this.#unregisterUnkept(kept, source);
 	}
 
-	/** The store does not answer. */
+	/** Records that the store doesn't answer. */
 	lost(): void {
-		this.#lapses.lost();
+		this.#expiryGrace.lost();
 	}
 
-	/** The store answers again. */
+	/** Records that the store answers again. */
 	regained(): void {
-		this.#lapses.regained(this.#options.now());
+		this.#expiryGrace.regained(this.#options.now());
 	}
 
 	[Symbol.dispose](): void {
-		for (const {timer} of this.#lapsing.values()) {
+		for (const {timer} of this.#expiring.values()) {
 			clearTimeout(timer);
 		}
 	}
 
-	#learn({upstreams, revision, changed}: RegistryNews): RegistryDifference {
+	#mergeUpdate({upstreams, revision, changed}: RegistryUpdate): RegistryDifference {
 		if (upstreams === undefined) {
 			this.#registry.advance(revision);
 			return noDifference;
@@ -143,50 +147,50 @@
 		return this.#registry.merge({upstreams, revision, changed});
 	}
 
-	#useAll(upstreams: readonly GatewayUpstream[], source: Source): void {
+	#registerAll(upstreams: readonly GatewayUpstream[], source: RegistrationSource): void {
 		for (const upstream of upstreams) {
-			this.#use(upstream, source);
+			this.#register(upstream, source);
 		}
 	}
 
-	#use(upstream: GatewayUpstream, source: Source): void {
-		this.#settle(upstream.id);
+	#register(upstream: GatewayUpstream, source: RegistrationSource): void {
+		this.#cancelExpiry(upstream.id);
 		this.#options.upstreams.register(upstream, source);
 	}
 
-	#dropOrKeep(id: string, source: Source): void {
+	#unregisterOrKeep(id: string, source: RegistrationSource): void {
 		const {log, now} = this.#options;
-		const delay = this.#lapses.delay(now());
+		const delay = this.#expiryGrace.delay(now());
 		if (delay === 0) {
-			this.#drop(id, source);
-		} else if (!this.#lapsing.has(id)) {
+			this.#unregister(id, source);
+		} else if (!this.#expiring.has(id)) {
 			log.write({
 				event: 'upstream-lapsing', upstream: id, revision: source.revision, wait: Math.round(delay),
 			});
 			const timer = setTimeout(() => {
-				this.#drop(id, source);
+				this.#unregister(id, source);
 			}, delay);
-			this.#lapsing.set(id, {source, timer});
+			this.#expiring.set(id, {source, timer});
 		}
 	}
 
-	/** A peer as recent as a removal that does not keep the upstream knows that its registration has not just lapsed. */
-	#dropUnkept(kept: readonly string[], source: Source): void {
-		for (const [id, lapsing] of this.#lapsing) {
-			if (source.revision >= lapsing.source.revision && !kept.includes(id)) {
-				this.#drop(id, source);
+	/** Unregisters upstreams that a peer at or past the revision of their removal doesn't keep: the registration of these did not merely expire. */
+	#unregisterUnkept(kept: readonly string[], source: RegistrationSource): void {
+		for (const [id, expiring] of this.#expiring) {
+			if (source.revision >= expiring.source.revision && !kept.includes(id)) {
+				this.#unregister(id, source);
 			}
 		}
 	}
 
-	#drop(id: string, source: Source): void {
-		this.#settle(id);
+	#unregister(id: string, source: RegistrationSource): void {
+		this.#cancelExpiry(id);
 		this.#options.upstreams.unregister(id, source);
 	}
 
-	/** Its registration is there, or its absence is settled: nothing is left to wait for. */
-	#settle(id: string): void {
-		clearTimeout(this.#lapsing.get(id)?.timer);
-		this.#lapsing.delete(id);
+	/** Ends the grace period of an upstream, if one is running. */
+	#cancelExpiry(id: string): void {
+		clearTimeout(this.#expiring.get(id)?.timer);
+		this.#expiring.delete(id);
 	}
 }
--- a/src/gateway/relay.ts
+++ b/src/gateway/relay.ts
@@ -1,4 +1,4 @@
-/** Passes answers of upstreams on to callers: whole events of a stream, or a whole body. */
+/** Forwards responses of upstreams to callers: a stream event by event, any other body as a whole. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {type ServerResponse} from 'node:http';
@@ -8,32 +8,32 @@
 import {EventSplitter} from './events.js';
 import {endToEnd} from './headers.js';
 
-/** Bytes of an answer that is kept until it is whole; a longer one is passed on as it comes. */
-const keptAnswer = 1_000_000;
+/** A body up to this size is buffered until it is complete; a longer one is forwarded as it arrives. */
+const maxBufferedBytes = 1_000_000;
 
-const withoutLength: ReadonlySet<string> = new Set(['content-length']);
+const contentLengthOnly: ReadonlySet<string> = new Set(['content-length']);
 
-/** What a stream has brought so far. */
-export type Progress = {
-	/** Called when events were passed on. */
+/** Notified of the progress of a stream. */
+export type StreamObserver = {
+	/** Called just before complete events are forwarded, with the id of the last one that has an id. */
 	readonly onEvents: (lastId: string | undefined) => void;
 };
 
 /**
- * @param reply - Head of an answer.
- * @returns Whether its body is a stream of events.
+ * @param reply - Response of an upstream.
+ * @returns Whether its body is a stream of server-sent events.
  */
 export function isStream(reply: Reply): boolean {
 	return reply.status === 200 && (reply.body.headers['content-type'] ?? '').startsWith('text/event-stream');
 }
 
 /**
- * @param outgoing - Answer to the caller.
- * @param reply - Head that the upstream sent.
- * @param length - Bytes of the body, if they are known.
+ * @param outgoing - Response to the caller.
+ * @param reply - Response of the upstream.
+ * @param length - Bytes of the body, if known.
  */
 export function writeHead(outgoing: ServerResponse, reply: Reply, length?: number): void {
-	const headers = endToEnd(reply.raw, withoutLength);
+	const headers = endToEnd(reply.raw, contentLengthOnly);
 	if (length !== undefined) {
 		headers.push('Content-Length', String(length));
 	}
@@ -48,17 +48,17 @@
 	}
 }
 
-const brokenOff = 'the answer broke off';
+const brokenOffReason = 'the answer broke off';
 
 /**
- * Passes whole events on as they come. The caller's answer is left open: another attempt may go on with it.
+ * Forwards complete events as they arrive. Leaves the response to the caller open: another attempt may continue it.
  *
- * @param outgoing - Answer to the caller, its head sent.
- * @param reply - Answer of the upstream.
- * @param progress - Told of events.
+ * @param outgoing - Response to the caller, whose head has been sent.
+ * @param reply - Response of the upstream.
+ * @param progress - Notified of events.
  * @returns How the attempt ended.
  */
-export async function relayEvents(outgoing: ServerResponse, reply: Reply, progress: Progress): Promise<AttemptEnding> {
+export async function relayEvents(outgoing: ServerResponse, reply: Reply, progress: StreamObserver): Promise<AttemptEnding> {
 	const splitter = new EventSplitter();
 	try {
 		for await (const chunk of reply.body as AsyncIterable<Buffer>) {
@@ -73,22 +73,24 @@
 	}
 
 	if (!await reply.isWhole()) {
-		return {type: 'unknown', reason: brokenOff};
+		return {type: 'unknown', reason: brokenOffReason};
 	}
 
 	await write(outgoing, splitter.rest);
 	return {type: 'answered', status: reply.status};
 }
 
-/** A whole body, or the part of a long one that has come and the rest that will. */
+/** A complete body, the buffered beginning of a long one and an iterator over the rest, or the reason why it ended early. */
 export type Body
 	= | {readonly type: 'whole'; readonly bytes: Buffer}
 		| {readonly type: 'long'; readonly begin: readonly Buffer[]; readonly rest: AsyncIterator<Buffer>}
 		| {readonly type: 'broken'; readonly reason: string};
 
 /**
- * @param reply - Answer of an upstream.
- * @returns Its body, if it came whole.
+ * Reads a body, up to the maximum that is buffered.
+ *
+ * @param reply - Response of an upstream.
+ * @returns Body.
  */
 export async function readBody(reply: Reply): Promise<Body> {
 	const chunks: Buffer[] = [];
@@ -98,7 +100,7 @@
 		for (let next = await iterator.next(); !next.done; next = await iterator.next()) {
 			chunks.push(next.value);
 			length += next.value.length;
-			if (length > keptAnswer) {
+			if (length > maxBufferedBytes) {
 				return {type: 'long', begin: chunks, rest: iterator};
 			}
 		}
@@ -106,13 +108,13 @@
 		return {type: 'broken', reason: messageOf(error)};
 	}
 
-	return await reply.isWhole() ? {type: 'whole', bytes: Buffer.concat(chunks)} : {type: 'broken', reason: brokenOff};
+	return await reply.isWhole() ? {type: 'whole', bytes: Buffer.concat(chunks)} : {type: 'broken', reason: brokenOffReason};
 }
 
 /**
- * @param outgoing - Answer to the caller, its head sent.
- * @param body - Body longer than is kept.
- * @returns Whether all of it was passed on.
+ * @param outgoing - Response to the caller, whose head has been sent.
+ * @param body - Body that is too long to buffer.
+ * @returns Whether all of it was forwarded.
  */
 export async function relayLong(outgoing: ServerResponse, body: Extract<Body, {type: 'long'}>): Promise<boolean> {
 	try {
@@ -123,7 +125,7 @@
 
 		return true;
 	} catch {
-		// The caller sees the same break as this host: its connection ends before the body does.
+		// The caller notices the failure as this host does: its connection ends before the body is complete.
 		return false;
 	}
 }
--- a/src/gateway/reputation.ts
+++ b/src/gateway/reputation.ts
@@ -1,4 +1,4 @@
-/** What this host believes of upstreams, failure domains and requests, from how attempts ended; each change is a line. */
+/** Tracks the health of upstreams, the reachability of failure domains and suspected requests from attempts and peers; logs each change. */
 import {verdictFrom, type Absence} from '../core/gateway/absences.js';
 import {Health, type Verdict} from '../core/gateway/health.js';
 import {Reach} from '../core/gateway/reach.js';
@@ -9,7 +9,7 @@
 export type ReputationOptions = {
 	readonly failureDomain: string;
 	readonly log: Pick<Log, 'write'>;
-	/** Failure domains out of reach by word of peers. */
+	/** Returns the failure domains whose hosts are all silent. */
 	readonly silentDomains: (now: number) => ReadonlySet<string>;
 };
 
@@ -17,36 +17,33 @@
 	readonly health = new Health();
 	readonly suspects = new Suspects();
 	readonly #options: ReputationOptions;
-	readonly #reach = new Reach();
-	/** Upstreams that were left alone and have not answered since. */
-	readonly #doubted = new Set<string>();
+	readonly #reachability = new Reach();
+	/** Upstreams that were excluded and have not answered since. */
+	readonly #unhealthy = new Set<string>();
 	#unreachable: ReadonlySet<string> = new Set();
 
-	/**
-	 * @param options - Where this host stands and what it is told.
-	 */
 	constructor(options: ReputationOptions) {
 		this.#options = options;
 	}
 
-	/** Upstreams that were left alone and have not answered since. */
+	/** Number of upstreams that were excluded and have not answered since. */
 	get doubted(): number {
-		return this.#doubted.size;
+		return this.#unhealthy.size;
 	}
 
-	/** Failure domains out of reach when they were last looked at. */
+	/** Failure domains that were out of reach at the last update. */
 	get unreachable(): ReadonlySet<string> {
 		return this.#unreachable;
 	}
 
 	/**
-	 * Looks again at which failure domains are out of reach, by word of peers or by one's own attempts.
+	 * Updates which failure domains are out of reach, as their hosts are silent or this host's attempts fail.
 	 *
 	 * @param now - Time in milliseconds.
 	 */
 	look(now: number): void {
-		const silent = [...this.#options.silentDomains(now)].filter(domain => !this.#reach.isAlive(domain, now));
-		const failing = this.#reach.cutOff(now);
+		const silent = [...this.#options.silentDomains(now)].filter(domain => !this.#reachability.isAlive(domain, now));
+		const failing = this.#reachability.cutOff(now);
 		const next = new Set([...silent, ...failing]);
 		for (const domain of next) {
 			if (!this.#unreachable.has(domain)) {
@@ -64,30 +61,32 @@
 	}
 
 	/**
+	 * Records the outcome of an attempt of this host.
+	 *
 	 * @param id - Upstream.
-	 * @param upstream - Its registration, if it still has one.
-	 * @param verdict - What an attempt says of it.
+	 * @param upstream - Registration of the upstream, if it still has one.
+	 * @param verdict - Outcome for the upstream.
 	 * @param now - Time in milliseconds.
 	 */
 	judge(id: string, upstream: GatewayUpstream | undefined, verdict: Verdict, now: number): void {
 		this.health.record(id, verdict, now);
-		this.#noteDoubt(id, verdict, now);
+		this.#logHealthChange(id, verdict, now);
 		const domain = upstream?.failureDomain;
 		if (domain === undefined || domain === this.#options.failureDomain) {
 			return;
 		}
 
 		if (verdict === 'unreachable' || verdict === 'broken') {
-			this.#reach.missed(domain, id, now);
+			this.#reachability.missed(domain, id, now);
 		} else {
-			this.#reach.heard(domain, now);
+			this.#reachability.heard(domain, now);
 		}
 	}
 
 	/**
-	 * Takes the word of a peer; it adds nothing where the upstream is left alone already.
+	 * Records the report of a peer; ignored if the upstream is already excluded.
 	 *
-	 * @param absence - What the peer found.
+	 * @param absence - Upstream that the peer found unreachable or replaced.
 	 * @param now - Time in milliseconds.
 	 */
 	hear({upstream, reason}: Absence, now: number): void {
@@ -97,23 +96,23 @@
 
 		const verdict = verdictFrom(reason);
 		this.health.record(upstream, verdict, now);
-		this.#noteDoubt(upstream, verdict, now);
+		this.#logHealthChange(upstream, verdict, now);
 	}
 
 	/**
-	 * @param id - Upstream that is another process now, or is gone.
+	 * @param id - Upstream that was restarted or removed.
 	 */
 	forget(id: string): void {
 		this.health.forget(id);
-		this.#doubted.delete(id);
+		this.#unhealthy.delete(id);
 	}
 
 	/**
-	 * Holds a crash against a request.
+	 * Records a crash that a request may have caused.
 	 *
-	 * @param crash - Crash seen here.
+	 * @param crash - Crash observed by this host.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether it was new.
+	 * @returns Whether the crash is new.
 	 */
 	suspect(crash: Crash, now: number): boolean {
 		const isNew = this.suspects.record(crash, now);
@@ -125,37 +124,41 @@
 	}
 
 	/**
-	 * @param fingerprint - Request that was answered whole.
-	 * @returns Crashes that were held against it until now.
+	 * Acquits a request.
+	 *
+	 * @param fingerprint - Request that was answered completely.
+	 * @returns Crashes that the request was suspected of.
 	 */
 	acquit(fingerprint: string): readonly Crash[] {
-		return this.#noteCleared(this.suspects.acquit(fingerprint), 'answered');
+		return this.#logAcquittals(this.suspects.acquit(fingerprint), 'answered');
 	}
 
 	/**
+	 * Checks the suspected crashes of a request and withdraws those that did not happen.
+	 *
 	 * @param fingerprint - Request.
-	 * @param survived - Whether an upstream runs on as it did when it is said to have crashed.
-	 * @returns Crashes that were none.
+	 * @param survived - Returns whether the process of the upstream before the suspected crash still runs.
+	 * @returns Withdrawn crashes.
 	 */
 	review(fingerprint: string, survived: (crash: Crash, at: number) => boolean): readonly Crash[] {
-		return this.#noteCleared(this.suspects.review(fingerprint, survived), 'the upstream runs on');
+		return this.#logAcquittals(this.suspects.review(fingerprint, survived), 'the upstream runs on');
 	}
 
 	/**
-	 * @param crashes - Crashes that a peer has cleared.
+	 * @param crashes - Crashes that a peer has withdrawn.
 	 * @param now - Time in milliseconds.
-	 * @returns Whether that is news.
+	 * @returns Whether any of them was not yet withdrawn here.
 	 */
 	clear(crashes: readonly Crash[], now: number): boolean {
-		const isNews = this.suspects.clear(crashes, now);
-		if (isNews) {
-			this.#noteCleared(crashes, 'cleared by a peer');
+		const isNew = this.suspects.clear(crashes, now);
+		if (isNew) {
+			this.#logAcquittals(crashes, 'cleared by a peer');
 		}
 
-		return isNews;
+		return isNew;
 	}
 
-	#noteCleared(crashes: readonly Crash[], reason: string): readonly Crash[] {
+	#logAcquittals(crashes: readonly Crash[], reason: string): readonly Crash[] {
 		for (const fingerprint of new Set(crashes.map(crash => crash.fingerprint))) {
 			this.#options.log.write({event: 'acquitted', fingerprint, reason});
 		}
@@ -163,13 +166,13 @@
 		return crashes;
 	}
 
-	#noteDoubt(upstream: string, verdict: Verdict, now: number): void {
+	#logHealthChange(upstream: string, verdict: Verdict, now: number): void {
 		if (verdict === 'sound') {
-			if (this.#doubted.delete(upstream)) {
+			if (this.#unhealthy.delete(upstream)) {
 				this.#options.log.write({event: 'upstream-trusted', upstream});
 			}
-		} else if (this.health.isPaused(upstream, now) && !this.#doubted.has(upstream)) {
-			this.#doubted.add(upstream);
+		} else if (this.health.isPaused(upstream, now) && !this.#unhealthy.has(upstream)) {
+			this.#unhealthy.add(upstream);
 			this.#options.log.write({event: 'upstream-doubted', upstream, risk: Number(this.health.risk(upstream, now).toFixed(2))}, 'warn');
 		}
 	}
--- a/src/gateway/sharing.ts
+++ b/src/gateway/sharing.ts
@@ -1,23 +1,23 @@
 /**
- * Spares the platform's store: in a failure domain of many hosts its relays read it and the others ask them. A host that can
- * reach no reader reads by itself; one that can't reach the store asks whoever it is linked with.
+ * Reduces reads of the platform's store: in a failure domain with many hosts, only the relays read it, and the other hosts request the
+ * state from them. A host that can't reach a relay reads the store itself; one that can't reach the store asks any linked host.
  */
 import {type GatewayConfiguration} from '../core/gateway/types.js';
 import {type Clock, type Moment} from '../entry/clock.js';
 import {type Gateway} from './gateway.js';
 import {encode} from './peers/messages.js';
-import {type PeerState, type StateWanted} from './peers/state.js';
+import {type PeerState, type StateRequest} from './peers/state.js';
 
 /**
- * Hosts of a domain from which on the others ask: below it there are too few to spare calls. With 70 hosts that each read
- * once a second, calls are a twentieth of what the day is worth.
+ * Smallest failure domain whose hosts share reads; with fewer hosts there are too few calls to save. With 70 hosts that each read once a
+ * second, the calls cost a twentieth of a day's total value.
  */
-const smallestSharing = 5;
+const minSharingHosts = 5;
 
-/** How a host learns what the store holds: by reading for itself, for others that ask it too, or by asking those. */
+/** How a host gets the state of the store: reads it for itself, reads it for others as well, or asks a host that reads it. */
 export type Reading = 'by asking' | 'for itself' | 'for others';
 
-type Ask = {
+type PendingRequest = {
 	readonly host: string;
 	readonly at: Moment;
 	readonly done: () => void;
@@ -32,24 +32,24 @@
 export class Sharing {
 	readonly #options: SharingOptions;
 	readonly #gateway: Gateway;
-	readonly #asks = new Map<number, Ask>();
-	/** Version that each linked host was told of. */
-	readonly #told = new Map<string, number>();
-	/** The configuration in force as it is told: it is encoded once for all hosts that ask. */
-	#frame: {readonly version: number; readonly bytes: Uint8Array} | undefined;
-	#count = 0;
-	#turn = 0;
+	readonly #pending = new Map<number, PendingRequest>();
+	/** Version of the configuration last sent to each linked host. */
+	readonly #sentVersions = new Map<string, number>();
+	/** Message with the configuration in force, encoded once for all hosts that request it. */
+	#configurationFrame: {readonly version: number; readonly bytes: Uint8Array} | undefined;
+	#lastId = 0;
+	#nextPeer = 0;
 
 	/**
-	 * @param gateway - What is asked for and told of.
-	 * @param options - Who this host is.
+	 * @param gateway - Gateway whose state is sent and updated.
+	 * @param options - This host.
 	 */
 	constructor(gateway: Gateway, options: SharingOptions) {
 		this.#gateway = gateway;
 		this.#options = options;
 	}
 
-	/** How this host learns what the store holds, by the hosts that are linked now. */
+	/** How this host gets the state of the store, given the hosts that are linked at present. */
 	get reading(): Reading {
 		if (!this.#isShared) {
 			return 'for itself';
@@ -59,50 +59,54 @@
 	}
 
 	/**
-	 * Asks a reader of this failure domain.
+	 * Requests the state from another relay of this failure domain. Resolves with the response or after the timeout.
 	 *
 	 * @param timeout - Milliseconds to wait.
 	 */
 	async askReader(timeout: number): Promise<void> {
 		const readers = this.#gateway.peers.relays.filter(name => name !== this.#options.self);
-		await this.#askOne(readers, timeout);
+		await this.#requestFromOne(readers, timeout);
 	}
 
 	/**
-	 * Asks any linked host, another one each time.
+	 * Requests the state from any linked host, in rotation. Resolves with the response or after the timeout.
 	 *
 	 * @param timeout - Milliseconds to wait.
 	 */
 	async askAnyone(timeout: number): Promise<void> {
-		await this.#askOne(this.#gateway.peers.hosts.map(host => host.name), timeout);
+		await this.#requestFromOne(this.#gateway.peers.hosts.map(host => host.name), timeout);
 	}
 
 	/**
-	 * @param host - Host that is linked anew: what it was told may not have arrived.
+	 * Forgets what was sent to a host over its previous link, as it may not have arrived.
+	 *
+	 * @param host - Host that has just been linked.
 	 */
 	joined(host: string): void {
-		this.#told.delete(host);
+		this.#sentVersions.delete(host);
 	}
 
 	/**
-	 * @param from - Peer that asks.
-	 * @param wanted - What it has.
+	 * Answers a request for the state, unless this host has none yet.
+	 *
+	 * @param from - Requester.
+	 * @param request - Versions that the requester has.
 	 */
-	answer(from: string, wanted: StateWanted): void {
+	answer(from: string, request: StateRequest): void {
 		const gateway = this.#gateway;
 		const configuration = gateway.directory?.configuration;
 		if (configuration === undefined || gateway.registrations.revision === 0) {
 			return;
 		}
 
-		if (configuration.version > wanted.version) {
-			this.#tell(from, configuration);
+		if (configuration.version > request.version) {
+			this.#sendConfiguration(from, configuration);
 		}
 
-		const {upstreams, kept, ...revisions} = gateway.registrations.newsFor(wanted.revision);
+		const {upstreams, kept, ...revisions} = gateway.registrations.createUpdate(request.revision);
 		gateway.peers.send(from, {
 			type: 'state',
-			ask: wanted.ask,
+			ask: request.ask,
 			age: gateway.confirmedAge,
 			version: configuration.version,
 			...revisions,
@@ -112,56 +116,56 @@
 	}
 
 	/**
-	 * @param from - Peer that answered.
-	 * @param state - What it told.
+	 * @param from - Peer that responded.
+	 * @param state - State of the peer.
 	 */
 	heard(from: string, state: PeerState): void {
-		const ask = this.#asks.get(state.ask);
-		if (ask?.host !== from) {
+		const request = this.#pending.get(state.ask);
+		if (request?.host !== from) {
 			return;
 		}
 
-		this.#asks.delete(state.ask);
-		// The peer answered at some time after it was asked.
-		this.#gateway.takeState(from, state, state.age + this.#options.clock.since(ask.at));
-		ask.done();
+		this.#pending.delete(state.ask);
+		// The peer responded at an unknown time after the request was sent, so the age may be too high, never too low.
+		this.#gateway.takeState(from, state, state.age + this.#options.clock.since(request.at));
+		request.done();
 	}
 
-	/** Tells a peer of the configuration, unless it is on its way to it over the same link: a large one takes long to arrive. */
-	#tell(host: string, configuration: GatewayConfiguration): void {
+	/** Sends the configuration, unless it was already sent over the same link: a large one takes long to arrive. */
+	#sendConfiguration(host: string, configuration: GatewayConfiguration): void {
 		const {version} = configuration;
-		if (this.#frame?.version !== version) {
-			this.#frame = {version, bytes: encode({type: 'configuration', configuration})};
+		if (this.#configurationFrame?.version !== version) {
+			this.#configurationFrame = {version, bytes: encode({type: 'configuration', configuration})};
 		}
 
-		if (this.#told.get(host) !== version) {
-			this.#told.set(host, version);
-			this.#gateway.peers.sendFrame(host, this.#frame.bytes);
+		if (this.#sentVersions.get(host) !== version) {
+			this.#sentVersions.set(host, version);
+			this.#gateway.peers.sendFrame(host, this.#configurationFrame.bytes);
 		}
 	}
 
-	/** Whether the relays of this host's failure domain read for the others. */
+	/** Whether the relays of this host's failure domain read the store for the other hosts. */
 	get #isShared(): boolean {
 		const {peers} = this.#gateway;
 		const others = peers.hosts.filter(host => host.failureDomain === this.#options.failureDomain);
-		return peers.isLargeFleet || others.length + 1 >= smallestSharing;
+		return peers.isLargeFleet || others.length + 1 >= minSharingHosts;
 	}
 
-	async #askOne(names: readonly string[], timeout: number): Promise<void> {
-		this.#turn++;
-		const host = names[this.#turn % Math.max(names.length, 1)];
+	async #requestFromOne(hosts: readonly string[], timeout: number): Promise<void> {
+		this.#nextPeer++;
+		const host = hosts[this.#nextPeer % Math.max(hosts.length, 1)];
 		if (host === undefined) {
 			return;
 		}
 
-		this.#count++;
-		const id = this.#count;
+		this.#lastId++;
+		const id = this.#lastId;
 		await new Promise<void>(resolve => {
 			const timer = setTimeout(() => {
-				this.#asks.delete(id);
+				this.#pending.delete(id);
 				resolve();
 			}, timeout);
-			this.#asks.set(id, {
+			this.#pending.set(id, {
 				host,
 				at: this.#options.clock.moment(),
 				done() {
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -1,21 +1,21 @@
-/** The upstreams that may be used, as they are registered now. */
+/** The usable upstreams, as registered at present. */
 import {type GatewayUpstream} from '../core/gateway/types.js';
 import {type Log} from '../entry/logs.js';
 
 export type UpstreamEvents = {
-	/** It is another process than before. */
+	/** Another process has registered under the id. */
 	readonly restarted: (id: string) => void;
 	readonly gone: (id: string) => void;
 };
 
-/** Who told of a registration or its end, as of a revision of the store. */
-export type Source
+/** Origin of a registration or removal, with its revision of the store. */
+export type RegistrationSource
 	= | {readonly type: 'peer'; readonly peer: string; readonly revision: number}
 		| {readonly type: 'store'; readonly revision: number};
 
-const none: readonly GatewayUpstream[] = [];
+const noUpstreams: readonly GatewayUpstream[] = [];
 
-function describe(source: Source): Readonly<Record<string, unknown>> {
+function describeSource(source: RegistrationSource): Readonly<Record<string, unknown>> {
 	return {source: source.type === 'store' ? 'store' : source.peer, revision: source.revision};
 }
 
@@ -25,12 +25,12 @@
 	readonly #byId = new Map<string, GatewayUpstream>();
 	readonly #byAddress = new Map<string, GatewayUpstream>();
 	readonly #byService = new Map<string, GatewayUpstream[]>();
-	/** Whether registrations have changed since the tables by address and service were made. */
+	/** Whether the indexes by address and service reflect all registrations. */
 	#isIndexed = true;
 
 	/**
-	 * @param log - Told of what changes.
-	 * @param events - Told of upstreams that are not what they were.
+	 * @param log - Log of all changes.
+	 * @param events - Listeners.
 	 */
 	constructor(log: Pick<Log, 'write'>, events: UpstreamEvents) {
 		this.#log = log;
@@ -47,7 +47,7 @@
 
 	/**
 	 * @param id - Upstream.
-	 * @returns The upstream, while it is registered.
+	 * @returns The upstream, if it is registered.
 	 */
 	get(id: string): GatewayUpstream | undefined {
 		return this.#byId.get(id);
@@ -55,54 +55,54 @@
 
 	/**
 	 * @param address - Host and port, as text.
-	 * @returns The upstream there.
+	 * @returns The upstream at the address, if there is one.
 	 */
-	at(address: string): GatewayUpstream | undefined {
-		this.#index();
+	findByAddress(address: string): GatewayUpstream | undefined {
+		this.#updateIndexes();
 		return this.#byAddress.get(address);
 	}
 
 	/**
 	 * @param service - Service.
-	 * @returns Its upstreams.
+	 * @returns Upstreams of the service.
 	 */
 	of(service: string): readonly GatewayUpstream[] {
-		this.#index();
-		return this.#byService.get(service) ?? none;
+		this.#updateIndexes();
+		return this.#byService.get(service) ?? noUpstreams;
 	}
 
 	/**
-	 * @param upstream - Upstream as it is registered now.
-	 * @param source - Who told.
+	 * @param upstream - Current registration of an upstream.
+	 * @param source - Origin of the registration.
 	 */
-	register(upstream: GatewayUpstream, source: Source): void {
-		const before = this.#byId.get(upstream.id);
+	register(upstream: GatewayUpstream, source: RegistrationSource): void {
+		const previous = this.#byId.get(upstream.id);
 		this.#byId.set(upstream.id, upstream);
 		this.#isIndexed = false;
-		if (before !== undefined && before.started !== upstream.started) {
-			this.#log.write({event: 'upstream-restarted', upstream: upstream.id, ...describe(source)});
+		if (previous !== undefined && previous.started !== upstream.started) {
+			this.#log.write({event: 'upstream-restarted', upstream: upstream.id, ...describeSource(source)});
 			this.#events.restarted(upstream.id);
-		} else if (before?.isDraining !== upstream.isDraining) {
+		} else if (previous?.isDraining !== upstream.isDraining) {
 			this.#log.write({
-				event: 'upstream', upstream: upstream.id, service: upstream.service, domain: upstream.failureDomain, draining: upstream.isDraining, ...describe(source),
+				event: 'upstream', upstream: upstream.id, service: upstream.service, domain: upstream.failureDomain, draining: upstream.isDraining, ...describeSource(source),
 			});
 		}
 	}
 
 	/**
-	 * @param id - Upstream that is registered no more.
-	 * @param source - Who told.
+	 * @param id - Upstream whose registration is gone.
+	 * @param source - Origin of the removal.
 	 */
-	unregister(id: string, source: Source): void {
+	unregister(id: string, source: RegistrationSource): void {
 		if (this.#byId.delete(id)) {
 			this.#isIndexed = false;
-			this.#log.write({event: 'upstream-gone', upstream: id, ...describe(source)});
+			this.#log.write({event: 'upstream-gone', upstream: id, ...describeSource(source)});
 			this.#events.gone(id);
 		}
 	}
 
-	/** Makes the tables anew once for all changes since they were last used: hundreds of upstreams are registered at once. */
-	#index(): void {
+	/** Rebuilds the indexes once for all changes since they were last used: hundreds of upstreams may register at once. */
+	#updateIndexes(): void {
 		if (this.#isIndexed) {
 			return;
 		}
@@ -112,9 +112,9 @@
 		this.#byAddress.clear();
 		for (const upstream of this.#byId.values()) {
 			this.#byAddress.set(`${upstream.address.host}:${upstream.address.port}`, upstream);
-			const known = this.#byService.get(upstream.service) ?? [];
-			known.push(upstream);
-			this.#byService.set(upstream.service, known);
+			const siblings = this.#byService.get(upstream.service) ?? [];
+			siblings.push(upstream);
+			this.#byService.set(upstream.service, siblings);
 		}
 	}
 }
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -1,4 +1,4 @@
-/** What the ends of attempts say: of upstreams, of the request that broke them, and of where it may go next. */
+/** Draws conclusions from ended attempts: the health of upstreams, suspected requests, and where a request may be sent next. */
 import {verdictOf} from '../core/gateway/health.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
 import {type Tries} from '../core/gateway/tries.js';
@@ -7,24 +7,24 @@
 
 export class Verdicts {
 	readonly #gateway: Gateway;
-	readonly #tries: Tries;
+	readonly #attempts: Tries;
 	readonly #fingerprint: string;
 
 	/**
-	 * @param gateway - Told of upstreams.
-	 * @param tries - Attempts of the request.
-	 * @param fingerprint - Equal for a request that is sent again.
+	 * @param gateway - Gateway that records the verdicts.
+	 * @param attempts - Attempts of the request.
+	 * @param fingerprint - Equal for repetitions of the same request.
 	 */
-	constructor(gateway: Gateway, tries: Tries, fingerprint: string) {
+	constructor(gateway: Gateway, attempts: Tries, fingerprint: string) {
 		this.#gateway = gateway;
-		this.#tries = tries;
+		this.#attempts = attempts;
 		this.#fingerprint = fingerprint;
 	}
 
 	/**
-	 * @param ended - How an attempt ended without an answer.
-	 * @param upstream - Upstream that it went to.
-	 * @returns What is true of it.
+	 * @param ended - Attempt that ended without an answer.
+	 * @param upstream - Upstream of the attempt.
+	 * @returns Ending of the attempt.
 	 */
 	unanswered({ending, absence}: Ended, upstream: string): AttemptEnding {
 		if (absence === undefined) {
@@ -32,24 +32,24 @@
 		} else {
 			this.#gateway.judge(upstream, 'unreachable');
 			this.#gateway.tellAbsence(upstream, absence);
-			this.#tries.noteUnreached(upstream);
+			this.#attempts.noteUnreached(upstream);
 		}
 
 		return ending;
 	}
 
 	/**
-	 * Takes the word of an upstream that it did not run the request; an engine that was to help it may be at fault.
+	 * Handles a response by which an upstream states that it did not run the request; the cause may be a helper engine.
 	 *
-	 * @param reply - What it said.
-	 * @param upstream - Upstream.
-	 * @returns What is true of the attempt.
+	 * @param reply - Response.
+	 * @param upstream - Upstream of the attempt.
+	 * @returns Ending of the attempt.
 	 */
 	notRun({status, facts}: Reply, upstream: string): AttemptEnding {
-		const culprit = facts.culprit === undefined ? undefined : this.#gateway.upstreams.at(facts.culprit);
+		const culprit = facts.culprit === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.culprit);
 		if (culprit !== undefined && culprit.id !== upstream) {
 			this.#gateway.judge(culprit.id, 'unreachable');
-			this.#tries.noteMissedHelper(upstream, culprit.id);
+			this.#attempts.noteMissedHelper(upstream, culprit.id);
 		} else if (facts.isMisdirected) {
 			this.#gateway.judge(upstream, 'replaced');
 			this.#gateway.tellAbsence(upstream, 'replaced');
@@ -61,8 +61,8 @@
 	}
 
 	/**
-	 * @param ending - How an attempt ended that was sent.
-	 * @param upstream - Upstream that it went to.
+	 * @param ending - Ending of an attempt that was sent.
+	 * @param upstream - Upstream of the attempt.
 	 */
 	judge(ending: AttemptEnding, upstream: string): void {
 		const verdict = verdictOf(ending);
