--- a/src/gateway/__tests__/load-requester.test.ts
+++ b/src/gateway/__tests__/load-requester.test.ts
@@ -18,7 +18,7 @@
 		sent.push([relay, ask]);
 	});
 	return {
-		asked: sent, inquiry: requester, respond(index: number) {
+		sent, requester, respond(index: number) {
 			const [relay, ask] = sent[index]!;
 			requester.handleResponse(relay, {type: 'load-told', ask});
 		},
@@ -38,33 +38,33 @@
 }
 
 it('concurrent callers share one request and continue with its response', async () => {
-	const {asked, inquiry, respond: answer} = setUp();
-	const both = [inquiry.requestUpdates('r1'), inquiry.requestUpdates('r1')];
-	expect(asked).toEqual([['r1', 1]]);
+	const {sent, requester, respond} = setUp();
+	const both = [requester.requestUpdates('r1'), requester.requestUpdates('r1')];
+	expect(sent).toEqual([['r1', 1]]);
 	expect(await isResolved(both[0]!)).toBe(false);
-	answer(0);
+	respond(0);
 	expect(await Promise.all(both.map(async each => isResolved(each)))).toEqual([true, true]);
 });
 
 it('callers wait once for a relay that does not respond, and again after it has responded', async () => {
-	const {asked, inquiry, respond: answer} = setUp();
-	const first = inquiry.requestUpdates('r1');
+	const {sent, requester, respond} = setUp();
+	const first = requester.requestUpdates('r1');
 	await vi.advanceTimersByTimeAsync(20);
 	expect(await isResolved(first)).toBe(true);
-	expect(await isResolved(inquiry.requestUpdates('r1'))).toBe(true);
-	expect(asked).toHaveLength(2);
-	answer(0);
-	expect(await isResolved(inquiry.requestUpdates('r1'))).toBe(false);
+	expect(await isResolved(requester.requestUpdates('r1'))).toBe(true);
+	expect(sent).toHaveLength(2);
+	respond(0);
+	expect(await isResolved(requester.requestUpdates('r1'))).toBe(false);
 });
 
 it('callers wait for a new relay although the previous one has not responded', async () => {
-	const {inquiry, respond: answer} = setUp();
-	const before = inquiry.requestUpdates('r1');
-	const after = inquiry.requestUpdates('r2');
+	const {requester, respond} = setUp();
+	const before = requester.requestUpdates('r1');
+	const after = requester.requestUpdates('r2');
 	await vi.advanceTimersByTimeAsync(5);
-	answer(1);
+	respond(1);
 	expect([await isResolved(before), await isResolved(after)]).toEqual([false, true]);
 	await vi.advanceTimersByTimeAsync(20);
 	expect(await isResolved(before)).toBe(true);
-	expect(await isResolved(inquiry.requestUpdates('r2'))).toBe(false);
+	expect(await isResolved(requester.requestUpdates('r2'))).toBe(false);
 });
--- a/src/gateway/__tests__/reputation.test.ts
+++ b/src/gateway/__tests__/reputation.test.ts
@@ -70,13 +70,13 @@
 
 it('lists upstreams by service, and reports those that were restarted or removed', () => {
 	const {log} = createRecorder();
-	const told: string[] = [];
+	const notified: string[] = [];
 	const upstreams = new Upstreams(log, {
 		restarted(id) {
-			told.push(`${id} restarted`);
+			notified.push(`${id} restarted`);
 		},
 		gone(id) {
-			told.push(`${id} gone`);
+			notified.push(`${id} gone`);
 		},
 	});
 	const source = {type: 'store', revision: 1} as const;
@@ -88,7 +88,7 @@
 	upstreams.unregister('e2', source);
 	upstreams.register(upstream('e3', 'b'), source);
 	expect([upstreams.of('portal'), upstreams.all.map(each => each.id), upstreams.size]).toEqual([[], ['e1', 'e3'], 2]);
-	expect(told).toEqual(['e1 restarted', 'e2 gone']);
+	expect(notified).toEqual(['e1 restarted', 'e2 gone']);
 });
 
 it('upstreams replaced by other processes do not make their failure domain unreachable', () => {
--- a/src/gateway/__tests__/sharing.test.ts
+++ b/src/gateway/__tests__/sharing.test.ts
@@ -28,7 +28,7 @@
 			},
 		},
 	} as unknown as Gateway;
-	return {told: sent, configuration, sharing: new Sharing(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
+	return {sent, configuration, sharing: new Sharing(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
 }
 
 const stateRequest = {
@@ -36,26 +36,26 @@
 } as const;
 
 it('a peer that repeats its request while the configuration is being sent does not get it twice', () => {
-	const {told, configuration, sharing} = setUp();
+	const {sent, configuration, sharing} = setUp();
 	sharing.answer('h1', stateRequest);
 	sharing.answer('h1', {...stateRequest, ask: 2});
-	expect(told.map(message => message.type)).toEqual(['configuration', 'state', 'state']);
-	expect(told[0]).toEqual({type: 'configuration', configuration});
+	expect(sent.map(message => message.type)).toEqual(['configuration', 'state', 'state']);
+	expect(sent[0]).toEqual({type: 'configuration', configuration});
 });
 
 it('a peer gets the configuration again over a new link, and not if it has it already', () => {
-	const {told, sharing} = setUp();
+	const {sent, sharing} = setUp();
 	sharing.answer('h1', stateRequest);
 	sharing.joined('h1');
 	sharing.answer('h1', stateRequest);
 	sharing.answer('h2', {...stateRequest, version: 5});
-	expect(told.map(message => message.type)).toEqual(['configuration', 'state', 'configuration', 'state', 'state']);
+	expect(sent.map(message => message.type)).toEqual(['configuration', 'state', 'configuration', 'state', 'state']);
 });
 
 it('a new version is sent at once', () => {
-	const {told, configuration, sharing} = setUp();
+	const {sent, configuration, sharing} = setUp();
 	sharing.answer('h1', stateRequest);
 	Object.assign(configuration, {version: 6});
 	sharing.answer('h1', stateRequest);
-	expect(told.filter(message => message.type === 'configuration').map(({configuration: {version}}) => version)).toEqual([5, 6]);
+	expect(sent.filter(message => message.type === 'configuration').map(({configuration: {version}}) => version)).toEqual([5, 6]);
 });
--- a/src/gateway/news.ts
+++ b/src/gateway/news.ts
@@ -182,6 +182,8 @@
 	}
 
 	/**
+	 * Applies an update, and forwards it if this host is to relay it.
+	 *
 	 * @param from - Sender.
 	 * @param update - Changes of the sender's own jobs, or of others' jobs that it forwards.
 	 */
@@ -221,8 +223,10 @@
 	}
 
 	/**
-	 * @param host - Host whose link was closed.
-	 * @param reason - Reason.
+	 * Removes the jobs of a host whose link was closed: after a delay if it was unresponsive, and not at all if the link was released.
+	 *
+	 * @param host - Host.
+	 * @param reason - `silent`, `released` or any other reason.
 	 */
 	lost(host: Host, reason: string): void {
 		const {peers, failureDomain} = this.#options;
@@ -282,7 +286,7 @@
 		}
 	}
 
-	/** Notifies own streams whose decode the prefill of a new job will interrupt for too long. */
+	/** Notifies own streams if the prefill of a new job will interrupt their decode for too long. */
 	#notifyDisturbed(job: Job): void {
 		if (job.readPerPass < harmfulReading || this.#reroutable.size === 0) {
 			return;
--- a/src/gateway/peers/__tests__/topology.test.ts
+++ b/src/gateway/peers/__tests__/topology.test.ts
@@ -28,8 +28,8 @@
 
 	it('connect all hosts while any one host is down', () => {
 		const all = createFleet(4, 18);
-		for (const gone of all) {
-			const hosts = all.filter(host => host !== gone);
+		for (const stopped of all) {
+			const hosts = all.filter(host => host !== stopped);
 			const links = selectLinks(hosts);
 			const reached = new Set<string>();
 			const next = [hosts[0]!.name];
--- a/src/gateway/peers/dialer.ts
+++ b/src/gateway/peers/dialer.ts
@@ -35,10 +35,10 @@
 
 	/** Updates the links at once, then at short intervals during startup. */
 	start(): void {
-		const {knownPeers: acquaintances, now} = this.#options;
+		const {knownPeers, now} = this.#options;
 		this.updateLinks();
 		this.#timer = setInterval(() => {
-			if (acquaintances.isStartingUp(now())) {
+			if (knownPeers.isStartingUp(now())) {
 				this.updateLinks();
 			} else {
 				clearInterval(this.#timer);
@@ -49,9 +49,9 @@
 	/** Dials peers that are selected and not linked, and releases links to peers that aren't selected. */
 	updateLinks(): void {
 		const now = this.#options.now();
-		const wanted = this.#selectPeers();
-		for (const [key, each] of this.#options.knownPeers.entries) {
-			this.#updateLink(each, wanted?.has(key) ?? true, now);
+		const selected = this.#selectPeers();
+		for (const [key, peer] of this.#options.knownPeers.entries) {
+			this.#updateLink(peer, selected?.has(key) ?? true, now);
 		}
 	}
 
@@ -61,12 +61,12 @@
 
 	/** Keys of the peers to link with; undefined means all. */
 	#selectPeers(): ReadonlySet<string> | undefined {
-		const {self, knownPeers: acquaintances, isLargeFleet} = this.#options;
-		return isLargeFleet() ? new Set(selectNeighbours(self, acquaintances.reachableHosts).map(host => addressKey(host.address))) : undefined;
+		const {self, knownPeers, isLargeFleet} = this.#options;
+		return isLargeFleet() ? new Set(selectNeighbours(self, knownPeers.reachableHosts).map(host => addressKey(host.address))) : undefined;
 	}
 
 	#updateLink(peer: KnownPeer, isSelected: boolean, now: number): void {
-		const {links, release, seeds, knownPeers: acquaintances} = this.#options;
+		const {links, release, seeds, knownPeers} = this.#options;
 		const isNeeded = isSelected || peer.host === undefined;
 		const link = peer.host === undefined ? undefined : links.get(peer.host.name);
 		if (link !== undefined) {
@@ -83,7 +83,7 @@
 		}
 
 		const isSeed = seeds.some(seed => addressKey(seed) === addressKey(peer.address));
-		const isRemoved = !isSeed && acquaintances.removeExpired(peer, now);
+		const isRemoved = !isSeed && knownPeers.removeExpired(peer, now);
 		if (!isRemoved && !peer.isDialling && now >= peer.nextDialAt) {
 			this.#dial(peer);
 		}
--- a/src/gateway/registrations.ts
+++ b/src/gateway/registrations.ts
@@ -174,7 +174,7 @@
 		}
 	}
 
-	/** Unregisters upstreams that a peer at or past the revision of their removal doesn't keep: the registration of these did not merely expire. */
+	/** Unregisters kept upstreams that a peer which knows of their removal doesn't keep: their registrations did not merely expire. */
 	#unregisterUnkept(kept: readonly string[], source: RegistrationSource): void {
 		for (const [id, expiring] of this.#expiring) {
 			if (source.revision >= expiring.source.revision && !kept.includes(id)) {
