--- a/src/gateway/peers/peers.ts
+++ b/src/gateway/peers/peers.ts
@@ -21,7 +21,7 @@
  */
 const silenceTimeoutMs = 2000;
 
-/** Every this many heartbeats, one names other hosts: hosts that lost track of each other are linked again within seconds. */
+/** One heartbeat in this many names other hosts, so that hosts that lost track of each other are linked again within seconds. */
 const heartbeatsPerHostSample = 8;
 
 /** Hosts named in such a heartbeat: within a minute, all are named. */
