--- a/src/gateway/__tests__/attempt.test.ts
+++ b/src/gateway/__tests__/attempt.test.ts
@@ -6,16 +6,16 @@
 	afterEach, beforeEach, expect, it, vi,
 } from 'vitest';
 import {Attempt, type Ended, type Reply} from '../attempt.js';
-import {type Dialect} from '../dialect.js';
+import {type HeaderFormat} from '../platform-adapter.js';
 
-const dialect: Dialect = {
-	readCaller: () => undefined,
-	forUpstream: () => [],
-	readReply: () => ({isSigned: true, isNotRun: false, isMisdirected: false}),
+const headerFormat: HeaderFormat = {
+	parseRequest: () => undefined,
+	formatUpstreamHeaders: () => [],
+	parseResponse: () => ({isSigned: true, isNotRun: false, isMisdirected: false}),
 };
 
-/** Connections to an upstream from which nothing comes. */
-class DarkAgent extends Agent {
+/** Creates connections that are never established. */
+class UnresponsiveAgent extends Agent {
 	override createConnection(): Socket {
 		const socket = new Socket();
 		Object.defineProperty(socket, 'connecting', {value: true});
@@ -31,10 +31,10 @@
 	vi.useRealTimers();
 });
 
-it('gives a connection up soon enough for another upstream to answer a short prompt in time', async () => {
+it('gives up on a connection early enough for another upstream to answer a short prompt in time', async () => {
 	const attempt = new Attempt({
 		id: 'r', method: 'GET', path: '/', headers: [], body: Buffer.alloc(0), address: {host: '127.0.0.1', port: 1},
-	}, dialect, new DarkAgent());
+	}, headerFormat, new UnresponsiveAgent());
 	const replies: Array<Reply | Ended> = [];
 	void (async () => {
 		replies.push(await attempt.reply());
--- a/src/gateway/__tests__/bytes.test.ts
+++ b/src/gateway/__tests__/bytes.test.ts
@@ -1,4 +1,4 @@
-/** Bytes on their way: events of streams, headers, messages of peers. */
+/** Splitting and encoding of bytes: events of streams, headers, peer messages. */
 import {Buffer} from 'node:buffer';
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -12,16 +12,16 @@
 describe('events', () => {
 	const stream = 'id: 1\ndata: a\n\nid: 2\r\ndata: ü\r\n\r\ndata: without id\n\nid: 4\ndata: x\n\nid: 5\ndata: half';
 
-	it('pass unchanged, whole and with the last id, however they are cut', () => {
+	it('are passed on unchanged, whole and with the last id, wherever the chunks are cut', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 0, max: Buffer.byteLength(stream)}), {maxLength: 12}), cuts => {
 			const bytes = Buffer.from(stream);
-			const places = [0, ...cuts.toSorted((a, b) => a - b), bytes.length];
+			const offsets = [0, ...cuts.toSorted((a, b) => a - b), bytes.length];
 			const splitter = new EventSplitter();
 			const passed: Buffer[] = [];
 			let count = 0;
 			let last: string | undefined;
-			for (let index = 1; index < places.length; index++) {
-				const events = splitter.push(bytes.subarray(places[index - 1], places[index]));
+			for (let index = 1; index < offsets.length; index++) {
+				const events = splitter.push(bytes.subarray(offsets[index - 1], offsets[index]));
 				passed.push(events.bytes);
 				count += events.count;
 				last = events.lastId ?? last;
@@ -35,17 +35,17 @@
 	});
 });
 
-it('leaves out headers of one connection, those that it names and those that are dropped', () => {
+it('removes per-connection headers, headers named by Connection, and dropped headers', () => {
 	const raw = ['Host', 'a', 'Connection', 'close, X-Hop', 'X-Hop', '1', 'x-keep', '2', 'X-Keep', '3', 'Transfer-Encoding', 'chunked', 'X-Drop', '4'];
 	expect(endToEnd(raw, new Set(['x-drop']))).toEqual(['Host', 'a', 'x-keep', '2', 'X-Keep', '3']);
 });
 
-describe('messages of peers', () => {
+describe('peer messages', () => {
 	const job = {
 		id: 'h.1', host: 'h', upstream: 'e', helpers: ['f'], prompt: 10, answer: 5, isHeld: false, read: 3, readPerPass: 2, placing: 'first' as const, weight: 1, began: 100, due: 400, deadline: 900,
 	};
 
-	it('come out as they went in, and jobs on the hearer\'s clock', () => {
+	it('are decoded as they were encoded, with the times of jobs converted to the receiver\'s clock', () => {
 		const message: Message = {
 			type: 'load', began: [tell(job, 'h', 150)], progressed: ['h.0'], ended: [],
 		};
@@ -56,13 +56,13 @@
 		});
 	});
 
-	it('name the host of a job that another one tells of', () => {
+	it('name the host of a job that a relay passes on', () => {
 		const told = tell(job, 'relay', 150);
 		expect(told.host).toBe('h');
 		expect(heard(told, 'relay', 150).host).toBe('h');
 	});
 
-	it('that cannot be read raise a coded error', () => {
+	it('raise a failure with a code if they are invalid', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 64}), bytes => {
 			try {
 				messageReader().push(bytes);
--- a/src/gateway/__tests__/dispatch.test.ts
+++ b/src/gateway/__tests__/dispatch.test.ts
@@ -1,89 +1,89 @@
-/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- Only what such a request reaches stands in for the rest. */
+/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- The mocks contain only the members that these tests use. */
 import {Buffer} from 'node:buffer';
 import {createServer, request} from 'node:http';
 import {once} from 'node:events';
 import {type AddressInfo} from 'node:net';
 import {expect, it} from 'vitest';
-import {type Delivery} from '../delivery.js';
-import {Dispatch, type Order} from '../dispatch.js';
-import {type Parts} from '../parts.js';
-import {type Trace} from '../trace.js';
+import {type CallerResponse} from '../caller-response.js';
+import {Dispatch, type AdmittedRequest} from '../dispatch.js';
+import {type GatewayServices} from '../services.js';
+import {type RequestTrace} from '../trace.js';
 
-it('a request whose time was over before it was sent ends, though no timer could fire', async () => {
+it('ends a request whose deadline passed before it was sent, even if no timer could fire', async () => {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const asking = request({port: (server.address() as AddressInfo).port, host: '127.0.0.1'});
-	asking.on('error', () => undefined).end();
-	const [incoming] = await once(server, 'request') as [Order['incoming']];
+	const callerRequest = request({port: (server.address() as AddressInfo).port, host: '127.0.0.1'});
+	callerRequest.on('error', () => undefined).end();
+	const [incoming] = await once(server, 'request') as [AdmittedRequest['incoming']];
 	let placed = 0;
 	const concluded: string[] = [];
-	const place = {
+	const placement = {
 		upstream: {id: 'e0', address: {host: '127.0.0.1', port: 1}}, helpers: [], holdTokens: 0, loss: 0, firstByte: 0,
 	};
 	const gateway = {
 		convictions: {isConvicted: () => false},
-		news: {refresh: async () => undefined},
+		loadUpdates: {refresh: async () => undefined},
 		mayRetry: () => true,
 		retries: {countRetry: () => undefined},
 		place() {
 			placed++;
-			return placed < 1000 ? place : undefined;
+			return placed < 1000 ? placement : undefined;
 		},
 	};
-	const parts = {gateway, clock: {now: () => 2000}, metrics: {retries: {inc: () => undefined}}} as unknown as Parts;
-	const delivery = {
+	const services = {gateway, clock: {now: () => 2000}, metrics: {retries: {inc: () => undefined}}} as unknown as GatewayServices;
+	const callerResponse = {
 		isClosed: false,
 		noteMayHaveRun: () => undefined,
 		conclude(name: string) {
 			concluded.push(name);
 		},
-	} as unknown as Delivery;
-	const order = {
+	} as unknown as CallerResponse;
+	const admitted = {
 		incoming, body: Buffer.alloc(0), route: {attempts: 2, kind: 'idempotent', isResumable: false}, organisation: undefined, demand: {deadline: 1000, service: 's'},
-	} as unknown as Order;
-	await new Dispatch(parts, order, delivery, {write: () => undefined} as unknown as Trace).run();
+	} as unknown as AdmittedRequest;
+	await new Dispatch(services, admitted, callerResponse, {write: () => undefined} as unknown as RequestTrace).run();
 	expect([concluded, placed]).toEqual([['deadlinePassed'], 0]);
-	asking.destroy();
+	callerRequest.destroy();
 	server.close();
 });
 
-it('a request that would cost others more than it is worth is refused at once, with the time to come back', async () => {
+it('refuses a request at once that would cost other requests more than its weight, with the time after which to retry', async () => {
 	const refused: Array<readonly [string, number | undefined]> = [];
 	const lines: string[] = [];
-	const place = {
+	const placement = {
 		upstream: {id: 'e0', address: {host: '127.0.0.1', port: 1}}, helpers: [], holdTokens: 0, loss: 60, firstByte: 900, reading: {total: 400, perPass: 400},
 	};
 	const gateway = {
 		convictions: {isConvicted: () => false},
-		news: {refresh: async () => undefined},
+		loadUpdates: {refresh: async () => undefined},
 		service: () => ({engine: {usualPrompt: 1000, usualAnswer: 500, step: 1}}),
-		place: () => place,
+		place: () => placement,
 	};
-	const parts = {gateway, clock: {now: () => 0}, random: () => 0.5} as unknown as Parts;
-	const delivery = {
+	const services = {gateway, clock: {now: () => 0}, random: () => 0.5} as unknown as GatewayServices;
+	const callerResponse = {
 		refuse(name: string, after?: number) {
 			refused.push([name, after]);
 		},
-	} as unknown as Delivery;
+	} as unknown as CallerResponse;
 	const trace = {
 		write(event: string) {
 			lines.push(event);
 		},
-	} as unknown as Trace;
-	const incoming = {url: '/', headers: {}} as unknown as Order['incoming'];
-	const order = {
+	} as unknown as RequestTrace;
+	const incoming = {url: '/', headers: {}} as unknown as AdmittedRequest['incoming'];
+	const admitted = {
 		incoming,
 		body: Buffer.alloc(0),
 		route: {attempts: 2, kind: 'streaming', isResumable: true},
 		organisation: undefined,
 		demand: {deadline: 1000, service: 's', prompt: {tokens: 50_000, answer: 100}},
-	} as unknown as Order;
-	await new Dispatch(parts, order, delivery, trace).run();
+	} as unknown as AdmittedRequest;
+	await new Dispatch(services, admitted, callerResponse, trace).run();
 	expect([refused, lines]).toEqual([[['overloaded', 1]], ['not-placed']]);
 });
 
-it('a request that has reached no upstream goes on to another one though the budget of retries is used up', async () => {
+it('tries another upstream for a request that has reached none, even if the retry budget is used up', async () => {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
@@ -91,39 +91,39 @@
 	server.close();
 	await once(server, 'close');
 	const concluded: string[] = [];
-	const places = [{
+	const placements = [{
 		upstream: {id: 'e0', address: {host: '127.0.0.1', port}}, helpers: [], holdTokens: 0, loss: 0, firstByte: 0, reading: {total: 0, perPass: 0},
 	}];
 	let placed = 0;
 	const gateway = {
 		convictions: {isConvicted: () => false},
-		news: {refresh: async () => undefined, end: () => undefined},
+		loadUpdates: {refresh: async () => undefined, end: () => undefined},
 		mayRetry: () => false,
 		place() {
 			placed++;
-			return places.shift();
+			return placements.shift();
 		},
 		service: () => undefined,
-		begin: () => ({id: 'j0', weight: 1}),
+		beginJob: () => ({id: 'j0', weight: 1}),
 		load: {size: 1},
 		judge: () => undefined,
 		tellAbsence: () => undefined,
-		longestPass: () => 0,
+		forecastIterationTime: () => 0,
 	};
-	const parts = {
+	const services = {
 		gateway,
 		clock: {now: () => 0},
-		dialect: {forUpstream: () => []},
+		headerFormat: {formatUpstreamHeaders: () => []},
 		metrics: {attempts: {inc: () => undefined}, retries: {inc: () => undefined}},
-	} as unknown as Parts;
-	const delivery = {
+	} as unknown as GatewayServices;
+	const callerResponse = {
 		isClosed: false,
 		noteMayHaveRun: () => undefined,
 		conclude(name: string) {
 			concluded.push(name);
 		},
-	} as unknown as Delivery;
-	const order = {
+	} as unknown as CallerResponse;
+	const admitted = {
 		incoming: {
 			url: '/', headers: {}, rawHeaders: [], method: 'GET',
 		},
@@ -131,7 +131,7 @@
 		route: {attempts: 2, kind: 'idempotent', isResumable: false},
 		organisation: undefined,
 		demand: {id: 'r0', deadline: 5000, service: 's'},
-	} as unknown as Order;
-	await new Dispatch(parts, order, delivery, {write: () => undefined} as unknown as Trace).run();
+	} as unknown as AdmittedRequest;
+	await new Dispatch(services, admitted, callerResponse, {write: () => undefined} as unknown as RequestTrace).run();
 	expect([concluded, placed]).toEqual([['noUpstream'], 2]);
 });
--- a/src/gateway/__tests__/holds.test.ts
+++ b/src/gateway/__tests__/holds.test.ts
@@ -1,4 +1,4 @@
-/** Memory that is held at several engines for one prompt. */
+/** Memory reserved at several engines for one prompt. */
 import {
 	afterEach, beforeEach, expect, it, vi,
 } from 'vitest';
@@ -13,22 +13,22 @@
 	vi.useRealTimers();
 });
 
-/** Milliseconds that a silent engine takes to be given up, as its client does. */
-const answerTimeout = 600;
+/** Timeout of the client for an unresponsive engine. */
+const responseTimeoutMs = 600;
 
-function scene() {
-	const silent = new Set<string>();
+function createHold() {
+	const unresponsive = new Set<string>();
 	const released: string[] = [];
 	const answer = async (host: string) => {
-		if (silent.has(host)) {
+		if (unresponsive.has(host)) {
 			await new Promise(resolve => {
-				setTimeout(resolve, answerTimeout);
+				setTimeout(resolve, responseTimeoutMs);
 			});
 			throw new Error('no answer');
 		}
 	};
 
-	const orders = {
+	const engineControl = {
 		async reserve({host}: {readonly host: string}) {
 			await answer(host);
 			return true;
@@ -39,46 +39,46 @@
 		},
 	};
 	const parts = ['e0', 'e1', 'e2'].map(name => ({upstream: name, address: {host: name, port: 1}, tokens: 1000}));
-	return {silent, released, hold: new Hold('h', parts, orders, {write: ignore})};
+	return {unresponsive, released, hold: new Hold('h', parts, engineControl, {write: ignore})};
 }
 
-it('memory at other engines is not held for an engine that fell silent until its answer is given up', async () => {
-	const {silent, hold} = scene();
-	const lost = vi.fn(ignore);
+it('reports the loss of a hold soon after an engine becomes unresponsive, so that the other engines do not keep their memory for it', async () => {
+	const {unresponsive, hold} = createHold();
+	const lossHandler = vi.fn(ignore);
 	expect(await hold.acquire()).toEqual([]);
-	hold.watch(lost);
-	silent.add('e0');
+	hold.setLossHandler(lossHandler);
+	unresponsive.add('e0');
 	await vi.advanceTimersByTimeAsync(2700);
-	expect(lost).not.toHaveBeenCalled();
+	expect(lossHandler).not.toHaveBeenCalled();
 	await vi.advanceTimersByTimeAsync(300);
-	expect(lost).toHaveBeenCalledTimes(1);
+	expect(lossHandler).toHaveBeenCalledTimes(1);
 });
 
-it('one renewal without an answer is not the end of a hold', async () => {
-	const {silent, hold} = scene();
-	const lost = vi.fn(ignore);
+it('keeps a hold after a single unanswered renewal', async () => {
+	const {unresponsive, hold} = createHold();
+	const lossHandler = vi.fn(ignore);
 	await hold.acquire();
-	hold.watch(lost);
+	hold.setLossHandler(lossHandler);
 	for (let round = 0; round < 4; round++) {
-		silent.add('e1');
+		unresponsive.add('e1');
 		await vi.advanceTimersByTimeAsync(1100);
-		silent.clear();
+		unresponsive.clear();
 		await vi.advanceTimersByTimeAsync(1100);
 	}
 
-	expect(lost).not.toHaveBeenCalled();
+	expect(lossHandler).not.toHaveBeenCalled();
 });
 
-it('a hold that was given back is not lost any more, and no engine keeps it', async () => {
-	const {silent, released, hold} = scene();
-	const lost = vi.fn(ignore);
+it('reports no loss after a hold was released, and releases it at every responsive engine', async () => {
+	const {unresponsive, released, hold} = createHold();
+	const lossHandler = vi.fn(ignore);
 	await hold.acquire();
-	hold.watch(lost);
-	silent.add('e0');
+	hold.setLossHandler(lossHandler);
+	unresponsive.add('e0');
 	await vi.advanceTimersByTimeAsync(1200);
 	const ended = hold[Symbol.asyncDispose]();
 	await vi.advanceTimersByTimeAsync(5000);
 	await ended;
 	expect(released).toEqual(['e1', 'e2']);
-	expect(lost).not.toHaveBeenCalled();
+	expect(lossHandler).not.toHaveBeenCalled();
 });
--- a/src/gateway/admission.ts
+++ b/src/gateway/admission.ts
@@ -1,4 +1,4 @@
-/** Whether a request may be served here, by the configuration in force. */
+/** Decides by the current configuration whether a request may be served and where it is routed. */
 import {type Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import {type IncomingMessage} from 'node:http';
@@ -7,15 +7,15 @@
 import {type AnswerName} from './answers.js';
 import {type Gateway} from './gateway.js';
 
-export type Routed = Extract<Resolution, {readonly type: 'routed'}>;
+export type RoutedResolution = Extract<Resolution, {readonly type: 'routed'}>;
 
-export type Admission = Routed | {readonly type: 'refused'; readonly answer: AnswerName};
+export type Admission = RoutedResolution | {readonly type: 'refused'; readonly answer: AnswerName};
 
 /**
- * @param gateway - What is known.
+ * @param gateway - Gateway with the current configuration.
  * @param incoming - Request of a caller.
- * @param key - API key, if it sent one.
- * @returns Where the request may go, or what its caller is told.
+ * @param key - API key, if the caller sent one.
+ * @returns The route of the request, or the answer with which it is refused.
  */
 export function admit(gateway: Gateway, incoming: IncomingMessage, key: string | undefined): Admission {
 	const path = (incoming.url ?? '').split('?')[0]!;
@@ -26,7 +26,7 @@
 		}
 
 		case 'no-route': {
-			// A host that has lost the store may not have heard of a new route, nor of a new key.
+			// While the store is unavailable, a new route or key may not be known here yet.
 			return {type: 'refused', answer: gateway.isKeyStale ? 'notConfigured' : 'unknownRoute'};
 		}
 
@@ -35,7 +35,7 @@
 		}
 
 		case 'routed': {
-			return trusted(gateway, resolution);
+			return admitRouted(gateway, resolution);
 		}
 
 		default: {
@@ -44,8 +44,8 @@
 	}
 }
 
-/** A key that may have been taken away counts for nothing; public routes need none. */
-function trusted(gateway: Gateway, routed: Routed): Admission {
+/** Ignores a key that may have been revoked: public routes don't need one, other routes refuse the request. */
+function admitRouted(gateway: Gateway, routed: RoutedResolution): Admission {
 	if (routed.organisation === undefined || !gateway.isKeyStale) {
 		return routed;
 	}
@@ -57,11 +57,11 @@
 
 /**
  * @param incoming - Request of a caller.
- * @param organisation - Who calls.
- * @param body - Its body.
- * @returns A text that is equal for a request that is sent again.
+ * @param organisation - Organisation of the caller, if known.
+ * @param body - Body of the request.
+ * @returns A hash that is equal for repetitions of the same request.
  */
-export function fingerprintOf(incoming: IncomingMessage, organisation: string | undefined, body: Buffer): string {
+export function computeFingerprint(incoming: IncomingMessage, organisation: string | undefined, body: Buffer): string {
 	return createHash('sha1')
 		.update(incoming.url ?? '')
 		.update('\0')
--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -1,11 +1,11 @@
-/** What callers are told when the gateway answers itself. */
+/** Responses that the gateway generates itself instead of forwarding one of an upstream. */
 import {type ServerResponse} from 'node:http';
 import {
 	assertNever, codes, texts, type CodeName,
 } from '../core/index.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
 
-/** HTTP status of each answer of the gateway's own. 503 promises that the request has not run and never will. */
+/** HTTP status of each answer. 503 guarantees that the request has not run and never will. */
 const statuses = {
 	notConfigured: 503,
 	overloaded: 503,
@@ -29,14 +29,14 @@
 
 export type AnswerName = keyof typeof statuses;
 
-/** Statuses that promise that the request has not run. */
-export const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee that the request has not run. */
+export const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /**
  * @param ending - How the last attempt ended.
- * @returns What its caller is told, if nothing else is known.
+ * @returns The answer to the caller, if nothing more specific is known.
  */
-export function nameOf(ending: AttemptEnding): AnswerName {
+export function selectAnswer(ending: AttemptEnding): AnswerName {
 	switch (ending.type) {
 		case 'not-run': {
 			return ending.isShed ? 'refusedByUpstream' : 'notConnected';
@@ -59,11 +59,11 @@
 }
 
 /**
- * @param outgoing - Answer to a caller, nothing of which was sent.
- * @param name - What it says.
- * @param retryAfter - Seconds after which the caller may come again, for answers that promise it has not run.
+ * @param outgoing - Response to a caller, of which nothing has been sent yet.
+ * @param name - Answer to send.
+ * @param retryAfter - Seconds after which the caller may retry; only sent with status 503.
  */
-export function answer(outgoing: ServerResponse, name: AnswerName, retryAfter?: number): void {
+export function sendAnswer(outgoing: ServerResponse, name: AnswerName, retryAfter?: number): void {
 	const status = statuses[name];
 	const body = JSON.stringify({code: codes[name], message: texts[name]});
 	outgoing.writeHead(status, {
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,4 +1,4 @@
-/** One sending of a request to one upstream, up to the head of its answer. */
+/** Sends a request to one upstream and waits for the head of its response. */
 import {type Buffer} from 'node:buffer';
 import {
 	request, type Agent, type ClientRequest, type IncomingMessage,
@@ -6,26 +6,26 @@
 import {type Socket} from 'node:net';
 import {type Address} from '../core/index.js';
 import {type AttemptEnding, type CancelReason} from '../core/gateway/retries.js';
-import {type Dialect, type ReplyFacts} from './dialect.js';
+import {type HeaderFormat, type ResponseMetadata} from './platform-adapter.js';
 
 /**
- * Milliseconds to make a connection: several round trips between regions. A lost opening packet is sent again only after a
- * second; callers of short prompts are served in time by another upstream by then.
+ * Covers several round trips between regions. A lost SYN packet is retransmitted only after a second; failing earlier leaves time for
+ * another upstream to serve a short prompt.
  */
-const connectTimeout = 120;
+const connectTimeoutMs = 120;
 
-/** The head of an answer whose body has yet to be read. */
+/** Head of an upstream's response; the body hasn't been read yet. */
 export type Reply = {
 	readonly type: 'reply';
 	readonly status: number;
 	readonly raw: readonly string[];
-	readonly facts: ReplyFacts;
+	readonly facts: ResponseMetadata;
 	readonly body: IncomingMessage;
-	/** Whether the body that was read is all of it; asked after its end. */
+	/** Whether the body was received completely; to be called after its end. */
 	readonly isWhole: () => Promise<boolean>;
 };
 
-export type Sending = {
+export type UpstreamRequest = {
 	readonly id: string;
 	readonly method: string;
 	readonly path: string;
@@ -34,22 +34,22 @@
 	readonly address: Address;
 };
 
-/** An attempt that ended before any answer, and what it says of the upstream. */
+/** An attempt that ended without a response. */
 export type Ended = {
 	readonly type: 'ended';
 	readonly ending: AttemptEnding;
-	/** Why no connection was made, where it was wanted to the end. */
+	/** Why no connection was established; undefined if there was one or the attempt was cancelled. */
 	readonly absence?: 'refused' | 'silent';
 };
 
-const refusedConnection = 'ECONNREFUSED';
+const connectionRefusedCode = 'ECONNREFUSED';
 
-function ended(ending: AttemptEnding, absence?: Ended['absence']): Ended {
+function createEnded(ending: AttemptEnding, absence?: Ended['absence']): Ended {
 	return {type: 'ended', ending, absence};
 }
 
-/** Why an answer's head can't be the one of this request, if so. */
-function flaw(id: string, status: number, facts: ReplyFacts, reply: IncomingMessage): string | undefined {
+/** Returns why a response can't be accepted as that of this request, or undefined. */
+function findMismatch(id: string, status: number, facts: ResponseMetadata, reply: IncomingMessage): string | undefined {
 	if (facts.request !== undefined && facts.request !== id) {
 		return 'answer of another request';
 	}
@@ -61,18 +61,18 @@
 	return status >= 200 && status < 300 && !facts.isSigned ? 'unsigned answer' : undefined;
 }
 
-/** Whether an answer's end can be told from its bytes. */
+/** Whether the response's length or encoding marks the end of its body. */
 function isFramed({headers}: IncomingMessage): boolean {
 	return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
 /**
- * Tells an end from a reset, for an answer that lasts until its connection ends. Where bytes and a reset come together
- * libuv reports an end and drops the reset (in 1 of about 12 answers that an upstream broke off so). A write tells them
- * apart: it fails on a connection that was reset. Nobody reads an empty line that comes after the last request.
+ * Distinguishes an end from a reset for a response whose body lasts until the connection ends. When bytes and a reset arrive together,
+ * libuv reports an end and drops the reset (about 1 in 12 responses cut off this way). A write reveals the reset because it fails. The
+ * empty line that is written has no effect: no request follows on this connection.
  *
- * @param socket - Connection of the answer.
- * @returns Whether the connection ended properly.
+ * @param socket - Connection of the response.
+ * @returns Whether the connection ended without a reset.
  */
 async function probeEnd(socket: Socket): Promise<boolean> {
 	return new Promise(resolve => {
@@ -90,10 +90,10 @@
 	});
 }
 
-/** Sends a request and waits for the head of its answer. */
+/** One attempt to have a request answered by one upstream; the request is sent by `reply`. */
 export class Attempt {
-	readonly #sending: Sending;
-	readonly #dialect: Dialect;
+	readonly #request: UpstreamRequest;
+	readonly #headerFormat: HeaderFormat;
 	readonly #outgoing: ClientRequest;
 	#isConnected = false;
 	#cancelled: CancelReason | undefined;
@@ -101,30 +101,30 @@
 	#timer: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param sending - What is sent where.
-	 * @param dialect - Reads the answer's head.
-	 * @param agent - Connections.
+	 * @param upstreamRequest - Request and the upstream's address.
+	 * @param headerFormat - Parses the head of the response.
+	 * @param agent - Connection pool.
 	 */
-	constructor(sending: Sending, dialect: Dialect, agent: Agent) {
-		this.#sending = sending;
-		this.#dialect = dialect;
+	constructor(upstreamRequest: UpstreamRequest, headerFormat: HeaderFormat, agent: Agent) {
+		this.#request = upstreamRequest;
+		this.#headerFormat = headerFormat;
 		this.#outgoing = request({
-			host: sending.address.host,
-			port: sending.address.port,
-			method: sending.method,
-			path: sending.path,
-			headers: sending.headers,
+			host: upstreamRequest.address.host,
+			port: upstreamRequest.address.port,
+			method: upstreamRequest.method,
+			path: upstreamRequest.path,
+			headers: upstreamRequest.headers,
 			setHost: false,
 			agent,
 		});
 	}
 
-	/** Why the attempt was given up, if it was. */
+	/** Why the attempt was cancelled, if it was. */
 	get cancelled(): CancelReason | undefined {
 		return this.#cancelled;
 	}
 
-	/** Settles with the head of the answer, or with how the attempt ended without one. */
+	/** Sends the request; resolves with the head of the response, or with how the attempt ended without one. */
 	async reply(): Promise<Reply | Ended> {
 		const outgoing = this.#outgoing;
 		return new Promise(resolve => {
@@ -135,55 +135,55 @@
 				}
 
 				this.#timer = setTimeout(() => {
-					// A host that stood still learns of a connection made meanwhile before this.
+					// After a stall of this process, a connection made in the meantime is reported before this callback.
 					setImmediate(() => {
 						if (socket.connecting) {
 							outgoing.destroy(new Error('no connection in time'));
 						}
 					});
-				}, connectTimeout);
+				}, connectTimeoutMs);
 				socket.once('connect', () => {
 					this.#isConnected = true;
 					clearTimeout(this.#timer);
 				});
 			});
 			outgoing.on('response', body => {
-				resolve(this.#read(body));
+				resolve(this.#readHead(body));
 			});
 			outgoing.on('error', (error: NodeJS.ErrnoException) => {
 				clearTimeout(this.#timer);
 				this.#isBroken = true;
-				resolve(this.#failed(error.message, error.code === refusedConnection ? 'refused' : 'silent'));
+				resolve(this.#endWithoutReply(error.message, error.code === connectionRefusedCode ? 'refused' : 'silent'));
 			});
 			outgoing.on('close', () => {
 				clearTimeout(this.#timer);
-				resolve(this.#failed('closed', 'silent'));
+				resolve(this.#endWithoutReply('closed', 'silent'));
 			});
-			outgoing.end(this.#sending.body);
+			outgoing.end(this.#request.body);
 		});
 	}
 
 	/**
-	 * Gives the attempt up: its connection is closed, which stops the upstream's work.
+	 * Cancels the attempt by closing its connection, which stops the upstream's work.
 	 *
-	 * @param reason - Why, for the log.
+	 * @param reason - Reason, for the log.
 	 */
 	cancel(reason: CancelReason): void {
 		this.#cancelled ??= reason;
 		this.#outgoing.destroy();
 	}
 
-	#read(body: IncomingMessage): Reply | Ended {
+	#readHead(body: IncomingMessage): Reply | Ended {
 		const status = body.statusCode ?? 0;
-		const facts = this.#dialect.readReply(status, body.headers);
-		const wrong = flaw(this.#sending.id, status, facts, body);
-		if (wrong !== undefined) {
+		const facts = this.#headerFormat.parseResponse(status, body.headers);
+		const mismatch = findMismatch(this.#request.id, status, facts, body);
+		if (mismatch !== undefined) {
 			this.#outgoing.destroy();
-			return ended({type: 'unknown', reason: wrong});
+			return createEnded({type: 'unknown', reason: mismatch});
 		}
 
 		body.once('end', () => {
-			// An upstream may answer before it has read the body: what it reads next on this connection must not be another request.
+			// An upstream may respond before it has read the request body; the connection then can't be reused for another request.
 			if (!this.#outgoing.writableFinished) {
 				this.#outgoing.destroy();
 			}
@@ -195,7 +195,7 @@
 			raw: body.rawHeaders,
 			facts,
 			body,
-			// Node takes a body without a length for complete also where its connection was reset.
+			// Node.js reports a body without a length as complete even if its connection was reset.
 			isWhole: async () => {
 				const isProper = await properEnd;
 				return body.complete && !this.#isBroken && isProper;
@@ -203,15 +203,15 @@
 		};
 	}
 
-	#failed(reason: string, absence: Ended['absence']): Ended {
+	#endWithoutReply(reason: string, absence: Ended['absence']): Ended {
 		if (!this.#isConnected) {
-			return ended({type: 'not-run', reason, isShed: false}, this.#cancelled === undefined ? absence : undefined);
+			return createEnded({type: 'not-run', reason, isShed: false}, this.#cancelled === undefined ? absence : undefined);
 		}
 
 		if (this.#cancelled !== undefined) {
-			return ended({type: 'cancelled', reason: this.#cancelled});
+			return createEnded({type: 'cancelled', reason: this.#cancelled});
 		}
 
-		return ended({type: 'unknown', reason});
+		return createEnded({type: 'unknown', reason});
 	}
 }
--- /dev/null
+++ b/src/gateway/caller-response.ts
@@ -0,0 +1,223 @@
+/** The response to one caller: forwards the upstreams' responses, or sends one of the gateway's own answers. */
+import {type ServerResponse} from 'node:http';
+import {assertNever} from '../core/index.js';
+import {type AttemptEnding, type CancelReason} from '../core/gateway/retries.js';
+import {type Route} from '../core/gateway/types.js';
+import {sendAnswer, notRunStatuses, type AnswerName} from './answers.js';
+import {type Reply} from './attempt.js';
+import {
+	isStream, readBody, relayEvents, relayLong, writeHead, type Body,
+} from './relay.js';
+import {type RequestTrace} from './trace.js';
+
+/** Why the gateway stops working on a request. */
+export type StopReason = Extract<CancelReason, 'caller left' | 'time over'>;
+
+/** Callbacks for the progress of an upstream's response. */
+export type ReplyListener = {
+	/** Called at the first event of a stream, or when the body has been read. */
+	readonly began: () => void;
+	/** Called when events of a stream arrive. */
+	readonly receivedEvents: () => void;
+};
+
+type WholeBody = Extract<Body, {readonly type: 'whole'}>;
+
+/** Retry-After of refused callers: the mean duration of a usual answer, spread so that callers don't return at the same time. */
+export const baseRetryAfterSeconds = 0.4;
+const retryAfterSpreadSeconds = 0.6;
+
+export class CallerResponse {
+	readonly #outgoing: ServerResponse;
+	readonly #trace: RequestTrace;
+	readonly #random: () => number;
+	#mayHaveRun = false;
+	#lastEventId: string | undefined;
+	#lastReply: {readonly reply: Reply; readonly body: WholeBody} | undefined;
+
+	/**
+	 * @param outgoing - Response to the caller.
+	 * @param trace - Records the events and the outcome.
+	 * @param random - Uniform from 0 to 1.
+	 */
+	constructor(outgoing: ServerResponse, trace: RequestTrace, random: () => number) {
+		this.#outgoing = outgoing;
+		this.#trace = trace;
+		this.#random = random;
+	}
+
+	/** Whether the connection to the caller is closed. */
+	get isClosed(): boolean {
+		return this.#outgoing.destroyed;
+	}
+
+	/** Id of the last event of the stream that the caller has received. */
+	get lastEventId(): string | undefined {
+		return this.#lastEventId;
+	}
+
+	/**
+	 * @param id - Id of the last event that the caller received before this request.
+	 */
+	resumeAfter(id: string | undefined): void {
+		this.#lastEventId = id;
+	}
+
+	/** Notes that an attempt may have run the request: no answer may claim afterwards that it has not run. */
+	noteMayHaveRun(): void {
+		this.#mayHaveRun = true;
+	}
+
+	/**
+	 * Forwards an upstream's response.
+	 *
+	 * @param reply - Head of the response.
+	 * @param route - Route of the request.
+	 * @param listener - Callbacks for the response's progress.
+	 * @returns How the attempt ended.
+	 */
+	async forward(reply: Reply, route: Route, listener: ReplyListener): Promise<AttemptEnding> {
+		if (isStream(reply)) {
+			return this.#forwardStream(reply, listener);
+		}
+
+		if (this.#outgoing.headersSent) {
+			reply.body.resume();
+			return {type: 'failed', status: reply.status};
+		}
+
+		return this.#forwardBody(reply, route, listener);
+	}
+
+	/**
+	 * Ends a request that got no complete response from an upstream.
+	 *
+	 * @param name - Answer to send if nothing more specific is known.
+	 * @param stopReason - Why the gateway stopped working on the request, if it did.
+	 */
+	conclude(name: AnswerName, stopReason: StopReason | undefined): void {
+		const outgoing = this.#outgoing;
+		if (stopReason === 'caller left' || outgoing.destroyed) {
+			this.#trace.finish('caller left');
+			return;
+		}
+
+		if (outgoing.headersSent) {
+			if (!outgoing.writableEnded) {
+				outgoing.destroy();
+				this.#trace.finish('broken off');
+			}
+
+			return;
+		}
+
+		if (this.#lastReply !== undefined && stopReason === undefined) {
+			this.#sendWhole(this.#lastReply.reply, this.#lastReply.body);
+			this.#trace.finish('failed');
+			return;
+		}
+
+		this.refuse(this.#toProvenAnswer(name), baseRetryAfterSeconds + (this.#random() * retryAfterSpreadSeconds));
+	}
+
+	/**
+	 * Sends one of the gateway's own answers.
+	 *
+	 * @param name - Answer to send.
+	 * @param retryAfter - Seconds after which the caller may retry.
+	 */
+	refuse(name: AnswerName, retryAfter?: number): void {
+		if (!this.#outgoing.headersSent && !this.#outgoing.destroyed) {
+			sendAnswer(this.#outgoing, name, retryAfter);
+		}
+
+		this.#trace.finish(name);
+	}
+
+	async #forwardStream(reply: Reply, listener: ReplyListener): Promise<AttemptEnding> {
+		let isFirst = true;
+		const ending = await relayEvents(this.#outgoing, reply, {
+			onEvents: lastId => {
+				listener.receivedEvents();
+				this.#trace.noteEvents();
+				this.#lastEventId = lastId ?? this.#lastEventId;
+				if (isFirst) {
+					isFirst = false;
+					listener.began();
+					this.#ensureHead(reply);
+				}
+			},
+		});
+		if (ending.type === 'answered') {
+			this.#ensureHead(reply);
+			this.#outgoing.end();
+		}
+
+		return ending;
+	}
+
+	async #forwardBody(reply: Reply, route: Route, listener: ReplyListener): Promise<AttemptEnding> {
+		const body = await readBody(reply);
+		listener.began();
+		switch (body.type) {
+			case 'broken': {
+				return {type: 'unknown', reason: body.reason};
+			}
+
+			case 'long': {
+				writeHead(this.#outgoing, reply);
+				if (await relayLong(this.#outgoing, body) && await reply.isWhole()) {
+					this.#outgoing.end();
+					return {type: 'answered', status: reply.status};
+				}
+
+				return {type: 'unknown', reason: 'the answer broke off'};
+			}
+
+			case 'whole': {
+				return this.#forwardWhole(reply, body, route);
+			}
+
+			default: {
+				return assertNever(body);
+			}
+		}
+	}
+
+	#forwardWhole(reply: Reply, body: WholeBody, route: Route): AttemptEnding {
+		const {status} = reply;
+		// To callers such a status guarantees that nothing ran, but this upstream didn't state that.
+		if (notRunStatuses.has(status)) {
+			return {type: 'failed', status};
+		}
+
+		if (status >= 500 && route.kind === 'idempotent') {
+			this.#lastReply = {reply, body};
+			return {type: 'failed', status};
+		}
+
+		this.#sendWhole(reply, body);
+		return {type: 'answered', status};
+	}
+
+	/** Sends the head of a stream unless a previous attempt has sent it. */
+	#ensureHead(reply: Reply): void {
+		if (!this.#outgoing.headersSent) {
+			writeHead(this.#outgoing, reply);
+		}
+	}
+
+	#sendWhole(reply: Reply, {bytes}: WholeBody): void {
+		writeHead(this.#outgoing, reply, bytes.length);
+		this.#outgoing.end(bytes);
+	}
+
+	/** Replaces an answer that would claim "not run" where that isn't known, and the reverse for a deadline. */
+	#toProvenAnswer(name: AnswerName): AnswerName {
+		if (this.#mayHaveRun) {
+			return name === 'deadlinePassed' ? name : 'outcomeUnknown';
+		}
+
+		return name === 'deadlinePassed' ? 'deadlineBeforeStart' : name;
+	}
+}
--- a/src/gateway/calls.ts
+++ b/src/gateway/calls.ts
@@ -1,4 +1,4 @@
-/** Small JSON calls over HTTP, for the store and for engines' orders. */
+/** JSON calls over HTTP to the store and to the control endpoints of engines. */
 import {Buffer} from 'node:buffer';
 import {request, type Agent} from 'node:http';
 import {messageOf, raise, type Address} from '../core/index.js';
@@ -13,20 +13,20 @@
 	readonly agent: Agent;
 };
 
-export type CallAnswer = {
+export type CallResponse = {
 	readonly status: number;
 	readonly text: string;
 };
 
-/** Bytes of an answer that is read. */
-const longestAnswer = 16_000_000;
+/** Longer responses fail the call. */
+const maxResponseBytes = 16_000_000;
 
 /**
- * @param call - What is asked of whom.
- * @returns The answer, whatever its status.
- * @throws Error when no whole answer came in time.
+ * @param call - Request, address and timeout.
+ * @returns The response, whatever its status.
+ * @throws Error if no complete response arrives in time.
  */
-export async function callOnce(call: Call): Promise<CallAnswer> {
+export async function callJson(call: Call): Promise<CallResponse> {
 	const {address, method, path, body, timeout, agent} = call;
 	const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
 	return new Promise((resolve, reject) => {
@@ -39,7 +39,7 @@
 			headers: payload === undefined ? {} : {'content-type': 'application/json', 'content-length': payload.length},
 		});
 		const timer = setTimeout(() => {
-			outgoing.destroy(new Error(`no answer within ${timeout} ms`));
+			outgoing.destroy(new Error(`no response within ${timeout} ms`));
 		}, timeout);
 		const fail = (error: Error) => {
 			clearTimeout(timer);
@@ -53,8 +53,8 @@
 			response.on('data', (chunk: Buffer) => {
 				chunks.push(chunk);
 				length += chunk.length;
-				if (length > longestAnswer) {
-					outgoing.destroy(new Error('answer too long'));
+				if (length > maxResponseBytes) {
+					outgoing.destroy(new Error('response too long'));
 				}
 			});
 			response.on('error', fail);
@@ -68,9 +68,9 @@
 }
 
 /**
- * @param text - JSON.
- * @returns Its value.
- * @throws Failure `storeUnreadable` when it is no JSON.
+ * @param text - JSON text.
+ * @returns The parsed value.
+ * @throws Failure `storeUnreadable` if the text is not valid JSON.
  */
 export function parseJson(text: string): unknown {
 	try {
--- a/src/gateway/daemon.ts
+++ b/src/gateway/daemon.ts
@@ -1,51 +1,51 @@
-/** Puts a gateway together, and takes it down without cutting an answer. */
+/** Assembles a gateway process, and shuts it down gracefully without cutting off responses. */
 import {setImmediate as turn, setTimeout as sleep} from 'node:timers/promises';
 import {type Agent} from 'node:http';
 import {Clock} from '../entry/clock.js';
 import {Disposal} from '../entry/disposal.js';
 import {type Log} from '../entry/logs.js';
 import {UpstreamAgent} from './agent.js';
-import {type Dialect, type Orders} from './dialect.js';
+import {type HeaderFormat, type EngineControl} from './platform-adapter.js';
 import {Gateway} from './gateway.js';
 import {Holds} from './holds.js';
 import {GatewayMetrics, MetricsListener} from './metrics.js';
 import {CallerListener, ReadyListener} from './server.js';
 import {type Settings} from './settings.js';
-import {SuspensionWatch} from './suspension.js';
+import {SuspensionDetector} from './suspension.js';
 
-/** Milliseconds for which the balancer may still send callers here after it was told not to: two questions, one a second. */
-const balancerLag = 2600;
+/** How long the balancer may keep sending callers here after this host reports not ready: two health checks, one per second. */
+const balancerLagMs = 2600;
 
 /**
- * Milliseconds after the word to stop from which on requests are refused: the balancer knows by then, and what is taken
- * later may still run when the process is killed. Callers on kept connections went on for 9 s without it.
+ * Requests are refused from this time after the stop signal: the balancer has noticed by then, and a request accepted later may still
+ * be running when the process is killed. Without it, callers on keep-alive connections went on for 9 s.
  */
-const takingTime = 2600;
+const acceptWindowMs = 2600;
 
-/** Milliseconds that idle connections are left open at a stop: callers that have just been answered learn it first. */
-const idleGrace = 800;
+/** How long idle connections stay open after the stop signal, so that callers that have just been answered can learn of the stop first. */
+const idleGraceMs = 800;
 
-/** Milliseconds before the process is killed at which running requests are given up. */
-const killMargin = 700;
+/** Running requests are given up this long before the process is killed. */
+const killMarginMs = 700;
 
 /**
- * Milliseconds from the end of listening to the end of the process: who has just connected sends its request and is told that
- * this host leaves. Without it a caller that came as the process ended was cut.
+ * Time from the end of listening to the end of the process. A caller that has just connected can send its request and receives the
+ * answer that this host is leaving; without it, such a caller was cut off.
  */
-const lastCallers = 300;
+const lateRequestGraceMs = 300;
 
-/** Milliseconds between looks whether everything has ended. */
-const lookInterval = 50;
+/** How often to check whether all requests have ended. */
+const checkIntervalMs = 50;
 
-/** Milliseconds without word from the store for which this host still counts as ready. */
-const readyWithoutStore = 20_000;
+/** This host counts as ready until its configuration and upstreams have gone unconfirmed by the store for this long. */
+const maxReadyAgeMs = 20_000;
 
-/** What connects a gateway to the platform it runs on. */
-export type Adapter = {
-	readonly dialect: Dialect;
-	readonly orders: (agent: Agent) => Orders;
-	/** Starts to follow the platform; disposed of with the daemon. */
-	readonly follow: (gateway: Gateway, clock: Clock, metrics: GatewayMetrics) => AsyncDisposable;
+/** Connects a gateway to the platform that it runs on. */
+export type PlatformAdapter = {
+	readonly headerFormat: HeaderFormat;
+	readonly createEngineControl: (agent: Agent) => EngineControl;
+	/** Starts to follow the platform's configuration and registrations; disposed of with the daemon. */
+	readonly startFollower: (gateway: Gateway, clock: Clock, metrics: GatewayMetrics) => AsyncDisposable;
 };
 
 export class Daemon implements AsyncDisposable {
@@ -56,48 +56,48 @@
 	readonly #gateway: Gateway;
 	readonly #callers: CallerListener;
 	readonly #metrics = new GatewayMetrics();
-	/** When the word to stop came. */
-	#stopAsked: number | undefined;
+	/** When the stop was requested, on the monotonic clock. */
+	#stopRequestedAt: number | undefined;
 
 	/**
 	 * @param settings - Settings of this host.
-	 * @param adapter - Connects it to the platform.
+	 * @param adapter - Connection to the platform.
 	 * @param log - Log.
 	 */
-	constructor(settings: Settings, adapter: Adapter, log: Log) {
+	constructor(settings: Settings, adapter: PlatformAdapter, log: Log) {
 		this.#settings = settings;
 		this.#log = log;
 		const agent = new UpstreamAgent();
 		this.#disposal.defer(() => {
 			agent.destroy();
 		});
-		const suspensions = new SuspensionWatch(this.#clock, log);
+		const suspensions = new SuspensionDetector(this.#clock, log);
 		this.#disposal.defer(() => {
 			suspensions[Symbol.dispose]();
 		});
 		this.#gateway = this.#disposal.use(new Gateway(settings, this.#clock, log));
 		this.#callers = this.#disposal.use(new CallerListener({
 			gateway: this.#gateway,
-			dialect: adapter.dialect,
+			headerFormat: adapter.headerFormat,
 			agent,
-			holds: new Holds(adapter.orders(agent), log, this.#metrics, this.#gateway.incarnation),
+			holds: new Holds(adapter.createEngineControl(agent), log, this.#metrics, this.#gateway.incarnation),
 			metrics: this.#metrics,
 			log,
 			clock: this.#clock,
-			isLeaving: () => this.#stopAsked !== undefined,
-			isClosing: () => this.#stopAsked !== undefined && this.#clock.now() - this.#stopAsked > takingTime,
+			isStopping: () => this.#stopRequestedAt !== undefined,
+			isRefusing: () => this.#stopRequestedAt !== undefined && this.#clock.now() - this.#stopRequestedAt > acceptWindowMs,
 			random: Math.random,
 		}));
-		this.#disposal.use(adapter.follow(this.#gateway, this.#clock, this.#metrics));
+		this.#disposal.use(adapter.startFollower(this.#gateway, this.#clock, this.#metrics));
 	}
 
 	/** Whether the balancer may send callers here. */
 	get isReady(): boolean {
-		return this.#stopAsked === undefined && this.#gateway.directory !== undefined && this.#gateway.upstreams.size > 0
-			&& this.#gateway.confirmedAge < readyWithoutStore;
+		return this.#stopRequestedAt === undefined && this.#gateway.directory !== undefined && this.#gateway.upstreams.size > 0
+			&& this.#gateway.confirmedAge < maxReadyAgeMs;
 	}
 
-	/** Begins to listen. */
+	/** Starts listening for peers, callers, the balancer and, if configured, metrics. */
 	async start(): Promise<void> {
 		const {caller, ready, metrics} = this.#settings;
 		const readiness = this.#disposal.use(new ReadyListener(() => this.isReady));
@@ -106,7 +106,7 @@
 		await readiness.listen(ready);
 		if (metrics !== undefined) {
 			const listener = this.#disposal.use(new MetricsListener(this.#metrics, () => {
-				this.#refresh();
+				this.#updateGauges();
 			}, this.#log));
 			await listener.listen(metrics);
 		}
@@ -115,42 +115,42 @@
 	}
 
 	/**
-	 * @param settings - Settings as they are now; only seeds may change while a process runs.
+	 * @param settings - Changed settings; only changes of seeds take effect while the process runs.
 	 */
 	reload(settings: Settings): void {
 		this.#gateway.peers.addSeeds(settings.seeds);
 		this.#log.write({event: 'reloaded', seeds: settings.seeds.length});
 	}
 
-	/** Takes no new callers, lets running requests end, and settles when nothing is left or the grace is over. */
+	/** Stops accepting callers and lets running requests end; resolves when all have ended or the grace period is over. */
 	async stop(): Promise<void> {
-		const began = this.#clock.now();
-		this.#stopAsked = began;
-		const last = began + this.#settings.grace - killMargin;
+		const startedAt = this.#clock.now();
+		this.#stopRequestedAt = startedAt;
+		const stopDeadline = startedAt + this.#settings.grace - killMarginMs;
 		this.#log.write({event: 'stopping', running: this.#callers.running});
-		await sleep(idleGrace);
-		while (this.#clock.now() < last) {
+		await sleep(idleGraceMs);
+		while (this.#clock.now() < stopDeadline) {
 			this.#callers.closeIdle();
-			const isDone = this.#callers.running === 0 && this.#clock.now() - began > balancerLag;
+			const isDone = this.#callers.running === 0 && this.#clock.now() - startedAt > balancerLagMs;
 			if (isDone) {
 				break;
 			}
 
-			await sleep(lookInterval);
+			await sleep(checkIntervalMs);
 		}
 
-		// Who has connected by now is accepted first: connections that wait for it are reset when listening ends.
+		// Accepts connections that are pending first: they would be reset when listening ends.
 		await turn();
 		this.#callers.refuse();
-		await sleep(lastCallers);
-		this.#log.write({event: 'stopped', running: this.#callers.running, took: Math.round(this.#clock.now() - began)});
+		await sleep(lateRequestGraceMs);
+		this.#log.write({event: 'stopped', running: this.#callers.running, took: Math.round(this.#clock.now() - startedAt)});
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		await this.#disposal[Symbol.asyncDispose]();
 	}
 
-	#refresh(): void {
+	#updateGauges(): void {
 		this.#metrics.droppedLines.set(this.#log.dropped);
 		this.#metrics.inFlight.set(this.#callers.running);
 		this.#metrics.knownJobs.set(this.#gateway.load.size);
@@ -158,7 +158,7 @@
 		this.#metrics.version.set(this.#gateway.directory?.configuration.version ?? 0);
 		this.#metrics.confirmedAge.set(this.#gateway.confirmedAge);
 		this.#metrics.upstreams.set(this.#gateway.upstreams.size);
-		this.#metrics.doubted.set(this.#gateway.reputation.doubted);
+		this.#metrics.unhealthy.set(this.#gateway.reputation.doubted);
 		this.#metrics.unreachable.set(this.#gateway.reputation.unreachable.size);
 		this.#metrics.suspects.set(this.#gateway.reputation.suspects.size);
 	}
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -1,4 +1,4 @@
-/** Sends one request to upstreams, one after another as long as that may be, and hands their answers to its caller. */
+/** Sends a request to one upstream after another, as far as retries are allowed, and forwards their responses to the caller. */
 import {type Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
 import {type Job} from '../core/gateway/load.js';
@@ -9,20 +9,20 @@
 import {type AttemptEnding} from '../core/gateway/retries.js';
 import {Tries} from '../core/gateway/tries.js';
 import {type Demand, type Route} from '../core/gateway/types.js';
-import {fingerprintOf} from './admission.js';
-import {nameOf} from './answers.js';
+import {computeFingerprint} from './admission.js';
+import {selectAnswer} from './answers.js';
 import {Attempt} from './attempt.js';
-import {type Delivery, type Stop} from './delivery.js';
-import {helpersOf} from './handover.js';
+import {type CallerResponse, type StopReason} from './caller-response.js';
+import {listHelpers} from './helpers.js';
 import {type Hold} from './holds.js';
-import {Mover} from './mover.js';
-import {type Parts} from './parts.js';
-import {type Trace} from './trace.js';
+import {Rerouter} from './rerouter.js';
+import {type GatewayServices} from './services.js';
+import {type RequestTrace} from './trace.js';
 import {Verdicts} from './verdicts.js';
-import {Watch} from './watch.js';
+import {StallDetector} from './stall-detector.js';
 
 /** An admitted request. */
-export type Order = {
+export type AdmittedRequest = {
 	readonly incoming: IncomingMessage;
 	readonly body: Buffer;
 	readonly route: Route;
@@ -31,147 +31,148 @@
 };
 
 export class Dispatch {
-	readonly #parts: Parts;
-	readonly #order: Order;
-	readonly #delivery: Delivery;
-	readonly #trace: Trace;
-	readonly #tries: Tries;
+	readonly #services: GatewayServices;
+	readonly #request: AdmittedRequest;
+	readonly #callerResponse: CallerResponse;
+	readonly #trace: RequestTrace;
+	readonly #attempts: Tries;
 	readonly #fingerprint: string;
 	readonly #verdicts: Verdicts;
-	readonly #mover: Mover;
-	#attempt: Attempt | undefined;
-	#stop: Stop | undefined;
+	readonly #rerouter: Rerouter;
+	#currentAttempt: Attempt | undefined;
+	#stopReason: StopReason | undefined;
 
 	/**
-	 * @param parts - What requests share.
-	 * @param order - The request.
-	 * @param delivery - The answer to its caller.
-	 * @param trace - Told of each decision.
+	 * @param services - Services shared by all requests.
+	 * @param request - Request to send.
+	 * @param callerResponse - Response to its caller.
+	 * @param trace - Records each decision.
 	 */
-	constructor(parts: Parts, order: Order, delivery: Delivery, trace: Trace) {
-		this.#parts = parts;
-		this.#order = order;
-		this.#delivery = delivery;
+	constructor(services: GatewayServices, request: AdmittedRequest, callerResponse: CallerResponse, trace: RequestTrace) {
+		this.#services = services;
+		this.#request = request;
+		this.#callerResponse = callerResponse;
 		this.#trace = trace;
-		this.#tries = new Tries(order.route);
-		this.#fingerprint = fingerprintOf(order.incoming, order.organisation, order.body);
-		this.#verdicts = new Verdicts(parts.gateway, this.#tries, this.#fingerprint);
-		this.#mover = new Mover(parts.gateway, this.#tries, trace);
-		trace.tries = this.#tries;
+		this.#attempts = new Tries(request.route);
+		this.#fingerprint = computeFingerprint(request.incoming, request.organisation, request.body);
+		this.#verdicts = new Verdicts(services.gateway, this.#attempts, this.#fingerprint);
+		this.#rerouter = new Rerouter(services.gateway, this.#attempts, trace);
+		trace.attempts = this.#attempts;
 	}
 
-	/** Settles when the caller has its answer or nothing more can be done for it. */
+	/** Resolves when the caller has its answer or the request was given up. */
 	async run(): Promise<void> {
-		const {gateway, clock} = this.#parts;
+		const {gateway, clock} = this.#services;
 		if (gateway.convictions.isConvicted(this.#fingerprint)) {
-			this.#delivery.refuse('convicted');
+			this.#callerResponse.refuse('convicted');
 			return;
 		}
 
 		for (;;) {
-			await gateway.news.refresh();
-			// A host that stood still may come here before the timer of the deadline, which could not fire in a loop without a wait.
-			if (this.#isOver || this.#order.demand.deadline <= clock.now()) {
-				this.#delivery.conclude('deadlinePassed', this.#stop);
+			await gateway.loadUpdates.refresh();
+			// The deadline's timer can't fire while this loop runs without waiting, or before it after a stall of the process.
+			if (this.#isOver || this.#request.demand.deadline <= clock.now()) {
+				this.#callerResponse.conclude('deadlinePassed', this.#stopReason);
 				return;
 			}
 
-			const place = gateway.place(this.#demand, this.#tries.eligibility);
-			if (place === undefined) {
-				this.#delivery.conclude('noUpstream', this.#stop);
+			const placement = gateway.place(this.#currentDemand, this.#attempts.eligibility);
+			if (placement === undefined) {
+				this.#callerResponse.conclude('noUpstream', this.#stopReason);
 				return;
 			}
 
-			if (this.#isRefused(place)) {
+			if (this.#refuseIfHarmful(placement)) {
 				return;
 			}
 
-			const ending = await this.#attemptAt(place);
+			const ending = await this.#attemptAt(placement);
 			if (ending.type === 'answered') {
 				gateway.convictions.acquit(this.#fingerprint);
 				this.#trace.finish('answered');
 				return;
 			}
 
-			this.#noteRun(ending);
-			if (!this.#mayFollow(ending)) {
-				this.#delivery.conclude(nameOf(ending), this.#stop);
+			this.#notePossibleRun(ending);
+			if (!this.#canAttemptAgain(ending)) {
+				this.#callerResponse.conclude(selectAnswer(ending), this.#stopReason);
 				return;
 			}
 		}
 	}
 
 	/**
-	 * Ends the attempt that runs; no other one follows.
+	 * Cancels the current attempt and prevents further ones.
 	 *
-	 * @param stop - Why.
+	 * @param reason - Why the request is cancelled.
 	 */
-	halt(stop: Stop): void {
-		this.#stop = stop;
-		if (this.#attempt !== undefined && stop === 'time over') {
-			this.#delivery.noteMayHaveRun();
+	cancel(reason: StopReason): void {
+		this.#stopReason = reason;
+		if (this.#currentAttempt !== undefined && reason === 'time over') {
+			this.#callerResponse.noteMayHaveRun();
 		}
 
-		this.#attempt?.cancel(stop);
+		this.#currentAttempt?.cancel(reason);
 	}
 
-	/** What is asked now: the rest of an answer that has begun is due within the pause that its caller bears. */
-	get #demand(): Demand {
-		const {demand} = this.#order;
-		const {lastHeard} = this.#trace;
-		return lastHeard === undefined || demand.pause === undefined ? demand : {...demand, due: lastHeard + demand.pause, isBegun: true};
+	/** Demand of the next attempt: once an answer has begun, its next event is due within the pause limit of the route. */
+	get #currentDemand(): Demand {
+		const {demand} = this.#request;
+		const {lastEventAt} = this.#trace;
+		return lastEventAt === undefined || demand.pause === undefined ? demand : {...demand, due: lastEventAt + demand.pause, isBegun: true};
 	}
 
 	get #isOver(): boolean {
-		return this.#stop !== undefined || this.#delivery.isClosed;
+		return this.#stopReason !== undefined || this.#callerResponse.isClosed;
 	}
 
-	/** Refuses a request that has not been sent if serving it costs others more than it is worth. */
-	#isRefused(place: Place): boolean {
-		const {gateway, random} = this.#parts;
-		const {demand} = this.#order;
+	/** Refuses a request that has not been sent yet if serving it would cost other requests more than its weight. */
+	#refuseIfHarmful(placement: Place): boolean {
+		const {gateway, random} = this.#services;
+		const {demand} = this.#request;
 		const model = gateway.service(demand.service)?.engine;
-		if (model === undefined || demand.prompt === undefined || this.#tries.sent > 0) {
+		if (model === undefined || demand.prompt === undefined || this.#attempts.sent > 0) {
 			return false;
 		}
 
 		const weight = weigh(model, demand.prompt);
-		if (!isHarmful(place, weight, usualPolicy)) {
+		if (!isHarmful(placement, weight, usualPolicy)) {
 			return false;
 		}
 
-		const after = returnTime(place, model, random());
+		const returnAfter = returnTime(placement, model, random());
 		this.#trace.write('not-placed', {
-			upstream: place.upstream.id,
+			upstream: placement.upstream.id,
 			tokens: demand.prompt.tokens,
-			predicted: Math.round(place.firstByte),
-			loss: Number(place.loss.toFixed(3)),
+			predicted: Math.round(placement.firstByte),
+			loss: Number(placement.loss.toFixed(3)),
 			weight: Number(weight.toFixed(2)),
-			returnAfter: Math.round(after),
+			returnAfter: Math.round(returnAfter),
 		});
-		this.#delivery.refuse('overloaded', after / 1000);
+		this.#callerResponse.refuse('overloaded', returnAfter / 1000);
 		return true;
 	}
 
-	#noteRun(ending: AttemptEnding): void {
-		const isLeft = ending.type === 'cancelled' && !this.#isOver;
-		if (ending.type === 'unknown' || ending.type === 'failed' || isLeft) {
-			this.#delivery.noteMayHaveRun();
+	#notePossibleRun(ending: AttemptEnding): void {
+		const isRerouted = ending.type === 'cancelled' && !this.#isOver;
+		if (ending.type === 'unknown' || ending.type === 'failed' || isRerouted) {
+			this.#callerResponse.noteMayHaveRun();
 		}
 	}
 
-	#mayFollow(ending: AttemptEnding): boolean {
-		if (this.#isOver || !this.#tries.mayFollow(ending)) {
+	#canAttemptAgain(ending: AttemptEnding): boolean {
+		if (this.#isOver || !this.#attempts.mayFollow(ending)) {
 			return false;
 		}
 
-		return this.#tries.sent === 0 || this.#isRetryAllowed();
+		// A request that hasn't reached any upstream yet is not a retry.
+		return this.#attempts.sent === 0 || this.#isRetryAllowed();
 	}
 
-	/** Retries of all hosts together are bounded; a request that has reached no upstream yet is none. */
+	/** Checks the retry budget that all hosts share. */
 	#isRetryAllowed(): boolean {
-		const {gateway, clock, metrics} = this.#parts;
-		const {service} = this.#order.demand;
+		const {gateway, clock, metrics} = this.#services;
+		const {service} = this.#request.demand;
 		const isAllowed = gateway.mayRetry(service);
 		metrics.retries.inc({service, allowed: String(isAllowed)});
 		if (isAllowed) {
@@ -183,75 +184,75 @@
 		return isAllowed;
 	}
 
-	async #attemptAt(place: Place): Promise<AttemptEnding> {
-		if (place.holdTokens === 0) {
-			return this.#send(place, undefined);
+	async #attemptAt(placement: Place): Promise<AttemptEnding> {
+		if (placement.holdTokens === 0) {
+			return this.#send(placement, undefined);
 		}
 
-		const {holds} = this.#parts;
-		const engines = [place.upstream, ...place.helpers];
+		const {holds} = this.#services;
+		const engines = [placement.upstream, ...placement.helpers];
 		await using hold = holds.prepare(engines.map(each => ({
-			upstream: each.id, address: each.address, tokens: place.holdTokens,
+			upstream: each.id, address: each.address, tokens: placement.holdTokens,
 		})));
 		const refused = await hold.acquire();
 		holds.count(refused.length === 0);
 		if (refused.length > 0 || this.#isOver) {
-			this.#tries.noteRefusedHold(refused);
+			this.#attempts.noteRefusedHold(refused);
 			this.#trace.write('hold-refused', {hold: hold.name, refused});
 			return {type: 'not-run', reason: 'memory not granted', isShed: true};
 		}
 
-		// Awaited here: the hold must not end before the attempt does.
-		const ending = await this.#send(place, hold);
+		// Awaited before returning, because the hold must not be released before the attempt ends.
+		const ending = await this.#send(placement, hold);
 		return ending;
 	}
 
-	async #send(place: Place, hold: Hold | undefined): Promise<AttemptEnding> {
-		const {gateway, clock, metrics} = this.#parts;
-		const {demand} = this.#order;
-		const left = demand.deadline - clock.now();
-		if (left <= 0) {
+	async #send(placement: Place, hold: Hold | undefined): Promise<AttemptEnding> {
+		const {gateway, clock, metrics} = this.#services;
+		const {demand} = this.#request;
+		const remaining = demand.deadline - clock.now();
+		if (remaining <= 0) {
 			return {type: 'not-run', reason: 'no time left', isShed: false};
 		}
 
-		const {placing} = this.#tries;
-		this.#tries.noteSent(place.upstream.id);
-		const job = gateway.begin(demand, place, placing);
-		this.#tracePlace(place, job, hold, left);
-		const attempt = this.#prepare(place, hold, left);
-		this.#attempt = attempt;
-		if (this.#tries.mayLeave && this.#order.route.kind === 'streaming') {
-			this.#mover.watch({
-				job: job.id, place, attempt, demand: () => this.#demand,
+		const {placing} = this.#attempts;
+		this.#attempts.noteSent(placement.upstream.id);
+		const job = gateway.beginJob(demand, placement, placing);
+		this.#logPlacement(placement, job, hold, remaining);
+		const attempt = this.#createAttempt(placement, hold, remaining);
+		this.#currentAttempt = attempt;
+		if (this.#attempts.mayLeave && this.#request.route.kind === 'streaming') {
+			this.#rerouter.watch({
+				job: job.id, place: placement, attempt, demand: () => this.#currentDemand,
 			});
 		}
 
-		hold?.watch(() => {
+		hold?.setLossHandler(() => {
 			attempt.cancel('memory lost');
 		});
-		const watch = new Watch(attempt, this.#tries.mayLeave, place.firstByte, () => gateway.longestPass(place.upstream.id));
+		const stallDetector = new StallDetector(attempt, this.#attempts.mayLeave, placement.firstByte, () => gateway.forecastIterationTime(placement.upstream.id));
 		try {
-			const ending = await this.#follow(attempt, place.upstream.id, job.id, watch);
+			const ending = await this.#finishAttempt(attempt, placement.upstream.id, job.id, stallDetector);
 			metrics.attempts.inc({service: demand.service, ending: ending.type});
-			this.#traceEnding(place, job.id, ending);
+			this.#logEnding(placement, job.id, ending);
 			return ending;
 		} finally {
-			watch.end();
-			this.#attempt = undefined;
-			gateway.news.end(job.id);
+			stallDetector.stop();
+			this.#currentAttempt = undefined;
+			gateway.loadUpdates.end(job.id);
 		}
 	}
 
-	#prepare(place: Place, hold: Hold | undefined, left: number): Attempt {
-		const {dialect, agent} = this.#parts;
-		const {incoming, body, demand, organisation} = this.#order;
-		const headers = [...dialect.forUpstream(incoming.rawHeaders, {
-			left: Math.floor(left),
-			upstream: place.upstream.id,
+	#createAttempt(placement: Place, hold: Hold | undefined, remaining: number): Attempt {
+		const {headerFormat, agent} = this.#services;
+		const {incoming, body, demand, organisation} = this.#request;
+		const headers = [...headerFormat.formatUpstreamHeaders(incoming.rawHeaders, {
+			left: Math.floor(remaining),
+			upstream: placement.upstream.id,
 			organisation,
-			urgency: place.urgency,
-			helpers: helpersOf(place, hold),
-			lastEvent: this.#delivery.lastEvent,
+			urgency: placement.urgency,
+			helpers: listHelpers(placement, hold),
+			lastEventId: this.#callerResponse.lastEventId,
 		})];
 		if (body.length > 0 || incoming.headers['content-length'] !== undefined) {
 			headers.push('Content-Length', String(body.length));
@@ -263,58 +264,58 @@
 			path: incoming.url ?? '/',
 			headers,
 			body,
-			address: place.upstream.address,
-		}, dialect, agent);
+			address: placement.upstream.address,
+		}, headerFormat, agent);
 	}
 
-	#tracePlace(place: Place, job: Job, hold: Hold | undefined, left: number): void {
-		const {gateway} = this.#parts;
+	#logPlacement(placement: Place, job: Job, hold: Hold | undefined, remaining: number): void {
+		const {gateway} = this.#services;
 		this.#trace.write('placed', {
 			attempt: job.id,
-			upstream: place.upstream.id,
-			helpers: place.helpers.map(each => each.id),
+			upstream: placement.upstream.id,
+			helpers: placement.helpers.map(each => each.id),
 			hold: hold?.name,
-			tokens: this.#order.demand.prompt?.tokens ?? 0,
-			predicted: Math.round(place.firstByte),
-			loss: Number(place.loss.toFixed(3)),
+			tokens: this.#request.demand.prompt?.tokens ?? 0,
+			predicted: Math.round(placement.firstByte),
+			loss: Number(placement.loss.toFixed(3)),
 			weight: Number(job.weight.toFixed(2)),
 			jobs: gateway.load.size,
-			left: Math.round(left),
+			left: Math.round(remaining),
 			version: gateway.directory?.configuration.version,
 			confirmedAge: Math.round(gateway.confirmedAge),
 		});
 	}
 
-	#traceEnding(place: Place, attempt: string, ending: AttemptEnding): void {
-		const {type, ...how} = ending;
+	#logEnding(placement: Place, attempt: string, ending: AttemptEnding): void {
+		const {type, ...details} = ending;
 		this.#trace.write('attempt-ended', {
-			attempt, upstream: place.upstream.id, ending: type, ...how,
+			attempt, upstream: placement.upstream.id, ending: type, ...details,
 		});
 	}
 
-	async #follow(attempt: Attempt, upstream: string, job: string, watch: Watch): Promise<AttemptEnding> {
-		const {gateway} = this.#parts;
-		const got = await attempt.reply();
-		if (got.type === 'ended') {
-			return this.#verdicts.unanswered(got, upstream);
+	async #finishAttempt(attempt: Attempt, upstream: string, job: string, stallDetector: StallDetector): Promise<AttemptEnding> {
+		const {gateway} = this.#services;
+		const reply = await attempt.reply();
+		if (reply.type === 'ended') {
+			return this.#verdicts.unanswered(reply, upstream);
 		}
 
-		if (got.facts.isNotRun || got.facts.isMisdirected) {
-			got.body.resume();
-			return this.#verdicts.notRun(got, upstream);
+		if (reply.facts.isNotRun || reply.facts.isMisdirected) {
+			reply.body.resume();
+			return this.#verdicts.notRun(reply, upstream);
 		}
 
-		const taken = await this.#delivery.take(got, this.#order.route, {
+		const forwarded = await this.#callerResponse.forward(reply, this.#request.route, {
 			began: () => {
 				this.#trace.noteFirstByte();
-				gateway.news.progress(job);
+				gateway.loadUpdates.progress(job);
 			},
-			heard() {
-				watch.heard();
+			receivedEvents() {
+				stallDetector.noteEvents();
 			},
 		});
-		const isGivenUp = taken.type === 'unknown' && attempt.cancelled !== undefined;
-		const ending: AttemptEnding = isGivenUp ? {type: 'cancelled', reason: attempt.cancelled} : taken;
+		const isCancelled = forwarded.type === 'unknown' && attempt.cancelled !== undefined;
+		const ending: AttemptEnding = isCancelled ? {type: 'cancelled', reason: attempt.cancelled} : forwarded;
 		this.#verdicts.judge(ending, upstream);
 		return ending;
 	}
--- a/src/gateway/events.ts
+++ b/src/gateway/events.ts
@@ -1,21 +1,21 @@
-/** Cuts a stream of server-sent events after whole events, without changing a byte. */
+/** Splits a stream of server-sent events at event boundaries without changing a byte. */
 import {Buffer} from 'node:buffer';
 
-/** Bytes after which an event without an end is passed on as it is. */
-const longestEvent = 1_000_000;
+/** A longer unfinished event is passed on as it is. */
+const maxEventBytes = 1_000_000;
 
-const idLine = /^id:\s?(.*)$/gmv;
+const idPattern = /^id:\s?(.*)$/gmv;
 
-/** Whole events. */
-export type Events = {
+/** Complete events. */
+export type WholeEvents = {
 	readonly bytes: Buffer;
 	readonly count: number;
-	/** Id of the last of them that has one. */
+	/** Id of the last event that has one. */
 	readonly lastId?: string;
 };
 
-/** Where the last whole event ends, and how many there are. */
-function wholeEvents(text: string): {readonly end: number; readonly count: number} {
+/** Returns where the last complete event ends, and how many complete events there are. */
+function findWholeEvents(text: string): {readonly end: number; readonly count: number} {
 	let end = 0;
 	let count = 0;
 	const blank = /\r?\n\r?\n/gv;
@@ -28,30 +28,30 @@
 }
 
 export class EventSplitter {
-	#held: Buffer = Buffer.alloc(0);
+	#pending: Buffer = Buffer.alloc(0);
 
-	/** Bytes of an event that has not ended. */
+	/** Bytes of an unfinished event. */
 	get rest(): Buffer {
-		return this.#held;
+		return this.#pending;
 	}
 
 	/**
 	 * @param chunk - Next bytes of the stream.
-	 * @returns The events that are whole now.
+	 * @returns The events that are complete now.
 	 */
-	push(chunk: Buffer): Events {
-		const bytes = this.#held.length === 0 ? chunk : Buffer.concat([this.#held, chunk]);
-		// Latin-1 keeps one character a byte, so that places in the text are places in the bytes.
+	push(chunk: Buffer): WholeEvents {
+		const bytes = this.#pending.length === 0 ? chunk : Buffer.concat([this.#pending, chunk]);
+		// Latin-1 maps each byte to one character, so offsets in the text are offsets in the bytes.
 		const text = bytes.toString('latin1');
-		const {end, count} = wholeEvents(text);
-		if (end === 0 && bytes.length > longestEvent) {
-			this.#held = Buffer.alloc(0);
+		const {end, count} = findWholeEvents(text);
+		if (end === 0 && bytes.length > maxEventBytes) {
+			this.#pending = Buffer.alloc(0);
 			return {bytes, count: 0};
 		}
 
-		this.#held = bytes.subarray(end);
+		this.#pending = bytes.subarray(end);
 		const whole = bytes.subarray(0, end);
-		const ids = [...whole.toString('utf8').matchAll(idLine)];
+		const ids = [...whole.toString('utf8').matchAll(idPattern)];
 		return {bytes: whole, count, lastId: ids.at(-1)?.[1]?.trim()};
 	}
 }
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,63 +1,63 @@
-/** The life of one request at this host, from its head to the end of its answer. */
+/** Handles one request of a caller from its head to the end of the response. */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {chooseService} from '../core/gateway/directory.js';
 import {type Demand} from '../core/gateway/types.js';
-import {admit, type Routed} from './admission.js';
-import {Delivery, usualRetryAfter, type Stop} from './delivery.js';
-import {type CallerFacts} from './dialect.js';
+import {admit, type RoutedResolution} from './admission.js';
+import {CallerResponse, baseRetryAfterSeconds, type StopReason} from './caller-response.js';
+import {type RequestMetadata} from './platform-adapter.js';
 import {Dispatch} from './dispatch.js';
-import {type Parts} from './parts.js';
-import {Trace} from './trace.js';
+import {type GatewayServices} from './services.js';
+import {RequestTrace} from './trace.js';
 
-/** Seconds after which a caller may come again to a host that knows too little: the store is read once a second. */
-const unconfiguredRetryAfter = 1;
+/** Retry-After of callers refused because the configuration may be missing or stale: the store is read once per second. */
+const unconfiguredRetryAfterSeconds = 1;
 
 export class Exchange {
-	readonly #parts: Parts;
+	readonly #services: GatewayServices;
 	readonly #incoming: IncomingMessage;
 	readonly #outgoing: ServerResponse;
-	readonly #trace: Trace;
-	readonly #delivery: Delivery;
+	readonly #trace: RequestTrace;
+	readonly #callerResponse: CallerResponse;
 	#dispatch: Dispatch | undefined;
-	#stop: Stop | undefined;
+	#stopReason: StopReason | undefined;
 
 	/**
-	 * @param parts - What exchanges share.
+	 * @param services - Services shared by all requests.
 	 * @param incoming - Request of a caller.
-	 * @param outgoing - Its answer.
+	 * @param outgoing - Response to the caller.
 	 */
-	constructor(parts: Parts, incoming: IncomingMessage, outgoing: ServerResponse) {
-		this.#parts = parts;
+	constructor(services: GatewayServices, incoming: IncomingMessage, outgoing: ServerResponse) {
+		this.#services = services;
 		this.#incoming = incoming;
 		this.#outgoing = outgoing;
-		this.#trace = new Trace(parts);
-		this.#delivery = new Delivery(outgoing, this.#trace, parts.random);
+		this.#trace = new RequestTrace(services);
+		this.#callerResponse = new CallerResponse(outgoing, this.#trace, services.random);
 	}
 
-	/** Serves the request; settles when its answer is over. */
+	/** Serves the request; resolves when the response has ended. */
 	async run(): Promise<void> {
 		const outgoing = this.#outgoing;
 		outgoing.once('close', () => {
 			if (!outgoing.writableFinished) {
-				this.#halt('caller left');
+				this.#cancel('caller left');
 			}
 		});
-		const facts = this.#parts.dialect.readCaller(this.#incoming.headers);
-		this.#trace.facts = facts;
-		if (this.#parts.isLeaving()) {
+		const metadata = this.#services.headerFormat.parseRequest(this.#incoming.headers);
+		this.#trace.metadata = metadata;
+		if (this.#services.isStopping()) {
 			outgoing.shouldKeepAlive = false;
 		}
 
-		if (this.#parts.isClosing()) {
+		if (this.#services.isRefusing()) {
 			this.#incoming.resume();
-			this.#delivery.refuse('leaving', usualRetryAfter);
+			this.#callerResponse.refuse('leaving', baseRetryAfterSeconds);
 			return;
 		}
 
-		if (facts === undefined) {
+		if (metadata === undefined) {
 			this.#incoming.resume();
-			this.#delivery.refuse('missingId');
+			this.#callerResponse.refuse('missingId');
 			return;
 		}
 
@@ -66,18 +66,18 @@
 			return;
 		}
 
-		const admission = admit(this.#parts.gateway, this.#incoming, facts.key);
+		const admission = admit(this.#services.gateway, this.#incoming, metadata.key);
 		if (admission.type === 'refused') {
-			this.#delivery.refuse(admission.answer, unconfiguredRetryAfter);
+			this.#callerResponse.refuse(admission.answer, unconfiguredRetryAfterSeconds);
 			return;
 		}
 
-		await this.#serve(facts, body, admission);
+		await this.#serve(metadata, body, admission);
 	}
 
-	/** The body of the request; undefined if it can't be served. */
+	/** Returns the body of the request, or undefined if the request has been refused or its caller has left. */
 	async #readBody(): Promise<Buffer | undefined> {
-		const limit = this.#parts.gateway.directory?.configuration.limits.bodyBytes ?? Number.POSITIVE_INFINITY;
+		const limit = this.#services.gateway.directory?.configuration.limits.bodyBytes ?? Number.POSITIVE_INFINITY;
 		const chunks: Buffer[] = [];
 		let length = 0;
 		try {
@@ -85,52 +85,52 @@
 				length += chunk.length;
 				if (length > limit) {
 					this.#outgoing.shouldKeepAlive = false;
-					this.#delivery.refuse('bodyTooLarge');
+					this.#callerResponse.refuse('bodyTooLarge');
 					return undefined;
 				}
 
 				chunks.push(chunk);
 			}
 		} catch {
-			// Reading breaks off only where the caller went before its request was whole: nothing was passed on and nobody waits.
-			this.#delivery.conclude('outcomeUnknown', 'caller left');
+			// Reading fails only if the caller disconnects before its request is complete: nothing was forwarded, and no caller is waiting.
+			this.#callerResponse.conclude('outcomeUnknown', 'caller left');
 			return undefined;
 		}
 
-		if (this.#stop !== undefined || this.#outgoing.destroyed) {
-			this.#delivery.conclude('outcomeUnknown', 'caller left');
+		if (this.#stopReason !== undefined || this.#outgoing.destroyed) {
+			this.#callerResponse.conclude('outcomeUnknown', 'caller left');
 			return undefined;
 		}
 
 		return Buffer.concat(chunks);
 	}
 
-	async #serve(facts: CallerFacts, body: Buffer, {route, organisation}: Routed): Promise<void> {
-		const {gateway, clock} = this.#parts;
-		const limit = Math.min(facts.patience ?? route.timeout, route.timeout);
+	async #serve(metadata: RequestMetadata, body: Buffer, {route, organisation}: RoutedResolution): Promise<void> {
+		const {gateway, clock} = this.#services;
+		const timeout = Math.min(metadata.timeout ?? route.timeout, route.timeout);
 		const now = clock.now();
 		const {arrived} = this.#trace;
 		const demand: Demand = {
-			id: facts.id,
-			service: chooseService(route, this.#parts.random()),
+			id: metadata.id,
+			service: chooseService(route, this.#services.random()),
 			kind: route.kind,
 			priority: organisation?.priority ?? route.priority,
 			arrived,
 			due: arrived + route.objective,
-			deadline: arrived + limit,
+			deadline: arrived + timeout,
 			pause: route.pause,
-			prompt: facts.prompt,
+			prompt: metadata.prompt,
 		};
 		this.#trace.route = route;
 		this.#trace.service = demand.service;
-		this.#delivery.resumeAfter(facts.lastEvent);
+		this.#callerResponse.resumeAfter(metadata.lastEventId);
 		gateway.retries.countRequest(demand.service, now);
-		const order = {
+		const request = {
 			incoming: this.#incoming, body, route, organisation: organisation?.name, demand,
 		};
-		this.#dispatch = new Dispatch(this.#parts, order, this.#delivery, this.#trace);
+		this.#dispatch = new Dispatch(this.#services, request, this.#callerResponse, this.#trace);
 		const timer = setTimeout(() => {
-			this.#halt('time over');
+			this.#cancel('time over');
 		}, Math.max(demand.deadline - now, 0));
 		try {
 			await this.#dispatch.run();
@@ -139,15 +139,15 @@
 		}
 	}
 
-	#halt(stop: Stop): void {
-		if (this.#stop !== undefined || this.#outgoing.writableFinished) {
+	#cancel(reason: StopReason): void {
+		if (this.#stopReason !== undefined || this.#outgoing.writableFinished) {
 			return;
 		}
 
-		this.#stop = stop;
-		this.#dispatch?.halt(stop);
-		if (stop === 'time over') {
-			this.#delivery.conclude('deadlinePassed', stop);
+		this.#stopReason = reason;
+		this.#dispatch?.cancel(reason);
+		if (reason === 'time over') {
+			this.#callerResponse.conclude('deadlinePassed', reason);
 		}
 	}
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows, and its decisions over it. */
+/** Holds the state of a gateway: configuration, upstreams, load and peers, and makes decisions based on it. */
 import {assertNever} from '../core/index.js';
 import {absenceOf, type AbsenceReason} from '../core/gateway/absences.js';
 import {Directory} from '../core/gateway/directory.js';
@@ -27,11 +27,11 @@
 import {Sharing} from './sharing.js';
 import {Upstreams} from './upstreams.js';
 
-/** Part of the revocation bound up to which keys are trusted without word from the store; the rest is for requests under way. */
-const trustShare = 0.94;
+/** Share of the revocation bound for which keys are accepted without confirmation from the store; the rest is for requests in progress. */
+const keyTrustShare = 0.94;
 
-/** Milliseconds between looks for jobs that must be over. */
-const expiryInterval = 1000;
+/** How often to remove jobs that must be over. */
+const expiryIntervalMs = 1000;
 
 export class Gateway implements AsyncDisposable {
 	readonly load = new Load();
@@ -41,34 +41,34 @@
 	readonly retries: RetryBudget;
 	readonly peers: Peers;
 	readonly sharing: Sharing;
-	readonly news: News;
+	readonly loadUpdates: News;
 	readonly convictions: Convictions;
 	readonly #settings: Settings;
 	readonly #clock: Clock;
 	readonly #log: Log;
-	readonly #started: number;
-	readonly #expiry: NodeJS.Timeout;
+	readonly #startedAt: number;
+	readonly #expiryTimer: NodeJS.Timeout;
 	#directory: Directory | undefined;
-	#confirmed: Moment | undefined;
-	#jobs = 0;
+	#confirmedAt: Moment | undefined;
+	#jobCount = 0;
 
 	/**
 	 * @param settings - Settings of this host.
-	 * @param clock - Time.
+	 * @param clock - Monotonic and wall-clock time.
 	 * @param log - Log.
 	 */
 	constructor(settings: Settings, clock: Clock, log: Log) {
 		this.#settings = settings;
 		this.#clock = clock;
 		this.#log = log;
-		this.#started = clock.wall();
+		this.#startedAt = clock.wall();
 		this.retries = new RetryBudget(settings.retries);
 		this.peers = new Peers({
 			self: {
 				name: settings.host,
 				failureDomain: settings.failureDomain,
 				address: settings.peer,
-				started: this.#started,
+				started: this.#startedAt,
 				capacity: settings.processor.cores * settings.processor.share,
 			},
 			seeds: settings.seeds,
@@ -77,13 +77,13 @@
 			events: {
 				joined: (host, send) => {
 					this.sharing.joined(host.name);
-					this.news.joined(host, send);
+					this.loadUpdates.joined(host, send);
 				},
 				message: (from, message) => {
-					this.#heard(from, message);
+					this.#handleMessage(from, message);
 				},
 				lost: (host, reason) => {
-					this.news.lost(host, reason);
+					this.loadUpdates.lost(host, reason);
 				},
 			},
 		});
@@ -101,7 +101,7 @@
 		this.convictions = new Convictions({
 			reputation: this.reputation, upstreams: this.upstreams, peers: this.peers, clock, confirmedAge: () => this.confirmedAge,
 		});
-		this.news = new News({
+		this.loadUpdates = new News({
 			self: settings.host,
 			failureDomain: settings.failureDomain,
 			load: this.load,
@@ -119,66 +119,66 @@
 			},
 		});
 		this.sharing = new Sharing(this, {self: settings.host, failureDomain: settings.failureDomain, clock});
-		this.#expiry = setInterval(() => {
+		this.#expiryTimer = setInterval(() => {
 			this.load.expire(clock.now());
-		}, expiryInterval);
+		}, expiryIntervalMs);
 	}
 
-	/** The configuration in force, if any is known. */
+	/** Lookup over the configuration in force, if there is one. */
 	get directory(): Directory | undefined {
 		return this.#directory;
 	}
 
-	/** Names this run of the process. */
+	/** Unique name of this run of the process. */
 	get incarnation(): string {
-		return `${this.#settings.host}.${this.#started.toString(36)}`;
+		return `${this.#settings.host}.${this.#startedAt.toString(36)}`;
 	}
 
-	/** Milliseconds since the configuration in force and the upstreams were the newest for certain. */
+	/** Milliseconds since the configuration in force and the upstreams were last known to be current. */
 	get confirmedAge(): number {
-		return this.#confirmed === undefined ? Number.POSITIVE_INFINITY : this.#clock.since(this.#confirmed);
+		return this.#confirmedAt === undefined ? Number.POSITIVE_INFINITY : this.#clock.since(this.#confirmedAt);
 	}
 
-	/** Whether a key that the configuration has may have been taken away without word of it. */
+	/** Whether a key of the configuration may have been revoked without this host knowing. */
 	get isKeyStale(): boolean {
-		return this.#settings.revocation > 0 && this.confirmedAge > this.#settings.revocation * trustShare;
+		return this.#settings.revocation > 0 && this.confirmedAge > this.#settings.revocation * keyTrustShare;
 	}
 
 	/**
-	 * Takes a configuration; an older one than that in force is ignored.
+	 * Puts a configuration in force unless it is older than the current one.
 	 *
 	 * @param configuration - Configuration that was read.
 	 */
 	adopt(configuration: GatewayConfiguration): void {
-		const before = this.#directory?.configuration.version;
-		if (before !== undefined && configuration.version <= before) {
+		const previous = this.#directory?.configuration.version;
+		if (previous !== undefined && configuration.version <= previous) {
 			return;
 		}
 
 		this.#directory = new Directory(configuration);
 		this.#log.write({
-			event: 'configuration', version: configuration.version, before, routes: configuration.routes.length,
+			event: 'configuration', version: configuration.version, before: previous, routes: configuration.routes.length,
 		});
 	}
 
 	/**
-	 * @param age - Milliseconds since the configuration in force and the upstreams were the newest for certain.
+	 * @param age - Milliseconds since the configuration in force and the upstreams were known to be current.
 	 */
 	confirm(age: number): void {
 		if (age < this.confirmedAge) {
-			this.#confirmed = this.#clock.moment(age);
+			this.#confirmedAt = this.#clock.moment(age);
 		}
 	}
 
 	/**
-	 * Takes what a peer knows.
+	 * Applies the state of a peer.
 	 *
-	 * @param peer - Peer.
-	 * @param state - Its upstreams, where they differ.
-	 * @param age - Milliseconds since they and its configuration were the newest for certain.
+	 * @param peer - Name of the peer.
+	 * @param state - Version of its configuration, and its upstreams if they differ.
+	 * @param age - Milliseconds since the peer's state was known to be current.
 	 */
 	takeState(peer: string, state: PeerState, age: number): void {
-		// The configuration that belongs to a state is told before it; what it confirms is not known here without it.
+		// Peers send a newer configuration before the state that refers to it. Without it, the state confirms a configuration unknown here.
 		if (state.version > (this.#directory?.configuration.version ?? 0)) {
 			return;
 		}
@@ -188,16 +188,16 @@
 	}
 
 	/**
-	 * @param name - Service.
-	 * @returns Its figures.
+	 * @param name - Name of a service.
+	 * @returns Its configuration, if it is known.
 	 */
 	service(name: string): GatewayService | undefined {
 		return this.#directory?.service(name);
 	}
 
 	/**
-	 * @param upstream - Upstream.
-	 * @returns How it spends its time, if it is an engine that is known.
+	 * @param upstream - Id of an upstream.
+	 * @returns Its engine model, if it is a known engine.
 	 */
 	modelAt(upstream: string): EngineModel | undefined {
 		return this.service(this.upstreams.get(upstream)?.service ?? '')?.engine;
@@ -205,7 +205,7 @@
 
 	/**
 	 * @param service - Service.
-	 * @returns Whether the retries of all hosts leave room for one more.
+	 * @returns Whether the retry budget that all hosts share allows one more.
 	 */
 	mayRetry(service: string): boolean {
 		const {fleetSize: hosts, isLargeFleet, domainHosts} = this.peers;
@@ -213,101 +213,105 @@
 	}
 
 	/**
-	 * @param demand - Request.
-	 * @param eligibility - Upstreams that it may go to.
-	 * @returns Where it goes, if anywhere.
+	 * @param demand - Demand of the request.
+	 * @param eligibility - Upstreams that the request may go to.
+	 * @returns Placement of the request, if there is one.
 	 */
 	place(demand: Demand, eligibility: Eligibility): Place | undefined {
-		return place(demand, this.upstreams.of(demand.service), this.service(demand.service)?.engine, this.#around(eligibility));
+		return place(demand, this.upstreams.of(demand.service), this.service(demand.service)?.engine, this.#buildPlacementOptions(eligibility));
 	}
 
 	/**
-	 * @param demand - Request that was sent a moment ago.
-	 * @param current - Where it went.
-	 * @param job - Its job.
-	 * @param eligibility - Upstreams that it may go to.
-	 * @returns What it loses there and elsewhere; undefined for plain services.
+	 * @param demand - Demand of a request that was sent a moment ago.
+	 * @param current - Its current placement.
+	 * @param job - Id of its job.
+	 * @param eligibility - Upstreams that the request may go to.
+	 * @returns Its expected loss where it is and at the best other placement; undefined for plain services.
 	 */
 	reconsider(demand: Demand, current: Place, job: string, eligibility: Eligibility): Second | undefined {
-		return reconsider(demand, current, this.upstreams.of(demand.service), this.service(demand.service)?.engine, {...this.#around(eligibility), except: job});
+		return reconsider(demand, current, this.upstreams.of(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), except: job});
 	}
 
 	/**
-	 * @param demand - Request that is sent.
-	 * @param chosen - Where it goes.
-	 * @param placing - Which placing of it this is.
-	 * @returns The job, told to peers.
+	 * Creates the job of a request that is being sent and publishes it to peers.
+	 *
+	 * @param demand - Demand of the request.
+	 * @param placement - Placement of the request.
+	 * @param placing - Whether this is the request's first attempt, a retry or the successor of failed connections.
+	 * @returns The job.
 	 */
-	begin(demand: Demand, chosen: Place, placing: Placing): Job {
+	beginJob(demand: Demand, placement: Place, placing: Placing): Job {
 		const now = this.#clock.now();
 		const model = this.service(demand.service)?.engine;
-		this.#jobs++;
+		this.#jobCount++;
 		const job: Job = {
-			id: `${this.incarnation}.${this.#jobs}`,
+			id: `${this.incarnation}.${this.#jobCount}`,
 			host: this.#settings.host,
-			upstream: chosen.upstream.id,
-			helpers: chosen.helpers.map(each => each.id),
+			upstream: placement.upstream.id,
+			helpers: placement.helpers.map(each => each.id),
 			prompt: demand.prompt?.tokens ?? 0,
 			answer: demand.prompt?.answer ?? 0,
-			isHeld: chosen.holdTokens > 0,
-			read: chosen.reading.total,
-			readPerPass: chosen.reading.perPass,
+			isHeld: placement.holdTokens > 0,
+			read: placement.reading.total,
+			readPerPass: placement.reading.perPass,
 			pause: demand.pause,
-			urgency: chosen.urgency,
+			urgency: placement.urgency,
 			weight: model === undefined || demand.prompt === undefined ? 1 : weigh(model, demand.prompt),
 			placing,
 			began: now,
 			due: demand.due,
 			deadline: demand.deadline,
 		};
-		this.news.begin(job);
+		this.loadUpdates.begin(job);
 		return job;
 	}
 
 	/**
-	 * @param upstream - Upstream.
-	 * @param verdict - What an attempt says of it.
+	 * Records the verdict of an attempt on the health of an upstream.
+	 *
+	 * @param upstream - Id of the upstream.
+	 * @param verdict - Verdict of the attempt.
 	 */
 	judge(upstream: string, verdict: Verdict): void {
 		this.reputation.judge(upstream, this.upstreams.get(upstream), verdict, this.#clock.now());
 	}
 
 	/**
-	 * Tells peers of an upstream that is not there.
+	 * Notifies peers of an upstream that is absent.
 	 *
-	 * @param upstream - Upstream.
-	 * @param reason - How an attempt found it so.
+	 * @param upstream - Id of the upstream.
+	 * @param reason - How an attempt found it absent.
 	 */
 	tellAbsence(upstream: string, reason: AbsenceReason): void {
-		this.news.tellAbsence(absenceOf(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
+		this.loadUpdates.tellAbsence(absenceOf(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
 	}
 
 	/**
-	 * @param upstream - Engine that writes a request.
-	 * @returns Milliseconds that its passes may take now, as far as is known of what it reads and writes.
+	 * @param upstream - Id of an engine.
+	 * @returns Milliseconds that an engine iteration may take now, forecast from the known prefill and decode load; 0 for plain services.
 	 */
-	longestPass(upstream: string): number {
+	forecastIterationTime(upstream: string): number {
 		const model = this.modelAt(upstream);
 		if (model === undefined) {
 			return 0;
 		}
 
 		const {pass, readers} = this.load.forecast(upstream, model, this.#clock.now());
-		let read = 0;
+		let prefill = 0;
 		for (const job of readers) {
-			read += job.readPerPass;
+			prefill += job.readPerPass;
 		}
 
-		return pass + read;
+		return pass + prefill;
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		clearInterval(this.#expiry);
+		clearInterval(this.#expiryTimer);
 		this.registrations[Symbol.dispose]();
 		await this.peers[Symbol.asyncDispose]();
 	}
 
-	#around(eligibility: Eligibility): Surroundings {
+	#buildPlacementOptions(eligibility: Eligibility): Surroundings {
 		const now = this.#clock.now();
 		this.reputation.look(now);
 		return {
@@ -322,25 +326,25 @@
 		};
 	}
 
-	#heard(from: Host, message: Message): void {
+	#handleMessage(from: Host, message: Message): void {
 		switch (message.type) {
 			case 'load': {
-				this.news.heard(from, message);
+				this.loadUpdates.heard(from, message);
 				return;
 			}
 
 			case 'load-wanted': {
-				this.news.wanted(from, message);
+				this.loadUpdates.wanted(from, message);
 				return;
 			}
 
 			case 'load-told': {
-				this.news.told(from, message);
+				this.loadUpdates.told(from, message);
 				return;
 			}
 
 			case 'hosts-lost': {
-				this.news.heardLost(message);
+				this.loadUpdates.heardLost(message);
 				return;
 			}
 
--- a/src/gateway/holds.ts
+++ b/src/gateway/holds.ts
@@ -1,24 +1,24 @@
-/** Memory reserved at several engines for one prompt: all of it or none, renewed while it is used, released at the end. */
+/** Reserves KV memory at several engines for one prompt, all or nothing. Holds are renewed while in use and released at the end. */
 import {messageOf, type Address} from '../core/index.js';
 import {type Log} from '../entry/logs.js';
-import {type Orders} from './dialect.js';
+import {type EngineControl} from './platform-adapter.js';
 import {type GatewayMetrics} from './metrics.js';
 
 /**
- * Milliseconds of one lease. If this host dies the engines have the memory back after it at the latest; the longest pass
- * of an engine is under 2 s, and a renewal that is lost is sent again twice within the lease.
+ * Engines free the memory after one lease at the latest if this host dies. The longest engine iteration is under 2 s, and a lost renewal
+ * is repeated twice within the lease.
  */
-const lease = 3600;
-const renewalInterval = 1100;
+const leaseMs = 3600;
+const renewalIntervalMs = 1100;
 
-/** Renewals in a row that an engine leaves unanswered, after which its memory counts as lost. */
-const missedRenewals = 2;
+/** Consecutive unanswered renewals after which an engine's memory counts as lost. */
+const maxMissedRenewals = 2;
 
-/** Tries to release a hold, the pause between them in milliseconds; after that its lease ends it. */
-const releaseTries = 3;
-const releasePause = 300;
+/** Attempts to release a hold and the delay between them; after the last one the engine frees the memory when the lease ends. */
+const maxReleaseAttempts = 3;
+const releaseRetryDelayMs = 300;
 
-/** One engine's part. */
+/** Memory reserved at one engine. */
 export type HoldPart = {
 	readonly upstream: string;
 	readonly address: Address;
@@ -30,24 +30,24 @@
 export class Hold implements AsyncDisposable {
 	readonly name: string;
 	readonly #parts: readonly HoldPart[];
-	readonly #orders: Orders;
+	readonly #engineControl: EngineControl;
 	readonly #log: Pick<Log, 'write'>;
-	/** Renewals in a row that each engine has left unanswered. */
-	readonly #missed = new Map<string, number>();
+	/** Consecutive unanswered renewals, by upstream. */
+	readonly #missedRenewals = new Map<string, number>();
 	#timer: NodeJS.Timeout | undefined;
-	#onLost: (() => void) | undefined;
+	#lossHandler: (() => void) | undefined;
 
-	constructor(name: string, parts: readonly HoldPart[], orders: Orders, log: Pick<Log, 'write'>) {
+	constructor(name: string, parts: readonly HoldPart[], engineControl: EngineControl, log: Pick<Log, 'write'>) {
 		this.name = name;
 		this.#parts = parts;
-		this.#orders = orders;
+		this.#engineControl = engineControl;
 		this.#log = log;
 	}
 
 	/**
-	 * Reserves all parts.
+	 * Reserves all parts and starts renewing them if all were granted.
 	 *
-	 * @returns The engines that did not grant theirs; empty if the hold is complete.
+	 * @returns The engines that did not grant their part; empty if the hold is complete.
 	 */
 	async acquire(): Promise<readonly string[]> {
 		const refused: string[] = [];
@@ -58,42 +58,42 @@
 		}));
 		if (refused.length === 0) {
 			this.#timer = setInterval(() => {
-				// Engines are not waited for in turn: a silent one must not delay the renewal at the others.
+				// Renews in parallel: an unresponsive engine must not delay the renewal at the others.
 				for (const part of this.#parts) {
 					void this.#renew(part);
 				}
-			}, renewalInterval);
+			}, renewalIntervalMs);
 		}
 
 		return refused;
 	}
 
 	/**
-	 * @param onLost - Called when an engine no longer answers: its memory goes with its lease, and what uses the hold is cut off.
+	 * @param lossHandler - Called when an engine stops responding: its memory ends with the lease, so the attempt using the hold must end.
 	 */
-	watch(onLost: () => void): void {
-		this.#onLost = onLost;
+	setLossHandler(lossHandler: () => void): void {
+		this.#lossHandler = lossHandler;
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		clearInterval(this.#timer);
-		this.#onLost = undefined;
+		this.#lossHandler = undefined;
 		await Promise.all(this.#parts.map(async part => this.#release(part)));
 	}
 
 	async #renew(part: HoldPart): Promise<void> {
 		const {upstream} = part;
 		const grant = await this.#reserve(part);
-		const missed = grant === 'unanswered' ? (this.#missed.get(upstream) ?? 0) + 1 : 0;
-		this.#missed.set(upstream, missed);
-		if (missed === missedRenewals) {
-			this.#onLost?.();
+		const missedRenewals = grant === 'unanswered' ? (this.#missedRenewals.get(upstream) ?? 0) + 1 : 0;
+		this.#missedRenewals.set(upstream, missedRenewals);
+		if (missedRenewals === maxMissedRenewals) {
+			this.#lossHandler?.();
 		}
 	}
 
 	async #reserve(part: HoldPart): Promise<Grant> {
 		try {
-			const isGranted = await this.#orders.reserve(part.address, this.name, part.tokens, lease);
+			const isGranted = await this.#engineControl.reserve(part.address, this.name, part.tokens, leaseMs);
 			return isGranted ? 'granted' : 'refused';
 		} catch (error) {
 			this.#log.write({
@@ -104,54 +104,56 @@
 	}
 
 	async #release(part: HoldPart): Promise<void> {
-		for (let tries = 0; tries < releaseTries; tries++) {
+		for (let attempt = 0; attempt < maxReleaseAttempts; attempt++) {
 			try {
-				await this.#orders.release(part.address, this.name);
+				await this.#engineControl.release(part.address, this.name);
 				return;
 			} catch (error) {
 				this.#log.write({
 					event: 'release-failed', hold: this.name, upstream: part.upstream, detail: messageOf(error),
 				}, 'warn');
 				await new Promise(resolve => {
-					setTimeout(resolve, releasePause);
+					setTimeout(resolve, releaseRetryDelayMs);
 				});
 			}
 		}
 	}
 }
 
-/** Makes holds with names that no other host uses. */
+/** Creates holds with names that are unique among all hosts. */
 export class Holds {
-	readonly #orders: Orders;
+	readonly #engineControl: EngineControl;
 	readonly #log: Pick<Log, 'write'>;
 	readonly #metrics: GatewayMetrics;
 	readonly #prefix: string;
-	#count = 0;
+	#holdCount = 0;
 
 	/**
-	 * @param orders - How engines are told.
-	 * @param log - Told of orders that failed.
-	 * @param metrics - Counts holds.
-	 * @param prefix - Begins the names of this process's holds; other than before a restart.
+	 * @param engineControl - Reserves and releases memory at engines.
+	 * @param log - Receives failures of reservations and releases.
+	 * @param metrics - Metrics that count holds.
+	 * @param prefix - Prefix of the names of this process's holds; must differ after a restart.
 	 */
-	constructor(orders: Orders, log: Log, metrics: GatewayMetrics, prefix: string) {
-		this.#orders = orders;
+	constructor(engineControl: EngineControl, log: Log, metrics: GatewayMetrics, prefix: string) {
+		this.#engineControl = engineControl;
 		this.#log = log;
 		this.#metrics = metrics;
 		this.#prefix = prefix;
 	}
 
 	/**
-	 * @param parts - Engines and the memory wanted of each.
+	 * @param parts - Engines and the memory to reserve at each.
 	 * @returns A hold that is not acquired yet.
 	 */
 	prepare(parts: readonly HoldPart[]): Hold {
-		this.#count++;
-		return new Hold(`${this.#prefix}.${this.#count}`, parts, this.#orders, this.#log);
+		this.#holdCount++;
+		return new Hold(`${this.#prefix}.${this.#holdCount}`, parts, this.#engineControl, this.#log);
 	}
 
 	/**
-	 * @param isGranted - Whether a hold was acquired.
+	 * Counts the result of acquiring a hold.
+	 *
+	 * @param isGranted - Whether all engines granted the memory.
 	 */
 	count(isGranted: boolean): void {
 		this.#metrics.holds.inc({result: isGranted ? 'granted' : 'refused'});
--- a/src/gateway/listening.ts
+++ b/src/gateway/listening.ts
@@ -3,22 +3,22 @@
 import {type Server} from 'node:http';
 import {type Address} from '../core/index.js';
 
-/** Connections that may wait to be accepted: a balancer sends those of a whole failure domain when its other hosts are gone. */
+/** Pending connections: a balancer sends here those of a whole failure domain when its other hosts have failed. */
 const backlog = 1024;
 
 /**
- * @param server - Server to open.
- * @param address - Where it listens.
+ * @param server - Server to start.
+ * @param address - Address to listen on.
  */
-export async function open(server: Server, {host, port}: Address): Promise<void> {
+export async function openServer(server: Server, {host, port}: Address): Promise<void> {
 	server.listen({port, host, backlog});
 	await once(server, 'listening');
 }
 
 /**
- * @param server - Server to close, with all its connections.
+ * @param server - Server to close together with all its connections.
  */
-export async function close(server: Server): Promise<void> {
+export async function closeServer(server: Server): Promise<void> {
 	const closed = once(server, 'close');
 	server.close();
 	server.closeAllConnections();
--- /dev/null
+++ b/src/gateway/platform-adapter.ts
@@ -0,0 +1,71 @@
+/** Interfaces that adapt the gateway to a platform: the headers of its callers and upstreams, and the control of its engines. */
+import {type IncomingHttpHeaders} from 'node:http';
+import {type Address} from '../core/index.js';
+import {type Prompt} from '../core/gateway/types.js';
+
+/** Metadata of a caller's request. */
+export type RequestMetadata = {
+	readonly id: string;
+	/** Milliseconds that the caller will wait, if stated. */
+	readonly timeout?: number;
+	/** API key. */
+	readonly key?: string;
+	readonly prompt?: Prompt;
+	/** Last event that the caller has received of a stream that it resumes. */
+	readonly lastEventId?: string;
+};
+
+/** An engine that takes over a part of the prefill, and the hold that reserves its memory. */
+export type Helper = {
+	readonly address: Address;
+	readonly hold?: string;
+};
+
+/** Metadata that the gateway adds to a request for the upstream. */
+export type ForwardingMetadata = {
+	/** Milliseconds until the deadline. */
+	readonly left: number;
+	/** Id of the intended upstream; any other one refuses the request. */
+	readonly upstream: string;
+	readonly organisation?: string;
+	/** 0 is the most urgent; undefined for plain services. */
+	readonly urgency?: number;
+	readonly helpers: readonly Helper[];
+	readonly lastEventId?: string;
+};
+
+/** Metadata in the head of an upstream's response. */
+export type ResponseMetadata = {
+	/** Id of the request that is answered. */
+	readonly request?: string;
+	/** Whether the upstream signed the response as its own. */
+	readonly isSigned: boolean;
+	/** Whether the upstream states that it did not run the request. */
+	readonly isNotRun: boolean;
+	/** Whether another upstream than the intended one responded. */
+	readonly isMisdirected: boolean;
+	/** Address of the helper engine at fault, if the response names one. */
+	readonly culprit?: string;
+};
+
+/** Reads and writes the headers of callers and upstreams. */
+export type HeaderFormat = {
+	/** @returns Metadata of the request; undefined if it has no id. */
+	readonly parseRequest: (headers: IncomingHttpHeaders) => RequestMetadata | undefined;
+	/** @returns Alternating names and values of the headers for the upstream. */
+	readonly formatUpstreamHeaders: (raw: readonly string[], metadata: ForwardingMetadata) => readonly string[];
+	readonly parseResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
+};
+
+/** Reserves and releases KV memory at engines. */
+export type EngineControl = {
+	/**
+	 * @param address - Address of the engine.
+	 * @param hold - Name of the hold; renewed if the engine already has it.
+	 * @param tokens - Memory to reserve.
+	 * @param lease - Milliseconds until the engine frees the memory unless the hold is renewed.
+	 * @returns Whether the engine has reserved the memory.
+	 */
+	readonly reserve: (address: Address, hold: string, tokens: number, lease: number) => Promise<boolean>;
+	readonly release: (address: Address, hold: string) => Promise<void>;
+};
--- /dev/null
+++ b/src/gateway/rerouter.ts
@@ -0,0 +1,75 @@
+/** Reroutes a running stream to another engine when staying would cost its caller clearly more. */
+import {isWorthMoving} from '../core/gateway/moves.js';
+import {type Place} from '../core/gateway/placement.js';
+import {type Tries} from '../core/gateway/tries.js';
+import {type Demand} from '../core/gateway/types.js';
+import {type Attempt} from './attempt.js';
+import {type Gateway} from './gateway.js';
+import {type RequestTrace} from './trace.js';
+
+/** A stream that is running at an engine. */
+export type RunningStream = {
+	readonly job: string;
+	readonly place: Place;
+	readonly attempt: Attempt;
+	/** Returns the current demand of the request. */
+	readonly demand: () => Demand;
+};
+
+export class Rerouter {
+	readonly #gateway: Gateway;
+	readonly #attempts: Tries;
+	readonly #trace: RequestTrace;
+
+	/**
+	 * @param gateway - Gateway that places the request.
+	 * @param attempts - Attempts of the request.
+	 * @param trace - Records rerouting.
+	 */
+	constructor(gateway: Gateway, attempts: Tries, trace: RequestTrace) {
+		this.#gateway = gateway;
+		this.#attempts = attempts;
+		this.#trace = trace;
+	}
+
+	/**
+	 * Reconsiders the placement of a stream whenever load updates suggest that another engine may be better.
+	 *
+	 * @param stream - The stream.
+	 */
+	watch(stream: RunningStream): void {
+		this.#gateway.loadUpdates.watch(stream.job, {
+			met: () => {
+				const assessment = this.#gateway.reconsider(stream.demand(), stream.place, stream.job, this.#attempts.eligibility);
+				this.#rerouteIfWorthwhile(stream, assessment?.staying ?? 0, assessment?.best);
+			},
+			disturbed: loss => {
+				this.#considerDisturbance(stream, loss);
+			},
+		});
+	}
+
+	/** Reroutes the stream if that loses clearly less than waiting for the prefill of a new job at its engine. */
+	#considerDisturbance(stream: RunningStream, staying: number): void {
+		const demand = stream.demand();
+		if (demand.pause === undefined || this.#trace.longestPause > demand.pause || demand.isBegun !== true) {
+			return;
+		}
+
+		const placement = this.#gateway.place(demand, this.#attempts.eligibility);
+		if (placement?.helpers.length === 0) {
+			this.#rerouteIfWorthwhile(stream, staying, placement);
+		}
+	}
+
+	#rerouteIfWorthwhile({attempt, demand}: RunningStream, staying: number, placement: Place | undefined): void {
+		if (placement === undefined || attempt.cancelled !== undefined || !isWorthMoving(staying, placement.loss)) {
+			return;
+		}
+
+		if (this.#gateway.mayRetry(demand().service)) {
+			this.#trace.write('moving', {to: placement.upstream.id, loss: Number(placement.loss.toFixed(3)), staying: Number(staying.toFixed(3))});
+			attempt.cancel('moved');
+		}
+	}
+}
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -1,32 +1,32 @@
-/** Listens to callers, and tells the balancer whether this host takes them. */
+/** HTTP servers for callers, and for the balancer's readiness checks. */
 import {createServer, type Server} from 'node:http';
 import {messageOf, type Address} from '../core/index.js';
 import {Exchange} from './exchange.js';
-import {type Parts} from './parts.js';
-import {close, open} from './listening.js';
+import {type GatewayServices} from './services.js';
+import {closeServer, openServer} from './listening.js';
 
-/** Bytes of headers taken: four times what configurations allow callers so far. */
-const headerBytes = 65_536;
+/** Four times the limit that configurations set for callers. */
+const maxHeaderBytes = 65_536;
 
-/** Milliseconds that a whole request may take to arrive. */
-const requestTimeout = 30_000;
+/** Time for a request to arrive completely. */
+const requestTimeoutMs = 30_000;
 
 export class CallerListener implements AsyncDisposable {
 	readonly #server: Server;
 	#running = 0;
 
 	/**
-	 * @param parts - What exchanges share.
+	 * @param services - Services shared by all requests.
 	 */
-	constructor(parts: Parts) {
-		this.#server = createServer({maxHeaderSize: headerBytes, requestTimeout, keepAlive: true}, (incoming, outgoing) => {
+	constructor(services: GatewayServices) {
+		this.#server = createServer({maxHeaderSize: maxHeaderBytes, requestTimeout: requestTimeoutMs, keepAlive: true}, (incoming, outgoing) => {
 			this.#running++;
-			const exchange = new Exchange(parts, incoming, outgoing);
+			const exchange = new Exchange(services, incoming, outgoing);
 			void (async () => {
 				try {
 					await exchange.run();
 				} catch (error) {
-					parts.log.write({event: 'exchange-failed', detail: messageOf(error), stack: error instanceof Error ? error.stack : undefined}, 'error');
+					services.log.write({event: 'exchange-failed', detail: messageOf(error), stack: error instanceof Error ? error.stack : undefined}, 'error');
 					outgoing.destroy();
 				} finally {
 					this.#running--;
@@ -34,23 +34,23 @@
 			})();
 		});
 		this.#server.on('clientError', (error, socket) => {
-			// A caller that breaks off, or sends what is no HTTP, gets no answer that could be taken for a request's.
-			parts.log.write({event: 'caller-error', detail: error.message}, 'warn');
+			// A caller that disconnects or sends invalid HTTP gets no response, as it could be mistaken for the response to a request.
+			services.log.write({event: 'caller-error', detail: error.message}, 'warn');
 			socket.destroy();
 		});
 	}
 
-	/** Requests that are not answered. */
+	/** Number of requests in progress. */
 	get running(): number {
 		return this.#running;
 	}
 
-	/** Closes connections on which nothing runs. */
+	/** Closes connections without a request in progress. */
 	closeIdle(): void {
 		this.#server.closeIdleConnections();
 	}
 
-	/** Takes no new connections; those that are open are served on. */
+	/** Stops accepting connections; open ones are still served. */
 	refuse(): void {
 		this.#server.close();
 	}
@@ -59,24 +59,24 @@
 	 * @param address - Where to listen.
 	 */
 	async listen(address: Address): Promise<void> {
-		await open(this.#server, address);
+		await openServer(this.#server, address);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		if (this.#server.listening) {
-			await close(this.#server);
+			await closeServer(this.#server);
 		} else {
 			this.#server.closeAllConnections();
 		}
 	}
 }
 
-/** Answers the balancer. */
+/** Answers the balancer's readiness checks. */
 export class ReadyListener implements AsyncDisposable {
 	readonly #server: Server;
 
 	/**
-	 * @param isReady - Whether this host takes callers now.
+	 * @param isReady - Whether this host accepts callers now.
 	 */
 	constructor(isReady: () => boolean) {
 		this.#server = createServer((incoming, outgoing) => {
@@ -89,10 +89,10 @@
 	 * @param address - Where to listen.
 	 */
 	async listen(address: Address): Promise<void> {
-		await open(this.#server, address);
+		await openServer(this.#server, address);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		await close(this.#server);
+		await closeServer(this.#server);
 	}
 }
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -1,7 +1,7 @@
-/** Settings of the gateway: one JSON file, validated. Times are in milliseconds, sizes in bytes. */
+/** Schema of the gateway's settings file (JSON). Times are in milliseconds. */
 import {z} from 'zod';
 
-const place = z.string().regex(/^[^:]+:\d+$/v, 'host:port is wanted').transform(text => {
+const addressSchema = z.string().regex(/^[^:]+:\d+$/v, 'must be host:port').transform(text => {
 	const at = text.lastIndexOf(':');
 	return {host: text.slice(0, at), port: Number(text.slice(at + 1))};
 });
@@ -11,28 +11,28 @@
 	/** Name of this host, unique in the fleet. */
 	host: z.string().min(1),
 	failureDomain: z.string().min(1),
-	/** Where callers connect. */
-	caller: place,
-	/** Where the balancer asks whether this host takes callers; may be the same as `caller`. */
-	ready: place,
-	/** Where other hosts connect. */
-	peer: place,
-	/** Where metrics are read as text; none if absent. */
-	metrics: place.optional(),
-	/** Processor time of this host: cores, and the share of each that it may use. Hosts with more relay for the others. */
+	/** Address for callers. */
+	caller: addressSchema,
+	/** Address for the balancer's readiness checks; may be the same as `caller`. */
+	ready: addressSchema,
+	/** Address for other hosts. */
+	peer: addressSchema,
+	/** Address that serves metrics as text; not served if absent. */
+	metrics: addressSchema.optional(),
+	/** Processor capacity of this host: cores, and the share of each that it may use. Hosts with more capacity become relays. */
 	processor: z.object({cores: z.number().positive(), share: z.number().positive()}).readonly().default({cores: 1, share: 1}),
-	/** Peers to begin with. */
-	seeds: z.array(place).readonly().default([]),
-	/** The platform's store. */
-	store: place,
+	/** Addresses of the first peers to contact. */
+	seeds: z.array(addressSchema).readonly().default([]),
+	/** Address of the platform's store. */
+	store: addressSchema,
 	/** Time from SIGTERM until the process is killed. */
 	grace: milliseconds.default(8000),
-	/** Time after which an organisation's key must have stopped working once it was taken away; 0 where that is not asked. */
+	/** Time within which a revoked key of an organisation must stop working; 0 if there is no such requirement. */
 	revocation: z.number().nonnegative().default(5000),
-	/** Bounds of the system for a change of configuration and for an upstream that leaves. */
+	/** Time within which a change of the configuration must take effect, and within which a leaving upstream must no longer be used. */
 	configurationDelay: milliseconds.default(2000),
 	drainDelay: milliseconds.default(2000),
-	/** Retries over all hosts: a share of requests and an allowance within a window. */
+	/** Retry budget of all hosts together: a share of the requests within a window, plus an allowance per window. */
 	retries: z.object({
 		ratio: z.number().min(0).default(0.2),
 		window: milliseconds.default(10_000),
--- a/src/gateway/suspension.ts
+++ b/src/gateway/suspension.ts
@@ -1,20 +1,20 @@
-/** Notices that this host stood still: the monotonic clock stops while it is suspended, the time of day goes on. */
+/** Detects that this host was suspended: the monotonic clock stops during a suspension, the wall clock continues. */
 import {type Clock} from '../entry/clock.js';
 import {type Log} from '../entry/logs.js';
 
-/** Milliseconds between comparisons of the two clocks. */
-const lookInterval = 250;
+/** How often to compare the two clocks. */
+const checkIntervalMs = 250;
 
-/** Milliseconds by which the clocks may drift apart between two comparisons. */
-const tolerance = 200;
+/** Drift of the clocks between two comparisons that isn't logged. */
+const toleranceMs = 200;
 
-export class SuspensionWatch implements Disposable {
+export class SuspensionDetector implements Disposable {
 	readonly #timer: NodeJS.Timeout;
 	#offset: number;
 
 	/**
-	 * @param clock - Both clocks.
-	 * @param log - Told of each gap: a suspension, or a step of the time of day.
+	 * @param clock - Monotonic and wall clock.
+	 * @param log - Receives each gap: a suspension, or a step of the wall clock.
 	 */
 	constructor(clock: Clock, log: Pick<Log, 'write'>) {
 		this.#offset = clock.wall() - clock.now();
@@ -22,10 +22,10 @@
 			const offset = clock.wall() - clock.now();
 			const gap = offset - this.#offset;
 			this.#offset = offset;
-			if (Math.abs(gap) > tolerance) {
+			if (Math.abs(gap) > toleranceMs) {
 				log.write({event: 'clock-gap', gap: Math.round(gap)}, 'warn');
 			}
-		}, lookInterval);
+		}, checkIntervalMs);
 	}
 
 	[Symbol.dispose](): void {
--- a/src/gateway/trace.ts
+++ b/src/gateway/trace.ts
@@ -1,71 +1,71 @@
-/** What is told of one request in the log and the metrics. */
+/** Records the course of one request in the log and the metrics. */
 import {messageOf} from '../core/index.js';
 import {type Tries} from '../core/gateway/tries.js';
 import {type Route} from '../core/gateway/types.js';
-import {type CallerFacts} from './dialect.js';
-import {lengthClass} from './metrics.js';
-import {type Parts} from './parts.js';
+import {type RequestMetadata} from './platform-adapter.js';
+import {classifyLength} from './metrics.js';
+import {type GatewayServices} from './services.js';
 
 /** Times are in milliseconds. */
-export class Trace {
-	/** When the head of the request came, on the monotonic clock. */
+export class RequestTrace {
+	/** When the head of the request arrived, on the monotonic clock. */
 	readonly arrived: number;
-	facts: CallerFacts | undefined;
+	metadata: RequestMetadata | undefined;
 	route: Route | undefined;
 	service = 'none';
-	tries: Tries | undefined;
-	readonly #parts: Parts;
-	#firstByte: number | undefined;
-	#lastHeard: number | undefined;
+	attempts: Tries | undefined;
+	readonly #services: GatewayServices;
+	#firstByteAt: number | undefined;
+	#lastEventAt: number | undefined;
 	#longestPause = 0;
 	#isFinished = false;
 
 	/**
-	 * @param parts - Log, metrics and clock.
+	 * @param services - Services shared by all requests.
 	 */
-	constructor(parts: Parts) {
-		this.#parts = parts;
-		this.arrived = parts.clock.now();
+	constructor(services: GatewayServices) {
+		this.#services = services;
+		this.arrived = services.clock.now();
 	}
 
-	/** When the last events of a stream came, on the monotonic clock. */
-	get lastHeard(): number | undefined {
-		return this.#lastHeard;
+	/** When the last events of a stream arrived, on the monotonic clock. */
+	get lastEventAt(): number | undefined {
+		return this.#lastEventAt;
 	}
 
-	/** The longest time between two events so far. */
+	/** Longest time between two events until now. */
 	get longestPause(): number {
 		return this.#longestPause;
 	}
 
-	/** The first byte of an answer has come. */
+	/** Notes that the first byte of an answer has arrived. */
 	noteFirstByte(): void {
-		this.#firstByte ??= this.#parts.clock.now();
+		this.#firstByteAt ??= this.#services.clock.now();
 	}
 
-	/** Events of a stream have come. */
+	/** Notes that events of a stream have arrived. */
 	noteEvents(): void {
-		const now = this.#parts.clock.now();
-		this.#longestPause = Math.max(this.#longestPause, now - (this.#lastHeard ?? now));
-		this.#lastHeard = now;
+		const now = this.#services.clock.now();
+		this.#longestPause = Math.max(this.#longestPause, now - (this.#lastEventAt ?? now));
+		this.#lastEventAt = now;
 	}
 
 	/**
-	 * @param event - What happened.
-	 * @param fields - Inputs that decided it and how it ended.
+	 * @param event - Name of the event.
+	 * @param fields - Inputs and result of the decision.
 	 */
 	write(event: string, fields: Readonly<Record<string, unknown>>): void {
 		try {
-			this.#parts.log.write({event, request: this.facts?.id, ...fields});
+			this.#services.log.write({event, request: this.metadata?.id, ...fields});
 		} catch (error) {
-			this.#parts.log.write({event: 'log-failed', detail: messageOf(error)}, 'error');
+			this.#services.log.write({event: 'log-failed', detail: messageOf(error)}, 'error');
 		}
 	}
 
 	/**
-	 * The request is over; what comes after its first end, as a caller that leaves a stream that was broken off, is no news.
+	 * Records the end of the request. Later calls are ignored, for example when a caller leaves after its stream was broken off.
 	 *
-	 * @param outcome - How it ended.
+	 * @param outcome - How the request ended.
 	 */
 	finish(outcome: string): void {
 		if (this.#isFinished) {
@@ -73,24 +73,24 @@
 		}
 
 		this.#isFinished = true;
-		const {metrics, clock, gateway} = this.#parts;
+		const {metrics, clock, gateway} = this.#services;
 		const now = clock.now();
-		const labels = {service: this.service, length: lengthClass(this.facts?.prompt?.tokens)};
+		const labels = {service: this.service, length: classifyLength(this.metadata?.prompt?.tokens)};
 		metrics.requests.inc({
 			service: labels.service, kind: this.route?.kind ?? 'none', length: labels.length, outcome,
 		});
 		metrics.total.observe(labels, now - this.arrived);
-		if (this.#firstByte !== undefined) {
-			metrics.firstByte.observe(labels, this.#firstByte - this.arrived);
+		if (this.#firstByteAt !== undefined) {
+			metrics.firstByte.observe(labels, this.#firstByteAt - this.arrived);
 		}
 
 		this.write('ended', {
 			outcome,
 			route: this.route?.name,
-			attempts: this.tries?.sent ?? 0,
-			firstByte: this.#firstByte === undefined ? undefined : Math.round(this.#firstByte - this.arrived),
-			longestPause: this.#lastHeard === undefined ? undefined : Math.round(this.#longestPause),
-			silentFor: Math.round(now - (this.#lastHeard ?? this.arrived)),
+			attempts: this.attempts?.sent ?? 0,
+			firstByte: this.#firstByteAt === undefined ? undefined : Math.round(this.#firstByteAt - this.arrived),
+			longestPause: this.#lastEventAt === undefined ? undefined : Math.round(this.#longestPause),
+			silentFor: Math.round(now - (this.#lastEventAt ?? this.arrived)),
 			objective: this.route?.objective,
 			pause: this.route?.pause,
 			took: Math.round(now - this.arrived),
