--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -49,8 +49,8 @@
 }
 
 /** Returns why a response can't be accepted as that of this request, or undefined. */
-function findMismatch(id: string, status: number, facts: ResponseMetadata, reply: IncomingMessage): string | undefined {
-	if (facts.request !== undefined && facts.request !== id) {
+function findMismatch(id: string, status: number, metadata: ResponseMetadata, reply: IncomingMessage): string | undefined {
+	if (metadata.request !== undefined && metadata.request !== id) {
 		return 'answer of another request';
 	}
 
@@ -58,7 +58,7 @@
 		return 'encoded answer';
 	}
 
-	return status >= 200 && status < 300 && !facts.isSigned ? 'unsigned answer' : undefined;
+	return status >= 200 && status < 300 && !metadata.isSigned ? 'unsigned answer' : undefined;
 }
 
 /** Whether the response's length or encoding marks the end of its body. */
@@ -175,8 +175,8 @@
 
 	#readHead(body: IncomingMessage): Reply | Ended {
 		const status = body.statusCode ?? 0;
-		const facts = this.#headerFormat.parseResponse(status, body.headers);
-		const mismatch = findMismatch(this.#request.id, status, facts, body);
+		const metadata = this.#headerFormat.parseResponse(status, body.headers);
+		const mismatch = findMismatch(this.#request.id, status, metadata, body);
 		if (mismatch !== undefined) {
 			this.#outgoing.destroy();
 			return createEnded({type: 'unknown', reason: mismatch});
@@ -193,7 +193,7 @@
 			type: 'reply',
 			status,
 			raw: body.rawHeaders,
-			facts,
+			facts: metadata,
 			body,
 			// Node.js reports a body without a length as complete even if its connection was reset.
 			isWhole: async () => {
--- a/src/gateway/caller-response.ts
+++ b/src/gateway/caller-response.ts
@@ -212,7 +212,7 @@
 		this.#outgoing.end(bytes);
 	}
 
-	/** Replaces an answer that would claim "not run" where that isn't known, and the reverse for a deadline. */
+	/** Returns an answer that claims only what is known: that the request has not run only if no attempt may have run it. */
 	#toProvenAnswer(name: AnswerName): AnswerName {
 		if (this.#mayHaveRun) {
 			return name === 'deadlinePassed' ? name : 'outcomeUnknown';
--- a/src/gateway/daemon.ts
+++ b/src/gateway/daemon.ts
@@ -17,8 +17,8 @@
 const balancerLagMs = 2600;
 
 /**
- * Requests are refused from this time after the stop signal: the balancer has noticed by then, and a request accepted later may still
- * be running when the process is killed. Without it, callers on keep-alive connections went on for 9 s.
+ * Requests that arrive later than this after the stop signal are refused: the balancer has noticed by then, and a request accepted later
+ * may still be running when the process is killed. Without it, callers on keep-alive connections went on sending for 9 s.
  */
 const acceptWindowMs = 2600;
 
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -70,7 +70,7 @@
 
 		for (;;) {
 			await gateway.loadUpdates.refresh();
-			// The deadline's timer can't fire while this loop runs without waiting, or before it after a stall of the process.
+			// The deadline's timer may not have fired yet: after a stall of the process, or while this loop repeats without waiting.
 			if (this.#isOver || this.#request.demand.deadline <= clock.now()) {
 				this.#callerResponse.conclude('deadlinePassed', this.#stopReason);
 				return;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** Holds the state of a gateway: configuration, upstreams, load and peers, and makes decisions based on it. */
+/** State of a gateway (configuration, upstreams, load, peers) and the decisions based on it. */
 import {assertNever} from '../core/index.js';
 import {absenceOf, type AbsenceReason} from '../core/gateway/absences.js';
 import {Directory} from '../core/gateway/directory.js';
@@ -145,7 +145,7 @@
 	}
 
 	/**
-	 * Puts a configuration in force unless it is older than the current one.
+	 * Puts a configuration in force if its version is newer than the current one.
 	 *
 	 * @param configuration - Configuration that was read.
 	 */
@@ -178,7 +178,7 @@
 	 * @param age - Milliseconds since the peer's state was known to be current.
 	 */
 	takeState(peer: string, state: PeerState, age: number): void {
-		// Peers send a newer configuration before the state that refers to it. Without it, the state confirms a configuration unknown here.
+		// Peers send a newer configuration before the state that refers to it. Without it, the state confirms nothing that is known here.
 		if (state.version > (this.#directory?.configuration.version ?? 0)) {
 			return;
 		}
@@ -237,7 +237,7 @@
 	 *
 	 * @param demand - Demand of the request.
 	 * @param placement - Placement of the request.
-	 * @param placing - Whether this is the request's first attempt, a retry or the successor of failed connections.
+	 * @param placing - Whether the request is sent for the first time, after failed connections only, or as a retry.
 	 * @returns The job.
 	 */
 	beginJob(demand: Demand, placement: Place, placing: Placing): Job {
--- a/src/gateway/holds.ts
+++ b/src/gateway/holds.ts
@@ -5,8 +5,8 @@
 import {type GatewayMetrics} from './metrics.js';
 
 /**
- * Engines free the memory after one lease at the latest if this host dies. The longest engine iteration is under 2 s, and a lost renewal
- * is repeated twice within the lease.
+ * If this host dies, engines free the memory after one lease at the latest. The lease outlasts the longest engine iteration, which is
+ * under 2 s, and leaves time to repeat a lost renewal twice.
  */
 const leaseMs = 3600;
 const renewalIntervalMs = 1100;
--- a/src/gateway/rerouter.ts
+++ b/src/gateway/rerouter.ts
@@ -49,7 +49,12 @@
 		});
 	}
 
-	/** Reroutes the stream if that loses clearly less than waiting for the prefill of a new job at its engine. */
+	/**
+	 * Reroutes the stream if that loses clearly less than waiting for the prefill of a new job at its engine.
+	 *
+	 * @param stream - The stream.
+	 * @param staying - Expected loss of staying.
+	 */
 	#considerDisturbance(stream: RunningStream, staying: number): void {
 		const demand = stream.demand();
 		if (demand.pause === undefined || this.#trace.longestPause > demand.pause || demand.isBegun !== true) {
