--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -296,13 +296,13 @@
 			return 0;
 		}
 
-		const {pass, readers} = this.load.forecast(upstream, model, this.#clock.now());
+		const {pass: iterationTime, readers} = this.load.forecast(upstream, model, this.#clock.now());
 		let prefill = 0;
 		for (const job of readers) {
 			prefill += job.readPerPass;
 		}
 
-		return pass + prefill;
+		return iterationTime + prefill;
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
