--- a/src/core/features/circuits/commands.ts
+++ b/src/core/features/circuits/commands.ts
@@ -3,16 +3,16 @@
 import {type State} from '../../types/state.js';
 import {trim} from '../../utils/bounded.js';
 import {codes} from '../../errors.js';
-import {failuresToOpen, type Circuit} from './types.js';
+import {failureThreshold, type Circuit} from './types.js';
 
 /** Time a circuit stays open at first and at most, in milliseconds; it doubles with each failure. */
-const shortest = 500;
-const longest = 20_000;
-const mostCircuits = 1024;
+const minOpenMs = 500;
+const maxOpenMs = 20_000;
+const maxCircuits = 1024;
 
-function put(state: State, upstream: string, circuit: Circuit): State {
+function setCircuit(state: State, upstream: string, circuit: Circuit): State {
 	const circuits = state.circuits.circuits.set(upstream, circuit);
-	return {...state, circuits: {circuits: trim(circuits, mostCircuits, each => each.openUntil)}};
+	return {...state, circuits: {circuits: trim(circuits, maxCircuits, each => each.openUntil)}};
 }
 
 /**
@@ -49,9 +49,9 @@
  */
 export function countFailure(state: State, upstream: string, now: number): State {
 	const failures = (state.circuits.circuits.get(upstream)?.failures ?? 0) + 1;
-	const doublings = Math.max(failures - failuresToOpen, 0);
-	const pause = Math.min(shortest * (2 ** doublings), longest);
-	return put(state, upstream, {failures, openUntil: now + pause});
+	const doublings = Math.max(failures - failureThreshold, 0);
+	const openDuration = Math.min(minOpenMs * (2 ** doublings), maxOpenMs);
+	return setCircuit(state, upstream, {failures, openUntil: now + openDuration});
 }
 
 /**
@@ -59,7 +59,7 @@
  * @param upstream - Upstream that answered.
  * @returns The next state.
  */
-export function close(state: State, upstream: string): State {
+export function closeCircuit(state: State, upstream: string): State {
 	return state.circuits.circuits.has(upstream)
 		? {...state, circuits: {circuits: state.circuits.circuits.delete(upstream)}}
 		: state;
--- a/src/core/features/circuits/feature.ts
+++ b/src/core/features/circuits/feature.ts
@@ -1,7 +1,7 @@
 /** A circuit for each upstream. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {close, countFailure, isUpstreamFailure} from './commands.js';
+import {closeCircuit, countFailure, isUpstreamFailure} from './commands.js';
 
 export const circuitsFeature: Feature = {
 	name: 'circuits',
@@ -13,11 +13,11 @@
 					return only(countFailure(state, attempt.upstream, now));
 				}
 
-				return only(ending.type === 'done' ? close(state, attempt.upstream) : state);
+				return only(ending.type === 'done' ? closeCircuit(state, attempt.upstream) : state);
 			}
 
 			case 'upstream-restarted': {
-				return only(close(state, event.upstream));
+				return only(closeCircuit(state, event.upstream));
 			}
 
 			default: {
--- a/src/core/features/circuits/queries.ts
+++ b/src/core/features/circuits/queries.ts
@@ -1,7 +1,7 @@
 /** Reads circuits. */
 import {type State} from '../../types/state.js';
 import {view} from '../upstreams/queries.js';
-import {failuresToOpen} from './types.js';
+import {failureThreshold} from './types.js';
 
 /**
  * @param state - Core state.
@@ -9,9 +9,9 @@
  * @param now - Time in milliseconds.
  * @returns Whether an attempt may be sent: always while closed, never while open, one at a time after that.
  */
-export function isClosed(state: State, upstream: string, now: number): boolean {
+export function canAttempt(state: State, upstream: string, now: number): boolean {
 	const circuit = state.circuits.circuits.get(upstream);
-	if (circuit === undefined || circuit.failures < failuresToOpen) {
+	if (circuit === undefined || circuit.failures < failureThreshold) {
 		return true;
 	}
 
--- a/src/core/features/circuits/types.ts
+++ b/src/core/features/circuits/types.ts
@@ -16,4 +16,4 @@
 export const initialCircuits: CircuitsState = {circuits: Table()};
 
 /** Failures in a row that open a circuit. */
-export const failuresToOpen = 3;
+export const failureThreshold = 3;
--- a/src/core/features/groups/commands/release.ts
+++ b/src/core/features/groups/commands/release.ts
@@ -1,10 +1,10 @@
 /** Gives holds back; the holds feature asks each engine until it confirms. */
 import {type State, type Step} from '../../../types/state.js';
 import {only} from '../../../utils/common.js';
-import {type Group, type Part} from '../types.js';
+import {type Group, type GroupPart} from '../types.js';
 
 /** Parts that may be held: all that were ever asked for. */
-function askedFor({parts, progress}: Group): readonly Part[] {
+function getRequestedParts({parts, progress}: Group): readonly GroupPart[] {
 	return progress.type === 'held' ? parts : parts.slice(0, progress.index + 1);
 }
 
@@ -14,7 +14,7 @@
  * @param reason - Why, for the log.
  * @returns The releases.
  */
-export function giveBack(state: State, holds: ReadonlyArray<Pick<Part, 'hold' | 'upstream'>>, reason: string): Step {
+export function releaseHolds(state: State, holds: ReadonlyArray<Pick<GroupPart, 'hold' | 'upstream'>>, reason: string): Step {
 	return {
 		state,
 		effects: holds.flatMap(({hold, upstream}) => [
@@ -34,12 +34,12 @@
  * @param reason - Why, for the log.
  * @returns The next state, with every hold given back.
  */
-export function dissolve(state: State, request: string, reason: string): Step {
+export function dissolveGroup(state: State, request: string, reason: string): Step {
 	const group = state.groups.groups.get(request);
 	if (group === undefined) {
 		return only(state);
 	}
 
-	const left = {...state, groups: {...state.groups, groups: state.groups.groups.delete(request)}};
-	return giveBack(left, askedFor(group), reason);
+	const remaining = {...state, groups: {...state.groups, groups: state.groups.groups.delete(request)}};
+	return releaseHolds(remaining, getRequestedParts(group), reason);
 }
--- a/src/core/features/groups/commands/seek.ts
+++ b/src/core/features/groups/commands/reserve.ts
@@ -5,34 +5,34 @@
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {chain, only} from '../../../utils/common.js';
 import {upstream as configured} from '../../configuration/queries.js';
-import {groupOf, planGroup} from '../queries.js';
-import {type Group, type Part} from '../types.js';
-import {dissolve, giveBack} from './release.js';
+import {findGroupByHold, planGroup} from '../queries.js';
+import {type Group, type GroupPart} from '../types.js';
+import {dissolveGroup, releaseHolds} from './release.js';
 
 /** Longest wait for one engine while others are held, in milliseconds. */
-const longestWait = 10_000;
+const maxWaitMs = 10_000;
 /** Time after which a refused hold is asked for again, in milliseconds. */
-const askInterval = 200;
+const retryIntervalMs = 200;
 /** After a failure the service waits up to this long, drawn at random so that two hosts do not keep meeting, in milliseconds. */
-const longestPause = 1000;
+const maxBackoffMs = 1000;
 /**
  * Memory is held on a lease that its owner renews, in milliseconds: when the owner dies, others give it back once the lease is
  * over, however long its request had.
  */
-const leaseTime = 10_000;
-const renewalInterval = 3000;
+const leaseDurationMs = 10_000;
+const renewalIntervalMs = 3000;
 
-function put(state: State, group: Group): State {
+function setGroup(state: State, group: Group): State {
 	return {...state, groups: {...state.groups, groups: state.groups.groups.set(group.request.id, group)}};
 }
 
-function ask(state: State, group: Group, context: Context): readonly Effect[] {
-	return group.progress.type === 'asking' ? lease(state, group.parts[group.progress.index]!, context) : [];
+function requestCurrentPart(state: State, group: Group, context: Context): readonly Effect[] {
+	return group.progress.type === 'asking' ? requestLease(state, group.parts[group.progress.index]!, context) : [];
 }
 
-function lease(state: State, {hold, upstream, tokens}: Part, {wall}: Context): readonly Effect[] {
+function requestLease(state: State, {hold, upstream, tokens}: GroupPart, {wall}: Context): readonly Effect[] {
 	const address = configured(state, upstream)?.address;
-	const deadline = wall + leaseTime;
+	const deadline = wall + leaseDurationMs;
 	return address === undefined
 		? []
 		: [{
@@ -40,17 +40,17 @@
 		}];
 }
 
-function askFor(state: State, group: Group, index: number, context: Context): Step {
+function requestPart(state: State, group: Group, index: number, context: Context): Step {
 	const next: Group = {...group, progress: {type: 'asking', index, since: context.now}};
-	return {state: put(state, next), effects: ask(state, next, context)};
+	return {state: setGroup(state, next), effects: requestCurrentPart(state, next, context)};
 }
 
-function fail(state: State, request: Request, context: Context, reason: string): Step {
-	const until = context.now + context.random.integer(askInterval, longestPause);
-	const pauses = state.groups.pauses.set(request.service, until);
+function failGroup(state: State, request: Request, context: Context, reason: string): Step {
+	const until = context.now + context.random.integer(retryIntervalMs, maxBackoffMs);
+	const backoffDeadlines = state.groups.backoffDeadlines.set(request.service, until);
 	return chain(
-		{...state, groups: {...state.groups, pauses}},
-		current => dissolve(current, request.id, reason),
+		{...state, groups: {...state.groups, backoffDeadlines}},
+		current => dissolveGroup(current, request.id, reason),
 		current => ({state: current, effects: [{type: 'raise', event: {type: 'group-failed', request}}]}),
 	);
 }
@@ -61,26 +61,26 @@
  * @param context - Time and random source.
  * @returns The next state; the first engine is asked.
  */
-export function form(state: State, request: Request, context: Context): Step {
+export function formGroup(state: State, request: Request, context: Context): Step {
 	const parts = planGroup(state, request, context);
-	const counted = {...state, groups: {...state.groups, tried: state.groups.tried + 1}};
+	const counted = {...state, groups: {...state.groups, attempts: state.groups.attempts + 1}};
 	return parts === undefined
-		? fail(counted, request, context, 'too few engines')
-		: askFor(counted, {
+		? failGroup(counted, request, context, 'too few engines')
+		: requestPart(counted, {
 			request, parts, progress: {type: 'asking', index: 0, since: context.now}, renewedAt: context.now,
 		}, 0, context);
 }
 
-function granted(state: State, group: Group, index: number, context: Context): Step {
+function handleGrant(state: State, group: Group, index: number, context: Context): Step {
 	if (index + 1 < group.parts.length) {
-		return askFor(state, group, index + 1, context);
+		return requestPart(state, group, index + 1, context);
 	}
 
 	const segments = group.parts.map(({upstream, hold, from, to}) => ({
 		upstream, hold, from, to,
 	}));
 	return {
-		state: put(state, {...group, progress: {type: 'held'}}),
+		state: setGroup(state, {...group, progress: {type: 'held'}}),
 		effects: [
 			{
 				type: 'log', decision: {
@@ -98,10 +98,10 @@
  * @param context - Time and random source.
  * @returns The next state; memory granted to nobody is given back.
  */
-export function hear(state: State, event: EventOf<'hold-answered'>, context: Context): Step {
-	const group = groupOf(state, event.hold);
+export function handleHoldAnswer(state: State, event: EventOf<'hold-answered'>, context: Context): Step {
+	const group = findGroupByHold(state, event.hold);
 	if (group === undefined) {
-		return event.granted ? giveBack(state, [event], 'wanted no longer') : only(state);
+		return event.granted ? releaseHolds(state, [event], 'wanted no longer') : only(state);
 	}
 
 	const {progress} = group;
@@ -110,43 +110,43 @@
 	}
 
 	return event.granted
-		? granted(state, group, progress.index, context)
-		: only(put(state, {...group, progress: {...progress, again: context.now + askInterval}}));
+		? handleGrant(state, group, progress.index, context)
+		: only(setGroup(state, {...group, progress: {...progress, retryAt: context.now + retryIntervalMs}}));
 }
 
-function press(state: State, group: Group, context: Context): Step {
+function advanceGroup(state: State, group: Group, context: Context): Step {
 	const {progress, request} = group;
 	if (progress.type !== 'asking') {
 		return only(state);
 	}
 
-	if (context.now - progress.since >= longestWait) {
-		return fail(state, request, context, 'no memory in time');
+	if (context.now - progress.since >= maxWaitMs) {
+		return failGroup(state, request, context, 'no memory in time');
 	}
 
-	if (progress.again === undefined || progress.again > context.now) {
+	if (progress.retryAt === undefined || progress.retryAt > context.now) {
 		return only(state);
 	}
 
-	const next: Group = {...group, progress: {...progress, again: undefined}};
-	return {state: put(state, next), effects: ask(state, next, context)};
+	const next: Group = {...group, progress: {...progress, retryAt: undefined}};
+	return {state: setGroup(state, next), effects: requestCurrentPart(state, next, context)};
 }
 
-function heldParts({parts, progress}: Group): readonly Part[] {
+function getHeldParts({parts, progress}: Group): readonly GroupPart[] {
 	return progress.type === 'held' ? parts : parts.slice(0, progress.index);
 }
 
 /** A lease that lapsed, because this process was paused, is not taken up again: its memory may be another's by now. */
-function renew(state: State, request: string, context: Context): Step {
+function renewLeases(state: State, request: string, context: Context): Step {
 	const group = state.groups.groups.get(request);
 	const age = context.now - (group?.renewedAt ?? context.now);
-	if (group === undefined || age < renewalInterval || age >= leaseTime) {
+	if (group === undefined || age < renewalIntervalMs || age >= leaseDurationMs) {
 		return only(state);
 	}
 
 	return {
-		state: put(state, {...group, renewedAt: context.now}),
-		effects: heldParts(group).flatMap(part => lease(state, part, context)),
+		state: setGroup(state, {...group, renewedAt: context.now}),
+		effects: getHeldParts(group).flatMap(part => requestLease(state, part, context)),
 	};
 }
 
@@ -155,12 +155,12 @@
  * @param context - Time and random source.
  * @returns The next state; refused holds are asked for again, and groups that waited too long are given up.
  */
-export function pressGroups(state: State, context: Context): Step {
+export function advanceGroups(state: State, context: Context): Step {
 	return chain(
 		state,
 		...[...state.groups.groups.values()].flatMap(group => [
-			(current: State) => press(current, group, context),
-			(current: State) => renew(current, group.request.id, context),
+			(current: State) => advanceGroup(current, group, context),
+			(current: State) => renewLeases(current, group.request.id, context),
 		]),
 	);
 }
@@ -171,11 +171,11 @@
  * @param context - Time and random source.
  * @returns The next state, without groups that were to include it; those that run end with their attempt.
  */
-export function loseEngine(state: State, upstream: string, context: Context): Step {
-	const broken = [...state.groups.groups.values()].filter(group =>
+export function handleEngineLoss(state: State, upstream: string, context: Context): Step {
+	const affected = [...state.groups.groups.values()].filter(group =>
 		group.progress.type === 'asking' && group.parts.some(part => part.upstream === upstream));
 	return chain(
 		state,
-		...broken.map(({request}) => (current: State) => fail(current, request, context, `${upstream} is gone`)),
+		...affected.map(({request}) => (current: State) => failGroup(current, request, context, `${upstream} is gone`)),
 	);
 }
--- a/src/core/features/groups/feature.ts
+++ b/src/core/features/groups/feature.ts
@@ -1,40 +1,40 @@
 /** Groups of engines for prompts that no engine holds alone. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {dissolve} from './commands/release.js';
+import {dissolveGroup} from './commands/release.js';
 import {
-	form, hear, loseEngine, pressGroups,
-} from './commands/seek.js';
+	formGroup, handleHoldAnswer, handleEngineLoss, advanceGroups,
+} from './commands/reserve.js';
 
 export const groupsFeature: Feature = {
 	name: 'groups',
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'group-wanted': {
-				return form(state, event.request, context);
+				return formGroup(state, event.request, context);
 			}
 
 			case 'hold-answered': {
-				return hear(state, event, context);
+				return handleHoldAnswer(state, event, context);
 			}
 
 			case 'attempt-over': {
 				return event.attempt.parts === undefined
 					? only(state)
-					: dissolve(state, event.request.id, 'attempt over');
+					: dissolveGroup(state, event.request.id, 'attempt over');
 			}
 
 			case 'request-concluded': {
-				return dissolve(state, event.request.id, 'request over');
+				return dissolveGroup(state, event.request.id, 'request over');
 			}
 
 			case 'upstream-restarted':
 			case 'upstream-unreachable': {
-				return loseEngine(state, event.upstream, context);
+				return handleEngineLoss(state, event.upstream, context);
 			}
 
 			case 'tick': {
-				return pressGroups(state, context);
+				return advanceGroups(state, context);
 			}
 
 			default: {
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -3,19 +3,19 @@
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {domainUpstreams, service} from '../configuration/queries.js';
-import {usable} from '../routing/candidates.js';
+import {findUsable} from '../routing/candidates.js';
 import {view} from '../upstreams/queries.js';
-import {expectedOutput} from '../work/queries.js';
-import {type Group, type Part} from './types.js';
+import {estimateOutput} from '../work/queries.js';
+import {type Group, type GroupPart} from './types.js';
 
 /** Part of an engine's memory that a segment may take, so that short prompts still fit beside it. */
 export const fill = 0.85;
 
 /** Groups of one service that a host forms or runs at a time. */
-const mostGroups = 2;
+const maxGroupsPerService = 2;
 
 /** Answers may grow longer than expected by this factor. */
-const outputSpare = 2;
+const outputHeadroomFactor = 2;
 
 /**
  * @param state - Core state.
@@ -25,7 +25,7 @@
  */
 export function mayFormGroup(state: State, id: string, now: number): boolean {
 	const count = state.groups.groups.count(each => each.request.service === id);
-	return count < mostGroups && now >= (state.groups.pauses.get(id) ?? 0);
+	return count < maxGroupsPerService && now >= (state.groups.backoffDeadlines.get(id) ?? 0);
 }
 
 /**
@@ -33,11 +33,11 @@
  * @param hold - Hold.
  * @returns The group it belongs to, if that still wants it.
  */
-export function groupOf(state: State, hold: string): Group | undefined {
+export function findGroupByHold(state: State, hold: string): Group | undefined {
 	return state.groups.groups.find(each => each.parts.some(part => part.hold === hold));
 }
 
-function usedMemory(state: State, engine: Engine): number {
+function getUsedMemory(state: State, engine: Engine): number {
 	const {footprint, report} = view(state, engine.id);
 	return Math.max(footprint, report?.usedMemory ?? 0);
 }
@@ -67,24 +67,24 @@
  * @param context - Time.
  * @returns The parts, or undefined if too few engines take requests.
  */
-export function planGroup(state: State, request: Request, context: Context): readonly Part[] | undefined {
-	const wanted = service(state, request.service);
-	if (wanted === undefined) {
+export function planGroup(state: State, request: Request, context: Context): readonly GroupPart[] | undefined {
+	const requestedService = service(state, request.service);
+	if (requestedService === undefined) {
 		return undefined;
 	}
 
 	const all = domainUpstreams(state, request.service, state.self.failureDomain);
 	const search = {
-		request, wanted, failureDomain: state.self.failureDomain, avoided: [],
+		request, wanted: requestedService, failureDomain: state.self.failureDomain, avoided: [],
 	};
-	const engines = usable(state, all, search, context).filter((each): each is Engine => each.kind === 'engine');
-	const output = Math.max(request.outputLimit ?? 0, expectedOutput(state, request) * outputSpare);
-	const chosen = chooseEngines(engines, request.promptTokens + output, each => usedMemory(state, each));
-	return chosen === undefined ? undefined : split(state, request, chosen, output);
+	const engines = findUsable(state, all, search, context).filter((each): each is Engine => each.kind === 'engine');
+	const output = Math.max(request.outputLimit ?? 0, estimateOutput(state, request) * outputHeadroomFactor);
+	const chosen = chooseEngines(engines, request.promptTokens + output, each => getUsedMemory(state, each));
+	return chosen === undefined ? undefined : splitPrompt(state, request, chosen, output);
 }
 
 /** In proportion to memory; the last engine decodes, so its segment is shorter by the answer. */
-function split(state: State, request: Request, engines: readonly Engine[], output: number): readonly Part[] {
+function splitPrompt(state: State, request: Request, engines: readonly Engine[], output: number): readonly GroupPart[] {
 	const sorted = engines.toSorted((a, b) => a.id < b.id ? -1 : 1);
 	const {host, started} = state.self.incarnation;
 	let memory = 0;
@@ -97,9 +97,9 @@
 		const isLast = index === sorted.length - 1;
 		const tokens = Math.ceil((request.promptTokens + output) * engine.memory / memory);
 		const to = isLast ? request.promptTokens : Math.min(from + tokens, request.promptTokens);
-		const part: Part = {
+		const part: GroupPart = {
 			upstream: engine.id,
-			hold: `${host}.${started}.${state.groups.tried}.${index}`,
+			hold: `${host}.${started}.${state.groups.attempts}.${index}`,
 			tokens: Math.max(to - from, 1) + (isLast ? output : 0),
 			from,
 			to,
--- a/src/core/features/groups/types.ts
+++ b/src/core/features/groups/types.ts
@@ -3,7 +3,7 @@
 import {type Request} from '../../types/request.js';
 
 /** Memory wanted at one engine. */
-export type Part = {
+export type GroupPart = {
 	readonly upstream: string;
 	readonly hold: string;
 	/** Tokens to hold: the segment, and the answer where it is decoded. */
@@ -22,13 +22,13 @@
 		/** Since when this part is asked for, in milliseconds. */
 		readonly since: number;
 		/** When to ask again; undefined while an answer is awaited. */
-		readonly again?: number;
+		readonly retryAt?: number;
 	}
 	| {readonly type: 'held'};
 
 export type Group = {
 	readonly request: Request;
-	readonly parts: readonly Part[];
+	readonly parts: readonly GroupPart[];
 	readonly progress: GroupProgress;
 	/** When its leases were last renewed, in milliseconds. */
 	readonly renewedAt: number;
@@ -38,9 +38,9 @@
 	/** By request. */
 	readonly groups: Table<string, Group>;
 	/** Time before which a service tries no other group, in milliseconds. */
-	readonly pauses: Table<string, number>;
+	readonly backoffDeadlines: Table<string, number>;
 	/** Groups tried so far; part of each hold's name. */
-	readonly tried: number;
+	readonly attempts: number;
 };
 
-export const initialGroups: GroupsState = {groups: Table(), pauses: Table(), tried: 0};
+export const initialGroups: GroupsState = {groups: Table(), backoffDeadlines: Table(), attempts: 0};
--- a/src/core/features/limits/commands.ts
+++ b/src/core/features/limits/commands.ts
@@ -4,14 +4,14 @@
 import {trim} from '../../utils/bounded.js';
 import {increase} from '../../utils/rates.js';
 import {organisation} from '../configuration/queries.js';
-import {expectedOutput} from '../work/queries.js';
-import {pay, share} from './queries.js';
-import {demandSpan, noAccount, type Account} from './types.js';
+import {estimateOutput} from '../work/queries.js';
+import {settleDebts, share} from './queries.js';
+import {demandWindowMs, noAccount, type Account} from './types.js';
 
-const mostAccounts = 8192;
+const maxAccounts = 8192;
 
-function put(state: State, id: string, account: Account): State {
-	const accounts = trim(state.limits.accounts.set(id, account), mostAccounts, each => each.requests.at);
+function setAccount(state: State, id: string, account: Account): State {
+	const accounts = trim(state.limits.accounts.set(id, account), maxAccounts, each => each.requests.at);
 	return {...state, limits: {accounts}};
 }
 
@@ -20,8 +20,8 @@
 	return Object.values(limits).some(each => each !== undefined);
 }
 
-function tokensOf(state: State, request: Request): number {
-	return request.promptTokens + expectedOutput(state, request);
+function countTokens(state: State, request: Request): number {
+	return request.promptTokens + estimateOutput(state, request);
 }
 
 /**
@@ -38,10 +38,10 @@
 	}
 
 	const account = state.limits.accounts.get(request.organisation) ?? {...noAccount, at: now};
-	return put(state, request.organisation, {
+	return setAccount(state, request.organisation, {
 		...account,
-		requests: increase(account.requests, 1, now, demandSpan),
-		tokens: increase(account.tokens, tokensOf(state, request), now, demandSpan),
+		requests: increase(account.requests, 1, now, demandWindowMs),
+		tokens: increase(account.tokens, countTokens(state, request), now, demandWindowMs),
 	});
 }
 
@@ -58,10 +58,10 @@
 		return state;
 	}
 
-	const paid = pay(account, limits, share(state, request.organisation, now), now);
-	return put(state, request.organisation, {
-		...paid,
-		requestDebt: paid.requestDebt + 1,
-		tokenDebt: paid.tokenDebt + tokensOf(state, request),
+	const settled = settleDebts(account, limits, share(state, request.organisation, now), now);
+	return setAccount(state, request.organisation, {
+		...settled,
+		requestDebt: settled.requestDebt + 1,
+		tokenDebt: settled.tokenDebt + countTokens(state, request),
 	});
 }
--- a/src/core/features/limits/types.ts
+++ b/src/core/features/limits/types.ts
@@ -25,4 +25,4 @@
 export const initialLimits: LimitsState = {accounts: Table()};
 
 /** Time over which demand is counted, in milliseconds. */
-export const demandSpan = 5000;
+export const demandWindowMs = 5000;
--- a/src/core/features/placement/feature.ts
+++ b/src/core/features/placement/feature.ts
@@ -1,13 +1,13 @@
 /** Placement: has engines hold what the document says, through one orderer for each. */
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {takeAccount, takeAnswer} from './commands/conduct.js';
-import {look} from './commands/look.js';
+import {handleOrdersRead, handleOrderAnswered} from './commands/orders.js';
+import {reconcile} from './commands/reconcile.js';
 import {initialPlacement} from './types.js';
 
 /** After a pause another host may order in this one's place: everything is taken over anew, hold-off and seal included. */
-function wake(state: State): State {
-	return {...state, placement: {...state.placement, conducts: initialPlacement.conducts}};
+function resetControl(state: State): State {
+	return {...state, placement: {...state.placement, controlled: initialPlacement.controlled}};
 }
 
 export const placementFeature: Feature = {
@@ -15,19 +15,19 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'tick': {
-				return look(state, context);
+				return reconcile(state, context);
 			}
 
 			case 'orders-read': {
-				return takeAccount(state, event, context.now);
+				return handleOrdersRead(state, event, context.now);
 			}
 
 			case 'order-answered': {
-				return takeAnswer(state, event, context.now);
+				return handleOrderAnswered(state, event, context.now);
 			}
 
 			case 'woken': {
-				return only(wake(state));
+				return only(resetControl(state));
 			}
 
 			default: {
--- a/src/core/features/placement/queries.ts
+++ b/src/core/features/placement/queries.ts
@@ -7,7 +7,7 @@
 import {view} from '../upstreams/queries.js';
 
 /** At most this part of a service's engines in a failure domain changes at a time. */
-const changingPart = 0.25;
+const maxChangingShare = 0.25;
 
 /**
  * @param a - What an engine holds.
@@ -23,7 +23,7 @@
  * @param b - What it should hold.
  * @returns Whether they are the same; the order of adapters does not matter.
  */
-export function isSame(a: Target | undefined, b: Target): boolean {
+export function isSameTarget(a: Target | undefined, b: Target): boolean {
 	return hasSameWeights(a, b)
 		&& a?.role === b.role
 		&& a.adapters.length === b.adapters.length
@@ -34,7 +34,7 @@
  * @param state - Core state.
  * @returns Engines of this host's failure domain.
  */
-export function ownEngines(state: State): readonly Engine[] {
+export function getOwnEngines(state: State): readonly Engine[] {
 	return (state.configuration.inForce?.upstreams ?? [])
 		.filter(upstream => upstream.kind === 'engine')
 		.filter(engine => engine.failureDomain === state.self.failureDomain);
@@ -65,36 +65,36 @@
  * @param engine - Engine.
  * @returns Whether it is last known to hold, or to load, something else than its target.
  */
-export function isOff(state: State, engine: Engine): boolean {
+export function isOffTarget(state: State, engine: Engine): boolean {
 	const {report} = view(state, engine.id);
-	return engine.target !== undefined && report !== undefined && !isSame(report.loading ?? report.current, engine.target);
+	return engine.target !== undefined && report !== undefined && !isSameTarget(report.loading ?? report.current, engine.target);
 }
 
-function place(engine: Engine): number {
+function getChangeRank(engine: Engine): number {
 	return mix(hashText(engine.id), 0);
 }
 
 /** Of one service: engines that are off and ready change in one order, while enough others stay ready. */
-function changeable(state: State, engines: readonly Engine[], kept: number): readonly Engine[] {
+function selectChangeable(state: State, engines: readonly Engine[], minReady: number): readonly Engine[] {
 	const ready = engines.filter(engine => isReady(state, engine));
-	const most = Math.max(1, Math.floor(engines.length * changingPart));
-	const allowed = Math.max(0, Math.min(most, engines.length - kept));
+	const maxChanging = Math.max(1, Math.floor(engines.length * maxChangingShare));
+	const allowed = Math.max(0, Math.min(maxChanging, engines.length - minReady));
 	// What is already loading counts among those that change; what cannot be reached does not hold the others up.
-	const busy = engines.filter(engine => isLoading(state, engine)).length;
+	const loadingCount = engines.filter(engine => isLoading(state, engine)).length;
 	return ready
-		.filter(engine => isOff(state, engine))
-		.toSorted((a, b) => place(a) - place(b))
-		.slice(0, Math.max(0, allowed - busy))
-		.filter((_, index) => ready.length - index - 1 >= kept);
+		.filter(engine => isOffTarget(state, engine))
+		.toSorted((a, b) => getChangeRank(a) - getChangeRank(b))
+		.slice(0, Math.max(0, allowed - loadingCount))
+		.filter((_, index) => ready.length - index - 1 >= minReady);
 }
 
 /**
  * @param state - Core state.
  * @returns Ready engines of this failure domain that may load something else now.
  */
-export function changeableEngines(state: State): readonly Engine[] {
+export function findChangeableEngines(state: State): readonly Engine[] {
 	const groups = new Map<string, Engine[]>();
-	for (const engine of ownEngines(state)) {
+	for (const engine of getOwnEngines(state)) {
 		const group = groups.get(engine.service);
 		if (group === undefined) {
 			groups.set(engine.service, [engine]);
@@ -104,8 +104,8 @@
 	}
 
 	return [...groups].flatMap(([id, engines]) => {
-		const wanted = service(state, id);
-		return changeable(state, engines, wanted?.kind === 'model' ? wanted.readyEngines : 0);
+		const configured = service(state, id);
+		return selectChangeable(state, engines, configured?.kind === 'model' ? configured.readyEngines : 0);
 	});
 }
 
@@ -114,7 +114,7 @@
  * @param target - What it should hold.
  * @returns Loads that the change takes from the weight store.
  */
-export function loadsNeeded(current: Target | undefined, target: Target): number {
+export function countLoadsNeeded(current: Target | undefined, target: Target): number {
 	const isReplacement = !hasSameWeights(current, target);
 	const held = isReplacement ? [] : current?.adapters ?? [];
 	return (isReplacement ? 1 : 0) + target.adapters.filter(adapter => !held.includes(adapter)).length;
--- a/src/core/features/placement/store.ts
+++ b/src/core/features/placement/store.ts
@@ -5,7 +5,7 @@
 import {type State} from '../../types/state.js';
 import {servingHosts} from '../membership/queries.js';
 
-const second = 1000;
+const secondMs = 1000;
 
 /** What was saved up to and is owned now. */
 export type Credit = {
@@ -33,15 +33,15 @@
 
 	const domains = inForce.failureDomains.map(domain => domain.id).toSorted();
 	const hosts = servingHosts(state, state.self.failureDomain).map(member => member.incarnation.host);
-	const last = Math.floor(wall * rate / second);
-	const oldest = Math.floor(Math.max(0, wall - second) * rate / second);
+	const last = Math.floor(wall * rate / secondMs);
+	const oldest = Math.floor(Math.max(0, wall - secondMs) * rate / secondMs);
 	let earned = 0;
 	for (let next = Math.max(slot, oldest) + 1; next <= last; next++) {
 		earned += isOwn(state, domains, hosts, next) ? 1 : 0;
 	}
 
 	// At most one load is saved up, or what one second gives; a debt is paid off first.
-	const most = Math.max(1, rate / domains.length / Math.max(1, hosts.length));
-	const held = Number.isFinite(credit) ? credit : 0;
-	return {credit: Math.min(most, held + earned), slot: Math.max(slot, last)};
+	const maxCredit = Math.max(1, rate / domains.length / Math.max(1, hosts.length));
+	const saved = Number.isFinite(credit) ? credit : 0;
+	return {credit: Math.min(maxCredit, saved + earned), slot: Math.max(slot, last)};
 }
--- a/src/core/features/placement/types.ts
+++ b/src/core/features/placement/types.ts
@@ -3,7 +3,7 @@
 import {type OrderNumber} from '../../types/upstream.js';
 
 /** Times are monotonic, in milliseconds. */
-export type Progress
+export type OrderProgress
 	/** Nothing before this time. */
 	= | {readonly type: 'waiting'; readonly until: number}
 	/** The engine was asked for its orders afresh; a load that may follow is already taken from the credit. */
@@ -12,31 +12,31 @@
 		| {readonly type: 'ordering'; readonly since: number; readonly number: OrderNumber};
 
 /** One engine that this host orders. */
-export type Conduct = {
+export type ControlledEngine = {
 	readonly upstream: string;
 	/** Whether older numbers are refused since this host took over, or never will be. */
 	readonly isSealed: boolean;
-	readonly progress: Progress;
+	readonly progress: OrderProgress;
 	/** Since when its running requests are waited for, in milliseconds. */
 	readonly draining?: number;
 };
 
 export type PlacementState = {
 	/** Engines that this host orders. */
-	readonly conducts: Table<string, Conduct>;
+	readonly controlled: Table<string, ControlledEngine>;
 	/** Engines about to load other weights, by every host's own account: they get no new work. */
 	readonly changing: Group<string>;
 	/** Loads that this host may order, and the last slot of the weight store that was counted. */
 	readonly credit: number;
 	readonly slot: number;
 	/** Monotonic time of the next look, in milliseconds. */
-	readonly nextLook: number;
+	readonly nextReconciliation: number;
 };
 
 export const initialPlacement: PlacementState = {
-	conducts: Table(),
+	controlled: Table(),
 	changing: Group(),
 	credit: 0,
 	slot: 0,
-	nextLook: 0,
+	nextReconciliation: 0,
 };
--- a/src/core/features/polling/queries.ts
+++ b/src/core/features/polling/queries.ts
@@ -6,7 +6,7 @@
 import {view} from '../upstreams/queries.js';
 
 /** Milliseconds after which a report that another host should have brought is read by this one. */
-const overdue = 5000;
+const overdueAgeMs = 5000;
 
 /**
  * @param state - Core state.
@@ -33,9 +33,9 @@
 	const due = ownEngines(state)
 		.map(engine => ({engine, age: now - (view(state, engine.id).reportedAt ?? Number.NEGATIVE_INFINITY)}))
 		.filter(({engine, age}) => {
-			const [reader] = firstChoices(hashText(engine.id), hosts, 1);
-			const isReader = reader === undefined || reader.host === state.self.incarnation.host;
-			return age >= (isReader ? interval : overdue);
+			const [poller] = firstChoices(hashText(engine.id), hosts, 1);
+			const isPoller = poller === undefined || poller.host === state.self.incarnation.host;
+			return age >= (isPoller ? interval : overdueAgeMs);
 		});
 	return due.toSorted((one, other) => other.age - one.age).map(({engine}) => engine);
 }
--- a/src/core/features/polling/types.ts
+++ b/src/core/features/polling/types.ts
@@ -6,16 +6,16 @@
 export type DatedReport = {
 	readonly report: Report;
 	/** Monotonic time in milliseconds. */
-	readonly trueAt: number;
+	readonly reportedAt: number;
 };
 
 export type PollingState = {
 	/** Reports read here and not yet told to peers, by upstream. */
-	readonly unshared: Table<string, DatedReport>;
+	readonly unpublished: Table<string, DatedReport>;
 	/** What peers were told last, by upstream. */
-	readonly told: Table<string, DatedReport>;
+	readonly published: Table<string, DatedReport>;
 	/** Monotonic time of the next telling, in milliseconds. */
-	readonly nextShare: number;
+	readonly nextPublication: number;
 };
 
-export const initialPolling: PollingState = {unshared: Table(), told: Table(), nextShare: 0};
+export const initialPolling: PollingState = {unpublished: Table(), published: Table(), nextPublication: 0};
--- a/src/core/features/prefixes/commands.ts
+++ b/src/core/features/prefixes/commands.ts
@@ -4,43 +4,43 @@
 import {type State} from '../../types/state.js';
 import {type CacheChange} from '../../types/upstream.js';
 import {assertNever} from '../../utils/common.js';
-import {holders} from './queries.js';
-import {depths, type Blocks, type PrefixesState} from './types.js';
+import {findHolders} from './queries.js';
+import {sampleDepths, type Blocks, type PrefixesState} from './types.js';
 
 /** Blocks of one generation; there are two. */
-const mostBlocks = 16_384;
+const maxGenerationBlocks = 16_384;
 /** Upstreams remembered for one block. */
-const mostHolders = 8;
+const maxHoldersPerBlock = 8;
 /** Blocks that are taken from one cache event beside those already known. */
-const mostNewBlocks = 32;
+const maxNewBlocksPerEvent = 32;
 
-function change(state: State, part: Partial<PrefixesState>): State {
+function updatePrefixes(state: State, part: Partial<PrefixesState>): State {
 	return {...state, prefixes: {...state.prefixes, ...part}};
 }
 
-function putAll(state: State, entries: (young: Blocks) => Blocks): State {
-	const young = state.prefixes.young.withMutations(table => entries(table));
-	return young.size > mostBlocks
-		? change(state, {young: Table(), old: young})
-		: change(state, {young});
+function updateYoung(state: State, update: (young: Blocks) => Blocks): State {
+	const young = state.prefixes.young.withMutations(table => update(table));
+	return young.size > maxGenerationBlocks
+		? updatePrefixes(state, {young: Table(), old: young})
+		: updatePrefixes(state, {young});
 }
 
-function store(state: State, blocks: readonly string[], upstream: string): State {
+function addHolder(state: State, blocks: readonly string[], upstream: string): State {
 	const epoch = state.prefixes.epochs.get(upstream) ?? 0;
-	return putAll(state, young => {
+	return updateYoung(state, young => {
 		for (const block of blocks) {
-			const others = holders(state, block).filter(each => each.upstream !== upstream);
-			young.set(block, [{upstream, epoch}, ...others].slice(0, mostHolders));
+			const others = findHolders(state, block).filter(each => each.upstream !== upstream);
+			young.set(block, [{upstream, epoch}, ...others].slice(0, maxHoldersPerBlock));
 		}
 
 		return young;
 	});
 }
 
-function drop(state: State, blocks: readonly string[], upstream: string): State {
-	return putAll(state, young => {
+function removeHolder(state: State, blocks: readonly string[], upstream: string): State {
+	return updateYoung(state, young => {
 		for (const block of blocks) {
-			const known = holders(state, block);
+			const known = findHolders(state, block);
 			if (known.some(each => each.upstream === upstream)) {
 				young.set(block, known.filter(each => each.upstream !== upstream));
 			}
@@ -55,9 +55,9 @@
  * @param upstream - Upstream that holds nothing any more.
  * @returns The next state.
  */
-export function clear(state: State, upstream: string): State {
+export function clearUpstream(state: State, upstream: string): State {
 	const epoch = (state.prefixes.epochs.get(upstream) ?? 0) + 1;
-	return change(state, {epochs: state.prefixes.epochs.set(upstream, epoch)});
+	return updatePrefixes(state, {epochs: state.prefixes.epochs.set(upstream, epoch)});
 }
 
 /**
@@ -66,8 +66,8 @@
  * @param upstream - Upstream that will hold its prompt.
  * @returns The next state.
  */
-export function remember(state: State, request: Request, upstream: string): State {
-	return store(state, depths(request.blocks.length).map(index => request.blocks[index]!), upstream);
+export function recordRequest(state: State, request: Request, upstream: string): State {
+	return addHolder(state, sampleDepths(request.blocks.length).map(index => request.blocks[index]!), upstream);
 }
 
 /**
@@ -76,21 +76,21 @@
  * @param cacheChange - The change.
  * @returns The next state.
  */
-export function apply(state: State, upstream: string, cacheChange: CacheChange): State {
+export function applyCacheChange(state: State, upstream: string, cacheChange: CacheChange): State {
 	switch (cacheChange.type) {
 		case 'stored': {
 			const {young, old} = state.prefixes;
-			const wanted = cacheChange.blocks.filter((block, index) =>
-				index < mostNewBlocks || young.has(block) || old.has(block));
-			return store(state, wanted, upstream);
+			const accepted = cacheChange.blocks.filter((block, index) =>
+				index < maxNewBlocksPerEvent || young.has(block) || old.has(block));
+			return addHolder(state, accepted, upstream);
 		}
 
 		case 'evicted': {
-			return drop(state, cacheChange.blocks, upstream);
+			return removeHolder(state, cacheChange.blocks, upstream);
 		}
 
 		case 'cleared': {
-			return clear(state, upstream);
+			return clearUpstream(state, upstream);
 		}
 
 		default: {
--- a/src/core/features/prefixes/feature.ts
+++ b/src/core/features/prefixes/feature.ts
@@ -2,12 +2,12 @@
 import {type EventOf} from '../../types/event.js';
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {apply, clear, remember} from './commands.js';
+import {applyCacheChange, clearUpstream, recordRequest} from './commands.js';
 
-function applyAll(state: State, {upstream, changes}: EventOf<'cache-changed'>): State {
+function applyCacheChanges(state: State, {upstream, changes}: EventOf<'cache-changed'>): State {
 	let next = state;
 	for (const each of changes) {
-		next = apply(next, upstream, each);
+		next = applyCacheChange(next, upstream, each);
 	}
 
 	return next;
@@ -19,15 +19,15 @@
 		switch (event.type) {
 			case 'attempt-began': {
 				const {request, attempt} = event;
-				return only(attempt.parts === undefined ? remember(state, request, attempt.upstream) : state);
+				return only(attempt.parts === undefined ? recordRequest(state, request, attempt.upstream) : state);
 			}
 
 			case 'cache-changed': {
-				return only(applyAll(state, event));
+				return only(applyCacheChanges(state, event));
 			}
 
 			case 'upstream-restarted': {
-				return only(clear(state, event.upstream));
+				return only(clearUpstream(state, event.upstream));
 			}
 
 			default: {
--- a/src/core/features/prefixes/types.ts
+++ b/src/core/features/prefixes/types.ts
@@ -29,7 +29,7 @@
  * @param length - Blocks of a prompt.
  * @returns Indexes that are looked up and remembered, the same for every prompt up to its length, rising.
  */
-export function depths(length: number): readonly number[] {
+export function sampleDepths(length: number): readonly number[] {
 	const all: number[] = [];
 	for (let index = 0; index < length; index += Math.max(Math.floor((index + 1) / stepsPerDoubling), 1)) {
 		all.push(index);
--- a/src/core/features/retries/feature.ts
+++ b/src/core/features/retries/feature.ts
@@ -2,12 +2,12 @@
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {service} from '../configuration/queries.js';
-import {budget} from './queries.js';
+import {getBudget} from './queries.js';
 
-function change(state: State, id: string, amount: number): State {
+function changeBudget(state: State, id: string, amount: number): State {
 	const burst = service(state, id)?.retryBudget.burst ?? 0;
-	const left = Math.min(budget(state, id) + amount, burst);
-	return {...state, retries: {budgets: state.retries.budgets.set(id, left)}};
+	const remaining = Math.min(getBudget(state, id) + amount, burst);
+	return {...state, retries: {budgets: state.retries.budgets.set(id, remaining)}};
 }
 
 export const retriesFeature: Feature = {
@@ -16,11 +16,11 @@
 		switch (event.type) {
 			case 'request-admitted': {
 				const id = event.request.service;
-				return only(change(state, id, service(state, id)?.retryBudget.ratio ?? 0));
+				return only(changeBudget(state, id, service(state, id)?.retryBudget.ratio ?? 0));
 			}
 
 			case 'request-retried': {
-				return only(change(state, event.request.service, -1));
+				return only(changeBudget(state, event.request.service, -1));
 			}
 
 			default: {
--- a/src/core/features/retries/queries.ts
+++ b/src/core/features/retries/queries.ts
@@ -7,22 +7,22 @@
 import {estimate, prefillTime} from '../work/queries.js';
 
 /** Attempts of one request, the first included. */
-const mostAttempts = 3;
+const maxAttempts = 3;
 
 /** Failures that another upstream may not have. */
-const passing: ReadonlySet<number> = new Set([codes.upstreamFailed, codes.streamCut, codes.frameMismatch]);
+const retryableCodes: ReadonlySet<number> = new Set([codes.upstreamFailed, codes.streamCut, codes.frameMismatch]);
 
 /**
  * @param state - Core state.
  * @param id - Service.
  * @returns Retries that the service may still make.
  */
-export function budget(state: State, id: string): number {
+export function getBudget(state: State, id: string): number {
 	return state.retries.budgets.get(id) ?? service(state, id)?.retryBudget.burst ?? 0;
 }
 
 /** Whether running the request once more is harmless: it never ran, or it may run twice and nothing was relayed. */
-function isHarmless(request: Request, attempt: Attempt, ending: Ending): boolean {
+function isSafeToRepeat(request: Request, attempt: Attempt, ending: Ending): boolean {
 	switch (ending.type) {
 		case 'not-run': {
 			return !ending.overload;
@@ -33,7 +33,7 @@
 		}
 
 		case 'failed': {
-			return request.proof.type === 'idempotent' && attempt.received === 0 && passing.has(ending.code);
+			return request.proof.type === 'idempotent' && attempt.received === 0 && retryableCodes.has(ending.code);
 		}
 
 		case 'done':
@@ -49,8 +49,8 @@
 
 function hasTime(state: State, request: Request, attempt: Attempt, now: number): boolean {
 	const target = upstream(state, attempt.upstream);
-	const least = target === undefined ? 0 : prefillTime(state, target, estimate(state, request).prefill);
-	return now + least < request.deadline;
+	const minDuration = target === undefined ? 0 : prefillTime(state, target, estimate(state, request).prefill);
+	return now + minDuration < request.deadline;
 }
 
 /**
@@ -63,8 +63,8 @@
  * @returns Whether the request may be sent again.
  */
 export function mayRetry(state: State, request: Request, attempt: Attempt, ending: Ending, attempts: number, now: number): boolean {
-	return isHarmless(request, attempt, ending)
-		&& attempts < mostAttempts
-		&& budget(state, request.service) >= 1
+	return isSafeToRepeat(request, attempt, ending)
+		&& attempts < maxAttempts
+		&& getBudget(state, request.service) >= 1
 		&& hasTime(state, request, attempt, now);
 }
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -3,24 +3,24 @@
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {firstChoices, hashText} from '../../utils/hashes.js';
-import {isClosed} from '../circuits/queries.js';
+import {canAttempt} from '../circuits/queries.js';
 import {isStopping} from '../stops/queries.js';
 import {mayRunAt} from '../suspicion/queries.js';
 import {view} from '../upstreams/queries.js';
 import {
-	isIdle, look, type Prompt, type Sight,
+	isIdle, assessUpstream, type Prompt, type Assessment,
 } from './score.js';
-import {lengthClass, segments} from './segments.js';
+import {getModelLengthClass, segments} from './segments.js';
 import {type Search} from './types.js';
 
 /** Engines of a segment that are all scored; of more, these many are drawn. */
-const sampled = 8;
+const sampleSize = 8;
 /** First choices by the prompt's first block: where its prefix will be looked for, also by other hosts. */
-const homes = 2;
+const homeCount = 2;
 /** Believed holders of the prefix that are scored, the longest match first. */
-const mostHolders = 4;
+const maxHolders = 4;
 /** Engines kept for longer prompts that are looked at as well. */
-const borrowed = 4;
+const borrowedSampleSize = 4;
 
 /**
  * @param state - Core state.
@@ -29,7 +29,7 @@
  * @returns Whether it takes requests, as far as is known.
  */
 export function isUsable(state: State, upstream: Upstream, now: number): boolean {
-	return isUp(state, upstream) && isClosed(state, upstream.id, now);
+	return isUp(state, upstream) && canAttempt(state, upstream.id, now);
 }
 
 /**
@@ -52,67 +52,67 @@
  * @param context - Time.
  * @returns Those that take the request.
  */
-export function usable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
+export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
 	const {request, avoided} = search;
-	const up = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
-	const closed = up.filter(each => isClosed(state, each.id, context.now));
-	const fresh = closed.filter(each => !avoided.includes(each.id));
-	return [fresh, closed, up].find(each => each.length > 0) ?? [];
+	const available = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
+	const attemptable = available.filter(each => canAttempt(state, each.id, context.now));
+	const untried = attemptable.filter(each => !avoided.includes(each.id));
+	return [untried, attemptable, available].find(each => each.length > 0) ?? [];
 }
 
 /**
- * @param all - Anything to draw from.
- * @param most - Number wanted.
+ * @param items - Anything to draw from.
+ * @param size - Number wanted.
  * @param context - Random source.
  * @returns All, or so many drawn without repeats, in random order.
  */
-export function draw<T>(all: readonly T[], most: number, context: Context): readonly T[] {
-	const left = [...all];
-	const drawn: T[] = [];
-	while (drawn.length < most && left.length > 0) {
-		const place = context.random.integer(0, left.length - 1);
-		drawn.push(left[place]!);
-		left[place] = left.at(-1)!;
-		left.pop();
+export function draw<T>(items: readonly T[], size: number, context: Context): readonly T[] {
+	const remaining = [...items];
+	const sampled: T[] = [];
+	while (sampled.length < size && remaining.length > 0) {
+		const index = context.random.integer(0, remaining.length - 1);
+		sampled.push(remaining[index]!);
+		remaining[index] = remaining.at(-1)!;
+		remaining.pop();
 	}
 
-	return drawn;
+	return sampled;
 }
 
-const hashes = new Map<string, number>();
-const mostHashes = 4096;
+const hashCache = new Map<string, number>();
+const maxCachedHashes = 4096;
 
 /** The hash of an upstream's name never changes. */
-function hashOf(upstream: string): number {
-	const known = hashes.get(upstream);
-	if (known !== undefined) {
-		return known;
+function getHash(upstream: string): number {
+	const cached = hashCache.get(upstream);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	if (hashes.size >= mostHashes) {
-		hashes.clear();
+	if (hashCache.size >= maxCachedHashes) {
+		hashCache.clear();
 	}
 
-	const made = hashText(upstream);
-	hashes.set(upstream, made);
-	return made;
+	const hash = hashText(upstream);
+	hashCache.set(upstream, hash);
+	return hash;
 }
 
-function home(request: Request, engines: readonly Upstream[]): readonly Upstream[] {
-	const first = request.blocks[0];
-	if (first === undefined) {
+function findHomes(request: Request, engines: readonly Upstream[]): readonly Upstream[] {
+	const firstBlock = request.blocks[0];
+	if (firstBlock === undefined) {
 		return [];
 	}
 
-	const members = engines.map(upstream => ({upstream, hash: hashOf(upstream.id)}));
-	return firstChoices(hashText(first), members, homes).map(each => each.upstream);
+	const members = engines.map(upstream => ({upstream, hash: getHash(upstream.id)}));
+	return firstChoices(hashText(firstBlock), members, homeCount).map(each => each.upstream);
 }
 
 /** What the search for an engine needs. */
 type EngineSearch = {
 	readonly state: State;
 	readonly request: Request;
-	readonly wanted: ModelService;
+	readonly requestedService: ModelService;
 	readonly all: readonly Upstream[];
 	/** Of all, those that take requests. */
 	readonly usable: readonly Upstream[];
@@ -120,54 +120,54 @@
 	readonly context: Context;
 };
 
-function see(search: EngineSearch, upstream: Upstream): Sight {
+function assessFor(search: EngineSearch, upstream: Upstream): Assessment {
 	const {state, prompt, context} = search;
-	return look(state, upstream, prompt, context.now);
+	return assessUpstream(state, upstream, prompt, context.now);
 }
 
 /** Longer prompts' engines: idle ones for a middle prompt, any for a short one, as it goes first there. */
-function borrow(search: EngineSearch, engines: readonly Upstream[]): readonly Sight[] {
-	return draw(engines, borrowed, search.context)
-		.map(each => see(search, each))
+function sampleLongerSegments(search: EngineSearch, engines: readonly Upstream[]): readonly Assessment[] {
+	return draw(engines, borrowedSampleSize, search.context)
+		.map(each => assessFor(search, each))
 		.filter(each => each.length === 'short' || isIdle(each));
 }
 
 /** Holders of the prefix outside the segment, where what is left to do is as short as what they are kept for. */
-function holding(search: EngineSearch, usableIds: ReadonlyMap<string, Upstream>): readonly Sight[] {
-	const sights: Sight[] = [];
+function assessHolders(search: EngineSearch, usableIds: ReadonlyMap<string, Upstream>): readonly Assessment[] {
+	const assessments: Assessment[] = [];
 	for (const [id] of search.prompt.cached) {
 		const upstream = usableIds.get(id);
-		if (upstream === undefined || sights.length >= mostHolders) {
+		if (upstream === undefined || assessments.length >= maxHolders) {
 			continue;
 		}
 
-		const sight = see(search, upstream);
-		if (lengthClass(search.wanted, sight.prefill) === 'short') {
-			sights.push(sight);
+		const assessment = assessFor(search, upstream);
+		if (getModelLengthClass(search.requestedService, assessment.prefill) === 'short') {
+			assessments.push(assessment);
 		}
 	}
 
-	return sights;
+	return assessments;
 }
 
 /**
  * @param search - Request, service and upstreams.
  * @returns Engines worth scoring, none twice.
  */
-export function engineCandidates(search: EngineSearch): readonly Sight[] {
-	const {state, wanted, request, context} = search;
+export function findEngineCandidates(search: EngineSearch): readonly Assessment[] {
+	const {state, requestedService, request, context} = search;
 	const usableIds = new Map(search.usable.map(each => [each.id, each]));
-	const split = segments(state, wanted, search.all, context.now);
+	const engineSegments = segments(state, requestedService, search.all, context.now);
 	const {length} = search.prompt;
-	const inUse = (engines: readonly Upstream[]) => engines.filter(each => usableIds.has(each.id));
-	const kept = inUse(split[length]);
-	const own = kept.length === 0 ? search.usable : kept;
-	const drawn = own.length <= sampled ? own : [...home(request, own), ...draw(own, sampled, context)];
-	const longer = {short: [...split.middle, ...split.long], middle: split.long, long: []}[length];
-	const sights = [
-		...drawn.map(each => see(search, each)),
-		...holding(search, usableIds),
-		...borrow(search, inUse(longer)),
+	const filterUsable = (engines: readonly Upstream[]) => engines.filter(each => usableIds.has(each.id));
+	const dedicated = filterUsable(engineSegments[length]);
+	const eligible = dedicated.length === 0 ? search.usable : dedicated;
+	const sampled = eligible.length <= sampleSize ? eligible : [...findHomes(request, eligible), ...draw(eligible, sampleSize, context)];
+	const longer = {short: [...engineSegments.middle, ...engineSegments.long], middle: engineSegments.long, long: []}[length];
+	const assessments = [
+		...sampled.map(each => assessFor(search, each)),
+		...assessHolders(search, usableIds),
+		...sampleLongerSegments(search, filterUsable(longer)),
 	];
-	return [...new Map(sights.map(each => [each.upstream.id, each])).values()];
+	return [...new Map(assessments.map(each => [each.upstream.id, each])).values()];
 }
--- a/src/core/features/routing/commands.ts
+++ b/src/core/features/routing/commands.ts
@@ -3,7 +3,7 @@
 import {type State} from '../../types/state.js';
 import {increase} from '../../utils/rates.js';
 import {service} from '../configuration/queries.js';
-import {arrivalSpan, lengthClass} from './segments.js';
+import {arrivalWindowMs, getModelLengthClass} from './segments.js';
 import {noArrivals} from './types.js';
 
 /**
@@ -11,7 +11,7 @@
  * @param id - Service of a request that was sent.
  * @returns The next state.
  */
-export function takeTurn(state: State, id: string): State {
+export function advanceTurn(state: State, id: string): State {
 	const turns = state.routing.turns.set(id, (state.routing.turns.get(id) ?? 0) + 1);
 	return {...state, routing: {...state.routing, turns}};
 }
@@ -23,13 +23,13 @@
  * @returns The next state.
  */
 export function countArrival(state: State, request: Request, now: number): State {
-	const wanted = service(state, request.service);
-	if (wanted?.kind !== 'model') {
+	const requestedService = service(state, request.service);
+	if (requestedService?.kind !== 'model') {
 		return state;
 	}
 
-	const length = lengthClass(wanted, request.promptTokens);
-	const before = state.routing.arrivals.get(wanted.id) ?? noArrivals;
-	const after = {...before, [length]: increase(before[length], request.promptTokens, now, arrivalSpan)};
-	return {...state, routing: {...state.routing, arrivals: state.routing.arrivals.set(wanted.id, after)}};
+	const length = getModelLengthClass(requestedService, request.promptTokens);
+	const before = state.routing.arrivals.get(requestedService.id) ?? noArrivals;
+	const after = {...before, [length]: increase(before[length], request.promptTokens, now, arrivalWindowMs)};
+	return {...state, routing: {...state.routing, arrivals: state.routing.arrivals.set(requestedService.id, after)}};
 }
--- a/src/core/features/routing/feature.ts
+++ b/src/core/features/routing/feature.ts
@@ -1,7 +1,7 @@
 /** Routing: counts what arrives by length and whose turn it is. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {countArrival, takeTurn} from './commands.js';
+import {countArrival, advanceTurn} from './commands.js';
 
 export const routingFeature: Feature = {
 	name: 'routing',
@@ -12,7 +12,7 @@
 			}
 
 			case 'attempt-began': {
-				return only(takeTurn(state, event.request.service));
+				return only(advanceTurn(state, event.request.service));
 			}
 
 			default: {
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -7,19 +7,19 @@
 import {cachedTokens} from '../prefixes/queries.js';
 import {isLegacy, upstreamsFor} from '../takeover/queries.js';
 import {view} from '../upstreams/queries.js';
-import {expectedOutput} from '../work/queries.js';
-import {draw, engineCandidates, usable} from './candidates.js';
+import {estimateOutput} from '../work/queries.js';
+import {draw, findEngineCandidates, findUsable} from './candidates.js';
 import {
-	ahead, hasRoom, look, score, type Prompt, type Sight,
+	countTokensAhead, hasRoom, assessUpstream, scoreUpstream, type Prompt, type Assessment,
 } from './score.js';
 import {classOf} from './segments.js';
 import {type Choice, type Route, type Search} from './types.js';
 
 /** Candidates that are written to the log. */
-const mostShown = 5;
+const maxLoggedCandidates = 5;
 
 /** Plain upstreams that are drawn and scored. */
-const sampledPlain = 4;
+const plainSampleSize = 4;
 
 /**
  * @param state - Core state.
@@ -27,7 +27,7 @@
  * @returns KV memory that the request will need, in tokens.
  */
 export function footprint(state: State, request: Request): number {
-	return request.promptTokens + expectedOutput(state, request);
+	return request.promptTokens + estimateOutput(state, request);
 }
 
 /**
@@ -35,36 +35,36 @@
  * @param needed - KV memory needed, in tokens.
  * @returns Whether the request fits into it alone.
  */
-export function fits(upstream: Upstream, needed: number): boolean {
+export function canFit(upstream: Upstream, needed: number): boolean {
 	return upstream.kind !== 'engine' || upstream.memory >= needed;
 }
 
-function chosen(state: State, sights: readonly Sight[], wanted: Service, reason: string): Choice | undefined {
-	const scored = sights
-		.map(sight => ({sight, score: score(state, sight, wanted)}))
+function chooseBest(state: State, assessments: readonly Assessment[], requestedService: Service, reason: string): Choice | undefined {
+	const scored = assessments
+		.map(assessment => ({assessment, score: scoreUpstream(state, assessment, requestedService)}))
 		.toSorted((a, b) => a.score - b.score);
 	const best = scored[0];
 	if (best === undefined) {
 		return undefined;
 	}
 
-	const {upstream, cached} = best.sight;
-	const candidates = scored.slice(0, mostShown)
-		.map(each => ({upstream: each.sight.upstream.id, score: Math.round(each.score)}));
+	const {upstream, cached} = best.assessment;
+	const candidates = scored.slice(0, maxLoggedCandidates)
+		.map(each => ({upstream: each.assessment.upstream.id, score: Math.round(each.score)}));
 	return {
-		upstream, cached, candidates, ahead: Math.round(ahead(best.sight)), reason,
+		upstream, cached, candidates, ahead: Math.round(countTokensAhead(best.assessment)), reason,
 	};
 }
 
 /** The upstreams that a search is about. */
-type Field = {
+type EligibleUpstreams = {
 	/** As the configuration lists them. */
 	readonly all: readonly Upstream[];
 	/** Of all, those that can take the request. */
-	readonly open: readonly Upstream[];
+	readonly eligible: readonly Upstream[];
 };
 
-function promptOf(state: State, search: Search): Prompt {
+function describePrompt(state: State, search: Search): Prompt {
 	const {request, wanted} = search;
 	return {
 		tokens: request.promptTokens,
@@ -73,51 +73,51 @@
 	};
 }
 
-function byCost(state: State, search: Search, {all, open}: Field, context: Context): Choice | undefined {
+function chooseByCost(state: State, search: Search, {all, eligible}: EligibleUpstreams, context: Context): Choice | undefined {
 	const {request, wanted} = search;
-	const prompt = promptOf(state, search);
+	const prompt = describePrompt(state, search);
 	if (wanted.kind === 'plain' || isLegacy(state, request)) {
-		const sights = draw(open, sampledPlain, context).map(each => look(state, each, prompt, context.now));
-		return chosen(state, sights.filter(each => hasRoom(each, 0)), wanted, 'least work of those drawn');
+		const assessments = draw(eligible, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
+		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), wanted, 'least work of those drawn');
 	}
 
-	const sights = engineCandidates({
-		state, request, wanted, all, usable: open, prompt, context,
+	const assessments = findEngineCandidates({
+		state, request, requestedService: wanted, all, usable: eligible, prompt, context,
 	});
 	const needed = footprint(state, request);
-	return chosen(state, sights.filter(each => hasRoom(each, needed)), wanted, 'lowest cost');
+	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), wanted, 'lowest cost');
 }
 
 /** A baseline takes an upstream whether it has room or not: the queue is then the upstream's own. */
-function baseline(state: State, search: Search, upstream: Upstream | undefined, {now}: Context): Choice | undefined {
-	const sights = upstream === undefined ? [] : [look(state, upstream, promptOf(state, search), now)];
-	return chosen(state, sights, search.wanted, search.wanted.policy);
+function chooseBaseline(state: State, search: Search, upstream: Upstream | undefined, {now}: Context): Choice | undefined {
+	const assessments = upstream === undefined ? [] : [assessUpstream(state, upstream, describePrompt(state, search), now)];
+	return chooseBest(state, assessments, search.wanted, search.wanted.policy);
 }
 
-function leastRequests(state: State, upstreams: readonly Upstream[], context: Context): Upstream | undefined {
+function findLeastLoaded(state: State, upstreams: readonly Upstream[], context: Context): Upstream | undefined {
 	return draw(upstreams, upstreams.length, context)
 		.toSorted((a, b) => view(state, a.id).requests - view(state, b.id).requests)[0];
 }
 
-function choose(state: State, search: Search, field: Field, context: Context): Choice | undefined {
+function choose(state: State, search: Search, upstreams: EligibleUpstreams, context: Context): Choice | undefined {
 	const {policy} = search.wanted;
-	const {open} = field;
+	const {eligible} = upstreams;
 	switch (policy) {
 		case 'cost': {
-			return byCost(state, search, field, context);
+			return chooseByCost(state, search, upstreams, context);
 		}
 
 		case 'random': {
-			return baseline(state, search, draw(open, 1, context)[0], context);
+			return chooseBaseline(state, search, draw(eligible, 1, context)[0], context);
 		}
 
 		case 'round-robin': {
 			const turn = state.routing.turns.get(search.wanted.id) ?? 0;
-			return baseline(state, search, open[turn % open.length], context);
+			return chooseBaseline(state, search, eligible[turn % eligible.length], context);
 		}
 
 		case 'least-requests': {
-			return baseline(state, search, leastRequests(state, open, context), context);
+			return chooseBaseline(state, search, findLeastLoaded(state, eligible, context), context);
 		}
 
 		default: {
@@ -127,7 +127,7 @@
 }
 
 /** What the old scripts serve goes to them alone, and never to another failure domain. */
-function upstreamsOf(state: State, {request, wanted, failureDomain}: Search): readonly Upstream[] {
+function listUpstreams(state: State, {request, wanted, failureDomain}: Search): readonly Upstream[] {
 	if (failureDomain === state.self.failureDomain) {
 		return upstreamsFor(state, request);
 	}
@@ -142,15 +142,15 @@
  * @returns Where to send the request now, that it must wait, or that nothing there can run it.
  */
 export function route(state: State, search: Search, context: Context): Route {
-	const all = upstreamsOf(state, search);
+	const all = listUpstreams(state, search);
 	const needed = footprint(state, search.request);
-	const fitting = all.filter(each => fits(each, needed));
-	const open = usable(state, fitting, search, context);
-	if (open.length === 0) {
+	const fitting = all.filter(each => canFit(each, needed));
+	const eligible = findUsable(state, fitting, search, context);
+	if (eligible.length === 0) {
 		return {type: 'none', reason: fitting.length < all.length ? 'no engine is large enough' : 'no upstream in reach'};
 	}
 
-	const choice = choose(state, search, {all, open}, context);
+	const choice = choose(state, search, {all, eligible}, context);
 	return choice === undefined ? {type: 'wait'} : {type: 'send', choice};
 }
 
@@ -160,8 +160,8 @@
  * @returns Whether every engine of its service here is too small for it alone.
  */
 export function needsGroup(state: State, request: Request): boolean {
-	const wanted = service(state, request.service);
-	if (wanted?.kind !== 'model') {
+	const requestedService = service(state, request.service);
+	if (requestedService?.kind !== 'model') {
 		return false;
 	}
 
--- a/src/core/features/routing/score.ts
+++ b/src/core/features/routing/score.ts
@@ -4,7 +4,7 @@
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {outstanding, view} from '../upstreams/queries.js';
-import {type View, type Work} from '../upstreams/types.js';
+import {type UpstreamView, type Work} from '../upstreams/types.js';
 import {decodeTime, prefillRate} from '../work/queries.js';
 
 /**
@@ -12,12 +12,12 @@
  * before it while it is given more: enough to keep it at work between two of this host's decisions. Everything beyond
  * waits in the host's queue, where order can still change.
  */
-const chunk = 1024;
+const prefillChunkTokens = 1024;
 
 /** An upstream as one request finds it. */
-export type Sight = {
+export type Assessment = {
 	readonly upstream: Upstream;
-	readonly known: View;
+	readonly known: UpstreamView;
 	/** Everyone's work there. */
 	readonly work: Work;
 	/** Prompt tokens of the request that it is believed to hold, and those it would have to work on. */
@@ -43,7 +43,7 @@
  * @param now - Time in milliseconds.
  * @returns The upstream as the request finds it.
  */
-export function look(state: State, upstream: Upstream, prompt: Prompt, now: number): Sight {
+export function assessUpstream(state: State, upstream: Upstream, prompt: Prompt, now: number): Assessment {
 	const rate = prefillRate(state, upstream);
 	const known = view(state, upstream.id);
 	const cached = prompt.cached.get(upstream.id) ?? 0;
@@ -62,30 +62,30 @@
  * Engines honour priorities, and a short prompt has a better one than any longer: of longer prompts it waits for no
  * more than what the engine has just begun.
  *
- * @param sight - Upstream as a request finds it.
+ * @param assessment - Upstream as a request finds it.
  * @returns Prefill tokens that are worked on before the request's own.
  */
-export function ahead(sight: Sight): number {
-	const {work, length} = sight;
+export function countTokensAhead(assessment: Assessment): number {
+	const {work, length} = assessment;
 	return length === 'short'
-		? work.urgent + Math.min(Math.max(work.prefill - work.urgent, 0), chunk)
+		? work.urgent + Math.min(Math.max(work.prefill - work.urgent, 0), prefillChunkTokens)
 		: work.prefill;
 }
 
 /**
- * @param sight - Upstream as a request finds it.
+ * @param assessment - Upstream as a request finds it.
  * @param footprint - KV memory that the request needs, in tokens.
  * @returns Whether it would be worked on at once or nearly so.
  */
-export function hasRoom(sight: Sight, footprint: number): boolean {
-	const {upstream, known, work} = sight;
-	const queued = sight.length === 'short' ? work.urgent : work.prefill;
+export function hasRoom(assessment: Assessment, footprint: number): boolean {
+	const {upstream, known, work} = assessment;
+	const queued = assessment.length === 'short' ? work.urgent : work.prefill;
 	switch (upstream.kind) {
 		case 'engine': {
 			const used = Math.max(known.footprint, known.report?.usedMemory ?? 0);
 			return work.requests < upstream.batch
 				&& (work.requests === 0 || used + footprint <= upstream.memory)
-				&& queued <= chunk;
+				&& queued <= prefillChunkTokens;
 		}
 
 		case 'plain':
@@ -100,32 +100,32 @@
 }
 
 /**
- * @param sight - Upstream.
+ * @param assessment - Upstream.
  * @returns Whether no prefill is under way there.
  */
-export function isIdle(sight: Sight): boolean {
-	return sight.work.prefill === 0;
+export function isIdle(assessment: Assessment): boolean {
+	return assessment.work.prefill === 0;
 }
 
-function engineScore(state: State, sight: Sight, wanted: ModelService): number {
-	const {work, known, prefill, rate, upstream} = sight;
-	const wait = ahead(sight) * 1000 / rate;
-	const own = prefill * 1000 / rate;
-	const interference = own * known.waiting;
-	const crowd = work.requests * decodeTime(state, upstream, 1);
-	return (wanted.weights.firstToken * (wait + own)) + (wanted.weights.slowdown * interference) + wait + crowd;
+function scoreEngine(state: State, assessment: Assessment, requestedService: ModelService): number {
+	const {work, known, prefill, rate, upstream} = assessment;
+	const wait = countTokensAhead(assessment) * 1000 / rate;
+	const ownPrefillTime = prefill * 1000 / rate;
+	const interference = ownPrefillTime * known.waiting;
+	const batchDelay = work.requests * decodeTime(state, upstream, 1);
+	return (requestedService.weights.firstToken * (wait + ownPrefillTime)) + (requestedService.weights.slowdown * interference) + wait + batchDelay;
 }
 
 /**
  * Time to the first token, the delay given to others, and a little for a full batch; weighed as the service says.
  *
  * @param state - Core state.
- * @param sight - Upstream as a request finds it.
- * @param wanted - Service.
+ * @param assessment - Upstream as a request finds it.
+ * @param requestedService - Service.
  * @returns The score.
  */
-export function score(state: State, sight: Sight, wanted: Service): number {
-	return wanted.kind === 'model'
-		? engineScore(state, sight, wanted)
-		: sight.work.requests * decodeTime(state, sight.upstream, 1);
+export function scoreUpstream(state: State, assessment: Assessment, requestedService: Service): number {
+	return requestedService.kind === 'model'
+		? scoreEngine(state, assessment, requestedService)
+		: assessment.work.requests * decodeTime(state, assessment.upstream, 1);
 }
--- a/src/core/features/routing/segments.ts
+++ b/src/core/features/routing/segments.ts
@@ -10,29 +10,29 @@
 import {noArrivals} from './types.js';
 
 /** Time over which arrivals are counted, in milliseconds: long prompts are rare. */
-export const arrivalSpan = 300_000;
+export const arrivalWindowMs = 300_000;
 
 /** Lengths that have engines of their own, the longest first. */
-const order = ['long', 'middle', 'short'] as const;
+const longestFirst = ['long', 'middle', 'short'] as const;
 
 /** Share of the work by length until enough has arrived. */
-const usualMix: Readonly<Record<LengthClass, number>> = {short: 0.2, middle: 0.4, long: 0.4};
+const defaultMix: Readonly<Record<LengthClass, number>> = {short: 0.2, middle: 0.4, long: 0.4};
 
 /** Weight of the usual mix, in tokens per second. */
-const usualWeight = 50;
+const defaultMixTokensPerSecond = 50;
 
 /** Spare engines for short prompts where the slowdown of short prompts is all that counts, as a part of their share. */
-const spare = 3;
+const shortPromptHeadroom = 3;
 
 export type Segments = Readonly<Record<LengthClass, readonly Engine[]>>;
 
 /**
- * @param wanted - Model service.
+ * @param requestedService - Model service.
  * @param promptTokens - Length of a prompt.
  * @returns Its length class.
  */
-export function lengthClass(wanted: ModelService, promptTokens: number): LengthClass {
-	const {short, long} = wanted.lengthClasses;
+export function getModelLengthClass(requestedService: ModelService, promptTokens: number): LengthClass {
+	const {short, long} = requestedService.lengthClasses;
 	if (promptTokens <= short) {
 		return 'short';
 	}
@@ -42,12 +42,12 @@
 
 /**
  * @param state - Core state.
- * @param wanted - Service.
+ * @param requestedService - Service.
  * @param promptTokens - Length of a prompt.
  * @returns Its length class; requests to a plain service are all alike.
  */
-export function classOf(wanted: Service | undefined, promptTokens: number): LengthClass {
-	return wanted?.kind === 'model' ? lengthClass(wanted, promptTokens) : 'short';
+export function classOf(requestedService: Service | undefined, promptTokens: number): LengthClass {
+	return requestedService?.kind === 'model' ? getModelLengthClass(requestedService, promptTokens) : 'short';
 }
 
 /**
@@ -58,18 +58,18 @@
 export function ownMixes(state: State, now: number): readonly Mix[] {
 	return [...state.routing.arrivals.entries()].map(([service, arrivals]) => ({
 		service,
-		short: Math.round(perSecond(arrivals.short, now, arrivalSpan)),
-		middle: Math.round(perSecond(arrivals.middle, now, arrivalSpan)),
-		long: Math.round(perSecond(arrivals.long, now, arrivalSpan)),
+		short: Math.round(perSecond(arrivals.short, now, arrivalWindowMs)),
+		middle: Math.round(perSecond(arrivals.middle, now, arrivalWindowMs)),
+		long: Math.round(perSecond(arrivals.long, now, arrivalWindowMs)),
 	}));
 }
 
-function totalMix(state: State, service: string, now: number): Readonly<Record<LengthClass, number>> {
+function sumMixes(state: State, service: string, now: number): Readonly<Record<LengthClass, number>> {
 	const own = state.routing.arrivals.get(service) ?? noArrivals;
 	const total = {
-		short: perSecond(own.short, now, arrivalSpan) + (usualMix.short * usualWeight),
-		middle: perSecond(own.middle, now, arrivalSpan) + (usualMix.middle * usualWeight),
-		long: perSecond(own.long, now, arrivalSpan) + (usualMix.long * usualWeight),
+		short: perSecond(own.short, now, arrivalWindowMs) + (defaultMix.short * defaultMixTokensPerSecond),
+		middle: perSecond(own.middle, now, arrivalWindowMs) + (defaultMix.middle * defaultMixTokensPerSecond),
+		long: perSecond(own.long, now, arrivalWindowMs) + (defaultMix.long * defaultMixTokensPerSecond),
 	};
 	for (const peer of state.membership.peers.values()) {
 		const isNear = peer.status === 'live' && peer.member.failureDomain === state.self.failureDomain;
@@ -82,69 +82,69 @@
 	return total;
 }
 
-type Sizes = Readonly<Record<LengthClass, number>>;
+type SegmentSizes = Readonly<Record<LengthClass, number>>;
 
 /**
  * Every length has at least one engine; the rest go by work, short prompts with some to spare.
  *
  * @param mix - Work by length, in any unit.
- * @param wanted - Service, for its weights.
+ * @param requestedService - Service, for its weights.
  * @param count - Engines to share out, three at least.
  * @returns Engines for each length.
  */
-export function sizes(mix: Readonly<Record<LengthClass, number>>, wanted: ModelService, count: number): Sizes {
-	const {slowdown, firstToken} = wanted.weights;
-	const care = slowdown + firstToken === 0 ? 0 : slowdown / (slowdown + firstToken);
-	const short = mix.short * (1 + (spare * care));
+export function computeSegmentSizes(mix: Readonly<Record<LengthClass, number>>, requestedService: ModelService, count: number): SegmentSizes {
+	const {slowdown, firstToken} = requestedService.weights;
+	const slowdownShare = slowdown + firstToken === 0 ? 0 : slowdown / (slowdown + firstToken);
+	const short = mix.short * (1 + (shortPromptHeadroom * slowdownShare));
 	const all = short + mix.middle + mix.long;
 	const long = Math.min(Math.max(Math.round(count * mix.long / all), 1), count - 2);
 	const middle = Math.min(Math.max(Math.round(count * mix.middle / all), 1), count - long - 1);
 	return {long, middle, short: count - long - middle};
 }
 
-type Ranked = {readonly engine: Engine; readonly hash: number};
+type HashedEngine = {readonly engine: Engine; readonly hash: number};
 
-const rankings = new WeakMap<readonly Upstream[], readonly Engine[]>();
+const rankingCache = new WeakMap<readonly Upstream[], readonly Engine[]>();
 
 /** Ranked once for each list: the configuration keeps its lists as they are. */
-function ranked(wanted: ModelService, upstreams: readonly Upstream[]): readonly Engine[] {
-	const known = rankings.get(upstreams);
-	if (known !== undefined) {
-		return known;
+function rankEngines(requestedService: ModelService, upstreams: readonly Upstream[]): readonly Engine[] {
+	const cached = rankingCache.get(upstreams);
+	if (cached !== undefined) {
+		return cached;
 	}
 
 	const engines = upstreams.filter(each => each.kind === 'engine');
-	const hashed: readonly Ranked[] = engines.map(engine => ({engine, hash: hashText(engine.id)}));
-	const result = rank(hashText(wanted.id), hashed).map(each => each.engine);
-	rankings.set(upstreams, result);
-	return result;
+	const hashed: readonly HashedEngine[] = engines.map(engine => ({engine, hash: hashText(engine.id)}));
+	const ranked = rank(hashText(requestedService.id), hashed).map(each => each.engine);
+	rankingCache.set(upstreams, ranked);
+	return ranked;
 }
 
-const fewest = 3;
+const minSegmentedEngines = 3;
 
 /**
  * Subsets of different sizes are nested, so hosts whose views of the demand differ a little disagree on an engine or
  * two and no more.
  *
  * @param state - Core state.
- * @param wanted - Model service.
+ * @param requestedService - Model service.
  * @param upstreams - Its upstreams in one failure domain, as the configuration lists them.
  * @param now - Time in milliseconds.
  * @returns Engines by the length of prompts that they are kept for.
  */
-export function segments(state: State, wanted: ModelService, upstreams: readonly Upstream[], now: number): Segments {
-	const engines = ranked(wanted, upstreams);
-	if (engines.length < fewest) {
+export function segments(state: State, requestedService: ModelService, upstreams: readonly Upstream[], now: number): Segments {
+	const engines = rankEngines(requestedService, upstreams);
+	if (engines.length < minSegmentedEngines) {
 		return {short: engines, middle: engines, long: engines.slice(0, 1)};
 	}
 
-	const size = sizes(totalMix(state, wanted.id, now), wanted, engines.length);
-	const parts: Record<LengthClass, readonly Engine[]> = {short: [], middle: [], long: []};
+	const sizes = computeSegmentSizes(sumMixes(state, requestedService.id, now), requestedService, engines.length);
+	const segments: Record<LengthClass, readonly Engine[]> = {short: [], middle: [], long: []};
 	let start = 0;
-	for (const length of order) {
-		parts[length] = engines.slice(start, start + size[length]);
-		start += size[length];
+	for (const length of longestFirst) {
+		segments[length] = engines.slice(start, start + sizes[length]);
+		start += sizes[length];
 	}
 
-	return parts;
+	return segments;
 }
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -6,45 +6,45 @@
 import {type State} from '../../types/state.js';
 import {upstream as configured} from '../configuration/queries.js';
 import {prefillRate} from '../work/queries.js';
-import {view, worked} from './queries.js';
-import {type View, type Work} from './types.js';
+import {view, estimatePrefilled} from './queries.js';
+import {type UpstreamView, type Work} from './types.js';
 
 const noLoads: Table<string, Load> = Table();
 
-function put(state: State, next: View): State {
+function setView(state: State, next: UpstreamView): State {
 	return {...state, upstreams: {...state.upstreams, views: state.upstreams.views.set(next.upstream, next)}};
 }
 
-function rate(state: State, upstream: string): number {
+function findPrefillRate(state: State, upstream: string): number {
 	const known = configured(state, upstream);
 	return known === undefined ? 0 : prefillRate(state, known);
 }
 
 /** Brings `worked` up to date, so that work may be added or taken away. */
-function settle(state: State, upstream: string, now: number): View {
+function updatePrefilled(state: State, upstream: string, now: number): UpstreamView {
 	const before = view(state, upstream);
-	const done = worked(before, now, rate(state, upstream));
-	return {...before, worked: Math.min(done, before.prefill), workedAt: now};
+	const done = estimatePrefilled(before, now, findPrefillRate(state, upstream));
+	return {...before, prefilled: Math.min(done, before.prefill), prefilledAsOf: now};
 }
 
-type Part = {readonly upstream: string; readonly prefill: number};
+type PrefillPart = {readonly upstream: string; readonly prefill: number};
 
-function partsOf(attempt: Attempt): readonly Part[] {
+function getPrefillParts(attempt: Attempt): readonly PrefillPart[] {
 	return attempt.parts ?? [{upstream: attempt.upstream, prefill: attempt.prefill}];
 }
 
-function urgentPart(attempt: Attempt, prefill: number): number {
+function getUrgentPrefill(attempt: Attempt, prefill: number): number {
 	return attempt.length === 'short' ? prefill : 0;
 }
 
-function withoutPrefill(before: View, attempt: Attempt, prefill: number): View {
+function subtractPrefill(before: UpstreamView, attempt: Attempt, prefill: number): UpstreamView {
 	const waiting = before.waiting - 1;
 	return {
 		...before,
 		waiting,
 		prefill: waiting === 0 ? 0 : before.prefill - prefill,
-		urgent: waiting === 0 ? 0 : before.urgent - urgentPart(attempt, prefill),
-		worked: waiting === 0 ? 0 : Math.max(before.worked - prefill, 0),
+		urgent: waiting === 0 ? 0 : before.urgent - getUrgentPrefill(attempt, prefill),
+		prefilled: waiting === 0 ? 0 : Math.max(before.prefilled - prefill, 0),
 	};
 }
 
@@ -57,24 +57,24 @@
  */
 export function beginWork(state: State, request: Request, attempt: Attempt, now: number): State {
 	let next = state;
-	for (const {upstream, prefill} of partsOf(attempt)) {
-		const before = settle(next, upstream, now);
-		const decodes = upstream === attempt.upstream;
-		next = put(next, {
+	for (const {upstream, prefill} of getPrefillParts(attempt)) {
+		const before = updatePrefilled(next, upstream, now);
+		const isDecoder = upstream === attempt.upstream;
+		next = setView(next, {
 			...before,
 			requests: before.requests + 1,
 			waiting: before.waiting + 1,
 			prefill: before.prefill + prefill,
-			urgent: before.urgent + urgentPart(attempt, prefill),
-			decode: before.decode + (decodes ? attempt.decode : 0),
-			footprint: before.footprint + footprint(request, attempt, upstream),
+			urgent: before.urgent + getUrgentPrefill(attempt, prefill),
+			decode: before.decode + (isDecoder ? attempt.decode : 0),
+			footprint: before.footprint + getFootprint(request, attempt, upstream),
 		});
 	}
 
 	return next;
 }
 
-function footprint(request: Request, attempt: Attempt, upstream: string): number {
+function getFootprint(request: Request, attempt: Attempt, upstream: string): number {
 	const part = attempt.parts?.find(each => each.upstream === upstream);
 	const output = upstream === attempt.upstream ? attempt.decode : 0;
 	return (part?.prefill ?? request.promptTokens) + output;
@@ -88,8 +88,8 @@
  */
 export function finishPrefill(state: State, attempt: Attempt, now: number): State {
 	let next = state;
-	for (const {upstream, prefill} of partsOf(attempt)) {
-		next = put(next, withoutPrefill(settle(next, upstream, now), attempt, prefill));
+	for (const {upstream, prefill} of getPrefillParts(attempt)) {
+		next = setView(next, subtractPrefill(updatePrefilled(next, upstream, now), attempt, prefill));
 	}
 
 	return next;
@@ -104,14 +104,14 @@
  */
 export function endWork(state: State, request: Request, attempt: Attempt, now: number): State {
 	let next = attempt.firstFrame === undefined ? finishPrefill(state, attempt, now) : state;
-	for (const {upstream} of partsOf(attempt)) {
+	for (const {upstream} of getPrefillParts(attempt)) {
 		const before = view(next, upstream);
-		const decodes = upstream === attempt.upstream;
-		next = put(next, {
+		const isDecoder = upstream === attempt.upstream;
+		next = setView(next, {
 			...before,
 			requests: before.requests - 1,
-			decode: before.decode - (decodes ? attempt.decode : 0),
-			footprint: before.footprint - footprint(request, attempt, upstream),
+			decode: before.decode - (isDecoder ? attempt.decode : 0),
+			footprint: before.footprint - getFootprint(request, attempt, upstream),
 		});
 	}
 
@@ -124,16 +124,16 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function takeReport(state: State, report: Report, now: number): State {
-	const before = settle(state, report.upstream, now);
-	const unseen: Work = {
+export function applyReport(state: State, report: Report, now: number): State {
+	const before = updatePrefilled(state, report.upstream, now);
+	const unattributed: Work = {
 		requests: Math.max(report.running + report.waiting - before.requests - before.peers.requests, 0),
 		prefill: Math.max(report.queuedPrefill - before.prefill - before.peers.prefill, 0),
 		decode: 0,
 		urgent: 0,
 	};
-	return put(state, {
-		...before, report, reportedAt: now - report.age, unseen, reachable: true,
+	return setView(state, {
+		...before, report, reportedAt: now - report.age, unattributed, reachable: true,
 	});
 }
 
@@ -143,12 +143,12 @@
  * @returns The next state.
  */
 export function markUnreachable(state: State, upstream: string): State {
-	return put(state, {...view(state, upstream), reachable: false});
+	return setView(state, {...view(state, upstream), reachable: false});
 }
 
-function addPeer(state: State, load: Load, sign: 1 | -1, now: number): State {
-	const before = settle(state, load.upstream, now);
-	return put(state, {
+function adjustPeerLoad(state: State, load: Load, sign: 1 | -1, now: number): State {
+	const before = updatePrefilled(state, load.upstream, now);
+	return setView(state, {
 		...before,
 		peers: {
 			requests: before.peers.requests + (sign * load.requests),
@@ -166,17 +166,17 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function countPeers(state: State, now: number): State {
+export function updatePeerLoads(state: State, now: number): State {
 	const {peers} = state.membership;
-	const {counted} = state.upstreams;
-	const hosts = new Set([...counted.keys(), ...peers.keys()]);
+	const {countedLoads} = state.upstreams;
+	const hosts = new Set([...countedLoads.keys(), ...peers.keys()]);
 	let next = state;
 	for (const host of hosts) {
 		const peer = peers.get(host);
-		const before = counted.get(host) ?? noLoads;
+		const before = countedLoads.get(host) ?? noLoads;
 		const after = peer?.status === 'live' ? peer.loads : noLoads;
 		if (before !== after) {
-			next = recount(next, host, before, after, now);
+			next = replacePeerLoads(next, host, before, after, now);
 		}
 	}
 
@@ -187,17 +187,17 @@
 	return a === b || (a?.requests === b.requests && a.prefill === b.prefill && a.decode === b.decode && a.urgent === b.urgent);
 }
 
-function recount(state: State, host: string, before: Table<string, Load>, after: Table<string, Load>, now: number): State {
+function replacePeerLoads(state: State, host: string, before: Table<string, Load>, after: Table<string, Load>, now: number): State {
 	let next = state;
 	for (const load of before.values()) {
-		next = isSameLoad(after.get(load.upstream), load) ? next : addPeer(next, load, -1, now);
+		next = isSameLoad(after.get(load.upstream), load) ? next : adjustPeerLoad(next, load, -1, now);
 	}
 
 	for (const load of after.values()) {
-		next = isSameLoad(before.get(load.upstream), load) ? next : addPeer(next, load, 1, now);
+		next = isSameLoad(before.get(load.upstream), load) ? next : adjustPeerLoad(next, load, 1, now);
 	}
 
-	const {counted} = next.upstreams;
-	const changed = after.isEmpty() ? counted.delete(host) : counted.set(host, after);
-	return {...next, upstreams: {...next.upstreams, counted: changed}};
+	const {countedLoads} = next.upstreams;
+	const updated = after.isEmpty() ? countedLoads.delete(host) : countedLoads.set(host, after);
+	return {...next, upstreams: {...next.upstreams, countedLoads: updated}};
 }
--- a/src/core/features/upstreams/feature.ts
+++ b/src/core/features/upstreams/feature.ts
@@ -4,13 +4,13 @@
 import {only} from '../../utils/common.js';
 import {admissionOf} from '../requests/queries.js';
 import {
-	beginWork, countPeers, endWork, finishPrefill, markUnreachable, takeReport,
+	beginWork, updatePeerLoads, endWork, finishPrefill, markUnreachable, applyReport,
 } from './commands.js';
 import {view} from './queries.js';
 
-function report(state: State, received: Report, now: number): Step {
+function handleReport(state: State, received: Report, now: number): Step {
 	const known = view(state, received.upstream).report?.incarnation;
-	const next = takeReport(state, received, now);
+	const next = applyReport(state, received, now);
 	if (known === undefined || known === received.incarnation) {
 		return only(next);
 	}
@@ -26,7 +26,7 @@
 }
 
 /** This feature comes before the requests' own, which sets the time of the first frame. */
-function progress(state: State, id: string, now: number): State {
+function handleProgress(state: State, id: string, now: number): State {
 	const progress = admissionOf(state, id)?.progress;
 	return progress?.type === 'running' && progress.attempt.firstFrame === undefined
 		? finishPrefill(state, progress.attempt, now)
@@ -38,7 +38,7 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'report-received': {
-				return report(state, event.report, now);
+				return handleReport(state, event.report, now);
 			}
 
 			case 'upstream-unreachable': {
@@ -50,7 +50,7 @@
 			}
 
 			case 'attempt-progressed': {
-				return only(progress(state, event.attempt, now));
+				return only(handleProgress(state, event.attempt, now));
 			}
 
 			case 'attempt-over': {
@@ -58,7 +58,7 @@
 			}
 
 			case 'tick': {
-				return only(countPeers(state, now));
+				return only(updatePeerLoads(state, now));
 			}
 
 			default: {
--- a/src/core/features/upstreams/types.ts
+++ b/src/core/features/upstreams/types.ts
@@ -17,16 +17,16 @@
 	requests: 0, prefill: 0, decode: 0, urgent: 0,
 };
 
-export type View = {
+export type UpstreamView = {
 	readonly upstream: string;
 	/** This host's own attempts in flight, and those of them that wait for their first frame. */
 	readonly requests: number;
 	readonly waiting: number;
 	/** Prefill of the waiting ones, in tokens, and how much of it should be done by now. */
 	readonly prefill: number;
-	readonly worked: number;
+	readonly prefilled: number;
 	/** Time up to which `worked` was counted, in milliseconds. */
-	readonly workedAt: number;
+	readonly prefilledAsOf: number;
 	/** Part of the prefill that is of short prompts; it is done too soon to be worth ageing. */
 	readonly urgent: number;
 	/** Decode tokens expected of own attempts when they were sent. */
@@ -36,7 +36,7 @@
 	/** What connected peers say they have in flight. */
 	readonly peers: Work;
 	/** What the last report showed beyond own and peers' work. */
-	readonly unseen: Work;
+	readonly unattributed: Work;
 	readonly report?: Report;
 	/** Monotonic time at which the report's figures were true, in milliseconds. */
 	readonly reportedAt?: number;
@@ -47,8 +47,8 @@
 export type CountedLoads = Table<string, Table<string, Load>>;
 
 export type UpstreamsState = {
-	readonly views: Table<string, View>;
-	readonly counted: CountedLoads;
+	readonly views: Table<string, UpstreamView>;
+	readonly countedLoads: CountedLoads;
 };
 
-export const initialUpstreams: UpstreamsState = {views: Table(), counted: Table()};
+export const initialUpstreams: UpstreamsState = {views: Table(), countedLoads: Table()};
--- a/src/core/features/work/commands.ts
+++ b/src/core/features/work/commands.ts
@@ -3,30 +3,30 @@
 import {type State} from '../../types/state.js';
 import {trim} from '../../utils/bounded.js';
 import {include} from '../../utils/rates.js';
-import {outputKey, type Speed, type WorkState} from './types.js';
+import {createOutputKey, type Speed, type WorkState} from './types.js';
 
 /** Samples after which older ones fade. */
-const memory = 40;
+const sampleWindow = 40;
 /** Services and organisations whose answer lengths are kept. */
-const mostOutputs = 4096;
+const maxOutputs = 4096;
 /** Upstreams whose speeds are kept. */
-const mostSpeeds = 1024;
+const maxSpeeds = 1024;
 /** Less prefill than this says more of the network than of the engine, in tokens. */
-const leastPrefill = 2048;
+const minPrefillTokens = 2048;
 /** Fewer tokens than this say little of the time between two. */
-const leastTokens = 8;
+const minAnswerTokens = 8;
 
-function change(state: State, part: Partial<WorkState>): State {
+function updateWork(state: State, part: Partial<WorkState>): State {
 	return {...state, work: {...state.work, ...part}};
 }
 
-function lastUse(speed: Speed): number {
+function getLastUse(speed: Speed): number {
 	return Math.max(speed.prefill?.at ?? 0, speed.interval?.at ?? 0, speed.duration?.at ?? 0);
 }
 
-function learnSpeed(state: State, upstream: string, part: (before: Speed) => Speed): State {
-	const speeds = state.work.speeds.set(upstream, part(state.work.speeds.get(upstream) ?? {}));
-	return change(state, {speeds: trim(speeds, mostSpeeds, lastUse)});
+function updateSpeed(state: State, upstream: string, update: (before: Speed) => Speed): State {
+	const speeds = state.work.speeds.set(upstream, update(state.work.speeds.get(upstream) ?? {}));
+	return updateWork(state, {speeds: trim(speeds, maxSpeeds, getLastUse)});
 }
 
 /**
@@ -39,14 +39,14 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function learnPrefill(state: State, attempt: Attempt, prefill: number, now: number): State {
+export function recordPrefill(state: State, attempt: Attempt, prefill: number, now: number): State {
 	const tokens = attempt.ahead + prefill;
-	if (tokens < leastPrefill || attempt.parts !== undefined) {
+	if (tokens < minPrefillTokens || attempt.parts !== undefined) {
 		return state;
 	}
 
 	const sample = tokens * 1000 / Math.max(now - attempt.began, 1);
-	return learnSpeed(state, attempt.upstream, before => ({...before, prefill: include(before.prefill, sample, now, memory)}));
+	return updateSpeed(state, attempt.upstream, before => ({...before, prefill: include(before.prefill, sample, now, sampleWindow)}));
 }
 
 /**
@@ -59,28 +59,28 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function learnAnswer(state: State, request: Request, attempt: Attempt, tokens: number, now: number): State {
+export function recordAnswer(state: State, request: Request, attempt: Attempt, tokens: number, now: number): State {
 	if (attempt.firstFrame === undefined) {
-		return learnSpeed(state, attempt.upstream, before =>
-			({...before, duration: include(before.duration, now - attempt.began, now, memory)}));
+		return updateSpeed(state, attempt.upstream, before =>
+			({...before, duration: include(before.duration, now - attempt.began, now, sampleWindow)}));
 	}
 
-	const withOutput = learnOutput(state, request, tokens, now);
-	if (tokens < leastTokens) {
+	const withOutput = recordOutput(state, request, tokens, now);
+	if (tokens < minAnswerTokens) {
 		return withOutput;
 	}
 
 	const interval = (now - attempt.firstFrame) / (tokens - 1);
-	return learnSpeed(withOutput, attempt.upstream, before =>
-		({...before, interval: include(before.interval, interval, now, memory)}));
+	return updateSpeed(withOutput, attempt.upstream, before =>
+		({...before, interval: include(before.interval, interval, now, sampleWindow)}));
 }
 
-function learnOutput(state: State, request: Request, tokens: number, now: number): State {
-	const keys = [outputKey(request.service), outputKey(request.service, request.organisation)];
+function recordOutput(state: State, request: Request, tokens: number, now: number): State {
+	const keys = [createOutputKey(request.service), createOutputKey(request.service, request.organisation)];
 	const outputs = state.work.outputs.withMutations(table => {
 		for (const key of keys) {
-			table.set(key, include(table.get(key), tokens, now, memory));
+			table.set(key, include(table.get(key), tokens, now, sampleWindow));
 		}
 	});
-	return change(state, {outputs: trim(outputs, mostOutputs, mean => mean.at)});
+	return updateWork(state, {outputs: trim(outputs, maxOutputs, mean => mean.at)});
 }
--- a/src/core/features/work/feature.ts
+++ b/src/core/features/work/feature.ts
@@ -3,9 +3,9 @@
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {admissionOf} from '../requests/queries.js';
-import {learnAnswer, learnPrefill} from './commands.js';
+import {recordAnswer, recordPrefill} from './commands.js';
 
-function firstFrame(state: State, event: EventOf<'attempt-progressed'>, now: number): State {
+function handleFirstFrame(state: State, event: EventOf<'attempt-progressed'>, now: number): State {
 	const admission = admissionOf(state, event.attempt);
 	if (admission?.progress.type !== 'running' || admission.progress.attempt.firstFrame !== undefined) {
 		return state;
@@ -15,7 +15,7 @@
 	const prefill = event.cachedTokens === undefined
 		? attempt.prefill
 		: admission.request.promptTokens - event.cachedTokens;
-	return learnPrefill(state, attempt, prefill, now);
+	return recordPrefill(state, attempt, prefill, now);
 }
 
 export const workFeature: Feature = {
@@ -23,12 +23,12 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'attempt-progressed': {
-				return only(firstFrame(state, event, now));
+				return only(handleFirstFrame(state, event, now));
 			}
 
 			case 'attempt-over': {
 				const {request, attempt, ending} = event;
-				return only(ending.type === 'done' ? learnAnswer(state, request, attempt, ending.tokens, now) : state);
+				return only(ending.type === 'done' ? recordAnswer(state, request, attempt, ending.tokens, now) : state);
 			}
 
 			default: {
--- a/src/core/features/work/queries.ts
+++ b/src/core/features/work/queries.ts
@@ -4,24 +4,24 @@
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {service} from '../configuration/queries.js';
-import {outputKey, type Estimate} from './types.js';
+import {createOutputKey, type WorkEstimate} from './types.js';
 
 /** Samples of its own that an organisation needs to count as much as all others together. */
-const trust = 8;
+const priorSamples = 8;
 
 /** Spreads beyond the mean that an answer's length may well reach. */
-const caution = 2;
+const conservativeSpreads = 2;
 
 /** Part of the learnt prefill rate that is counted on at least. */
-const slowest = 0.5;
+const minRateShare = 0.5;
 
 /** Time assumed for a call of a plain service until one has been seen, in milliseconds. */
-const plainDuration = 50;
+const defaultPlainDurationMs = 50;
 
 /** Prefill rate of an upstream that has no prefill, in tokens per second. */
-const withoutPrefill = 1e9;
+const unlimitedTokensPerSecond = 1e9;
 
-const defaultOutput = 256;
+const defaultOutputTokens = 256;
 
 /**
  * @param state - Core state.
@@ -36,7 +36,7 @@
 
 		case 'plain':
 		case 'legacy': {
-			return withoutPrefill;
+			return unlimitedTokensPerSecond;
 		}
 
 		default: {
@@ -64,7 +64,7 @@
 export function cautiousPrefillTime(state: State, upstream: Upstream, tokens: number): number {
 	const rate = prefillRate(state, upstream);
 	const spread = state.work.speeds.get(upstream.id)?.prefill?.spread ?? 0;
-	return tokens * 1000 / Math.max(rate - spread, rate * slowest);
+	return tokens * 1000 / Math.max(rate - spread, rate * minRateShare);
 }
 
 /**
@@ -77,7 +77,7 @@
 	const speed = state.work.speeds.get(upstream.id);
 	return upstream.kind === 'engine'
 		? tokens * (speed?.interval?.value ?? upstream.decodeInterval)
-		: speed?.duration?.value ?? plainDuration;
+		: speed?.duration?.value ?? defaultPlainDurationMs;
 }
 
 /**
@@ -87,17 +87,17 @@
  * @param request - Request.
  * @returns Expected tokens of its answer.
  */
-export function expectedOutput(state: State, request: Request): number {
-	const wanted = service(state, request.service);
-	if (wanted?.kind === 'plain') {
+export function estimateOutput(state: State, request: Request): number {
+	const requestedService = service(state, request.service);
+	if (requestedService?.kind === 'plain') {
 		return 1;
 	}
 
 	const {outputs} = state.work;
-	const common = outputs.get(outputKey(request.service))?.value ?? wanted?.expectedOutput ?? defaultOutput;
-	const own = outputs.get(outputKey(request.service, request.organisation));
+	const serviceMean = outputs.get(createOutputKey(request.service))?.value ?? requestedService?.expectedOutput ?? defaultOutputTokens;
+	const own = outputs.get(createOutputKey(request.service, request.organisation));
 	const count = own?.count ?? 0;
-	const expected = (((own?.value ?? 0) * count) + (common * trust)) / (count + trust);
+	const expected = (((own?.value ?? 0) * count) + (serviceMean * priorSamples)) / (count + priorSamples);
 	return Math.ceil(Math.min(expected, request.outputLimit ?? expected));
 }
 
@@ -111,8 +111,8 @@
  */
 export function cautiousDecodeTime(state: State, request: Request, upstream: Upstream): number {
 	const {speeds, outputs} = state.work;
-	const expected = expectedOutput(state, request);
-	const longer = expected + (caution * (outputs.get(outputKey(request.service))?.spread ?? 0));
+	const expected = estimateOutput(state, request);
+	const longer = expected + (conservativeSpreads * (outputs.get(createOutputKey(request.service))?.spread ?? 0));
 	const tokens = Math.min(longer, request.outputLimit ?? longer);
 	const speed = speeds.get(upstream.id);
 	return decodeTime(state, upstream, tokens)
@@ -125,9 +125,9 @@
  * @param cached - Prompt tokens that the upstream is believed to hold.
  * @returns Work at that upstream.
  */
-export function estimate(state: State, request: Request, cached = 0): Estimate {
+export function estimate(state: State, request: Request, cached = 0): WorkEstimate {
 	return {
 		prefill: Math.max(request.promptTokens - cached, 1),
-		decode: expectedOutput(state, request),
+		decode: estimateOutput(state, request),
 	};
 }
--- a/src/core/features/work/types.ts
+++ b/src/core/features/work/types.ts
@@ -22,7 +22,7 @@
 export const initialWork: WorkState = {speeds: Table(), outputs: Table()};
 
 /** Work of a request at one upstream, in tokens. */
-export type Estimate = {
+export type WorkEstimate = {
 	readonly prefill: number;
 	readonly decode: number;
 };
@@ -32,6 +32,6 @@
  * @param organisation - Organisation, or nothing for all of them.
  * @returns The key of their answer length; names have no slash.
  */
-export function outputKey(service: string, organisation = ''): string {
+export function createOutputKey(service: string, organisation = ''): string {
 	return `${service}/${organisation}`;
 }
