--- a/src/core/features/circuits/commands.ts
+++ b/src/core/features/circuits/commands.ts
@@ -5,7 +5,7 @@
 import {codes} from '../../errors.js';
 import {failureThreshold, type Circuit} from './types.js';
 
-/** Time a circuit stays open at first and at most, in milliseconds; it doubles with each failure. */
+/** A circuit stays open for the minimum at first; each further failure doubles the time, up to the maximum. */
 const minOpenMs = 500;
 const maxOpenMs = 20_000;
 const maxCircuits = 1024;
@@ -16,10 +16,10 @@
 }
 
 /**
- * Tells failures of the upstream from those of the request: a refusal for load and an error answer are none.
+ * Distinguishes failures of the upstream from those of the request. A refusal for load and an error response do not count.
  *
  * @param ending - How an attempt ended.
- * @returns Whether the upstream is to blame.
+ * @returns Whether the attempt counts as a failure of the upstream.
  */
 export function isUpstreamFailure(ending: Ending): boolean {
 	switch (ending.type) {
@@ -56,7 +56,7 @@
 
 /**
  * @param state - Core state.
- * @param upstream - Upstream that answered.
+ * @param upstream - Upstream that answered or restarted.
  * @returns The next state.
  */
 export function closeCircuit(state: State, upstream: string): State {
--- a/src/core/features/circuits/feature.ts
+++ b/src/core/features/circuits/feature.ts
@@ -1,4 +1,4 @@
-/** A circuit for each upstream. */
+/** Circuit breakers: each upstream's consecutive failures open its circuit. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {closeCircuit, countFailure, isUpstreamFailure} from './commands.js';
--- a/src/core/features/circuits/queries.ts
+++ b/src/core/features/circuits/queries.ts
@@ -1,4 +1,4 @@
-/** Reads circuits. */
+/** Queries on circuits. */
 import {type State} from '../../types/state.js';
 import {view} from '../upstreams/queries.js';
 import {failureThreshold} from './types.js';
@@ -7,7 +7,7 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param now - Time in milliseconds.
- * @returns Whether an attempt may be sent: always while closed, never while open, one at a time after that.
+ * @returns Whether an attempt may be sent: always while the circuit is closed, never while open, then one at a time.
  */
 export function canAttempt(state: State, upstream: string, now: number): boolean {
 	const circuit = state.circuits.circuits.get(upstream);
--- a/src/core/features/circuits/types.ts
+++ b/src/core/features/circuits/types.ts
@@ -1,19 +1,19 @@
-/** Upstreams that fail and are left alone for a while. */
+/** Circuit breakers: an upstream that keeps failing is excluded for a while. */
 import {Map as Table} from 'immutable';
 
 export type Circuit = {
-	/** Failures without a success between them. */
+	/** Consecutive failures. */
 	readonly failures: number;
-	/** Time until which nothing is sent, in milliseconds; after it one attempt at a time. */
+	/** End of the open period, in milliseconds; after it one attempt is sent at a time until one succeeds. */
 	readonly openUntil: number;
 };
 
 export type CircuitsState = {
-	/** By upstream; absent where the last attempt was a success. */
+	/** By upstream; absent after a success. */
 	readonly circuits: Table<string, Circuit>;
 };
 
 export const initialCircuits: CircuitsState = {circuits: Table()};
 
-/** Failures in a row that open a circuit. */
+/** Consecutive failures that open a circuit. */
 export const failureThreshold = 3;
--- a/src/core/features/groups/commands/release.ts
+++ b/src/core/features/groups/commands/release.ts
@@ -1,18 +1,18 @@
-/** Gives holds back; the holds feature asks each engine until it confirms. */
+/** Releases holds; the holds feature repeats each release until the engine confirms it. */
 import {type State, type Step} from '../../../types/state.js';
 import {only} from '../../../utils/common.js';
 import {type Group, type GroupPart} from '../types.js';
 
-/** Parts that may be held: all that were ever asked for. */
+/** Returns the parts that may be held: all that were requested, answered or not. */
 function getRequestedParts({parts, progress}: Group): readonly GroupPart[] {
 	return progress.type === 'held' ? parts : parts.slice(0, progress.index + 1);
 }
 
 /**
  * @param state - Core state.
- * @param holds - Holds that are wanted no longer, each with its upstream.
- * @param reason - Why, for the log.
- * @returns The releases.
+ * @param holds - Holds that are no longer needed, each with its upstream.
+ * @param reason - Reason, for the log.
+ * @returns A step that releases them.
  */
 export function releaseHolds(state: State, holds: ReadonlyArray<Pick<GroupPart, 'hold' | 'upstream'>>, reason: string): Step {
 	return {
@@ -30,9 +30,9 @@
 
 /**
  * @param state - Core state.
- * @param request - Request whose group is over, whatever became of it.
- * @param reason - Why, for the log.
- * @returns The next state, with every hold given back.
+ * @param request - Request whose group has ended, with or without success.
+ * @param reason - Reason, for the log.
+ * @returns The next step, which releases all holds of the group.
  */
 export function dissolveGroup(state: State, request: string, reason: string): Step {
 	const group = state.groups.groups.get(request);
--- a/src/core/features/groups/commands/reserve.ts
+++ b/src/core/features/groups/commands/reserve.ts
@@ -1,4 +1,4 @@
-/** Seeks memory for a group: one engine after another, all or nothing, and never for long. */
+/** Reserves memory for a group: one engine after another, all or nothing, and with a limited wait. */
 import {type EventOf} from '../../../types/event.js';
 import {type Effect} from '../../../types/effect.js';
 import {type Request} from '../../../types/request.js';
@@ -9,15 +9,15 @@
 import {type Group, type GroupPart} from '../types.js';
 import {dissolveGroup, releaseHolds} from './release.js';
 
-/** Longest wait for one engine while others are held, in milliseconds. */
+/** Longest wait for one engine while others are held. */
 const maxWaitMs = 10_000;
-/** Time after which a refused hold is asked for again, in milliseconds. */
+/** A refused hold is requested again after this time. */
 const retryIntervalMs = 200;
-/** After a failure the service waits up to this long, drawn at random so that two hosts do not keep meeting, in milliseconds. */
+/** Longest backoff of a service after a failure; random, so that two hosts do not keep colliding. */
 const maxBackoffMs = 1000;
 /**
- * Memory is held on a lease that its owner renews, in milliseconds: when the owner dies, others give it back once the lease is
- * over, however long its request had.
+ * Memory is held on a lease that its owner renews. When the owner dies, other hosts release the memory once the lease expires,
+ * however long the deadline of its request.
  */
 const leaseDurationMs = 10_000;
 const renewalIntervalMs = 3000;
@@ -57,9 +57,9 @@
 
 /**
  * @param state - Core state.
- * @param request - Request whose prompt no engine holds alone.
+ * @param request - Request whose prompt does not fit into one engine.
  * @param context - Time and random source.
- * @returns The next state; the first engine is asked.
+ * @returns The next step, which requests memory at the first engine, or fails if the usable engines are too few.
  */
 export function formGroup(state: State, request: Request, context: Context): Step {
 	const parts = planGroup(state, request, context);
@@ -96,12 +96,12 @@
  * @param state - Core state.
  * @param event - An engine's answer.
  * @param context - Time and random source.
- * @returns The next state; memory granted to nobody is given back.
+ * @returns The next step; memory granted to a group that no longer exists is released.
  */
 export function handleHoldAnswer(state: State, event: EventOf<'hold-answered'>, context: Context): Step {
 	const group = findGroupByHold(state, event.hold);
 	if (group === undefined) {
-		return event.granted ? releaseHolds(state, [event], 'wanted no longer') : only(state);
+		return event.granted ? releaseHolds(state, [event], 'no longer needed') : only(state);
 	}
 
 	const {progress} = group;
@@ -136,7 +136,7 @@
 	return progress.type === 'held' ? parts : parts.slice(0, progress.index);
 }
 
-/** A lease that lapsed, because this process was paused, is not taken up again: its memory may be another's by now. */
+/** Renews a group's leases when due. A lease that expired while this process was paused is not renewed: others may hold the memory. */
 function renewLeases(state: State, request: string, context: Context): Step {
 	const group = state.groups.groups.get(request);
 	const age = context.now - (group?.renewedAt ?? context.now);
@@ -153,7 +153,7 @@
 /**
  * @param state - Core state.
  * @param context - Time and random source.
- * @returns The next state; refused holds are asked for again, and groups that waited too long are given up.
+ * @returns The next step, which requests refused holds again, abandons groups that waited too long, and renews leases.
  */
 export function advanceGroups(state: State, context: Context): Step {
 	return chain(
@@ -167,15 +167,15 @@
 
 /**
  * @param state - Core state.
- * @param upstream - Engine that has gone or started again.
+ * @param upstream - Engine that is unreachable or has restarted.
  * @param context - Time and random source.
- * @returns The next state, without groups that were to include it; those that run end with their attempt.
+ * @returns The next step, which abandons groups that are still being formed with it; running ones end with their attempt.
  */
 export function handleEngineLoss(state: State, upstream: string, context: Context): Step {
 	const affected = [...state.groups.groups.values()].filter(group =>
 		group.progress.type === 'asking' && group.parts.some(part => part.upstream === upstream));
 	return chain(
 		state,
-		...affected.map(({request}) => (current: State) => failGroup(current, request, context, `${upstream} is gone`)),
+		...affected.map(({request}) => (current: State) => failGroup(current, request, context, `${upstream} is unreachable or restarted`)),
 	);
 }
--- a/src/core/features/groups/feature.ts
+++ b/src/core/features/groups/feature.ts
@@ -1,4 +1,4 @@
-/** Groups of engines for prompts that no engine holds alone. */
+/** Groups of engines for prompts that do not fit into the memory of one engine. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {dissolveGroup} from './commands/release.js';
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -1,4 +1,4 @@
-/** Plans groups of engines. */
+/** Plans groups of engines: which engines take part, and which segment of the prompt each holds. */
 import {type Engine} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
@@ -8,13 +8,13 @@
 import {estimateOutput} from '../work/queries.js';
 import {type Group, type GroupPart} from './types.js';
 
-/** Part of an engine's memory that a segment may take, so that short prompts still fit beside it. */
+/** Largest share of an engine's memory that a segment may take, so that short prompts still fit beside it. */
 export const fill = 0.85;
 
-/** Groups of one service that a host forms or runs at a time. */
+/** Groups of one service that a host may form or run at a time. */
 const maxGroupsPerService = 2;
 
-/** Answers may grow longer than expected by this factor. */
+/** Memory is reserved for an answer this many times as long as expected. */
 const outputHeadroomFactor = 2;
 
 /**
@@ -31,7 +31,7 @@
 /**
  * @param state - Core state.
  * @param hold - Hold.
- * @returns The group it belongs to, if that still wants it.
+ * @returns The group that the hold belongs to; undefined if the group has been dissolved.
  */
 export function findGroupByHold(state: State, hold: string): Group | undefined {
 	return state.groups.groups.find(each => each.parts.some(part => part.hold === hold));
@@ -42,7 +42,7 @@
 	return Math.max(footprint, report?.usedMemory ?? 0);
 }
 
-/** As few engines as are enough, those with the most free memory. */
+/** Chooses as few engines as possible, those with the most free memory first; undefined if all are not enough. */
 function chooseEngines(engines: readonly Engine[], tokens: number, used: (engine: Engine) => number): readonly Engine[] | undefined {
 	const chosen: Engine[] = [];
 	let room = 0;
@@ -59,13 +59,13 @@
 }
 
 /**
- * Engines are listed, and later asked, in the order of their names. Everyone does so: of two hosts that want some of the
- * same engines, the one that holds the first of these is never kept waiting by the other for a later one.
+ * Plans a group. Parts are listed, and later requested, in the order of the engines' ids at every host, which prevents deadlock: of
+ * two hosts that need some of the same engines, the one that holds the first of these never waits for the other at a later one.
  *
  * @param state - Core state.
- * @param request - Request whose prompt no engine holds alone.
+ * @param request - Request whose prompt does not fit into one engine.
  * @param context - Time.
- * @returns The parts, or undefined if too few engines take requests.
+ * @returns The parts, or undefined if the usable engines are too few.
  */
 export function planGroup(state: State, request: Request, context: Context): readonly GroupPart[] | undefined {
 	const requestedService = service(state, request.service);
@@ -83,7 +83,7 @@
 	return chosen === undefined ? undefined : splitPrompt(state, request, chosen, output);
 }
 
-/** In proportion to memory; the last engine decodes, so its segment is shorter by the answer. */
+/** Splits the prompt in proportion to memory. The last engine decodes, so its segment is shorter by the answer. */
 function splitPrompt(state: State, request: Request, engines: readonly Engine[], output: number): readonly GroupPart[] {
 	const sorted = engines.toSorted((a, b) => a.id < b.id ? -1 : 1);
 	const {host, started} = state.self.incarnation;
--- a/src/core/features/groups/types.ts
+++ b/src/core/features/groups/types.ts
@@ -1,27 +1,27 @@
-/** Engines that hold one prompt together, each a segment of its KV cache. */
+/** Groups of engines, each of which holds a segment of one prompt's KV cache. */
 import {Map as Table} from 'immutable';
 import {type Request} from '../../types/request.js';
 
-/** Memory wanted at one engine. */
+/** Memory that a group needs at one engine. */
 export type GroupPart = {
 	readonly upstream: string;
 	readonly hold: string;
-	/** Tokens to hold: the segment, and the answer where it is decoded. */
+	/** Tokens to reserve: the segment, and the answer at the engine that decodes. */
 	readonly tokens: number;
 	/** Range of prompt tokens, the end excluded. */
 	readonly from: number;
 	readonly to: number;
 };
 
-/** What a group waits for; its engines are asked one after another, in the order of their names. */
+/** Progress of a group: its parts are requested one after another, in the order of the engines' ids. */
 export type GroupProgress
 	= | {
 		readonly type: 'asking';
-		/** The part that is asked for; those before it are held. */
+		/** Index of the part that is requested; those before it are held. */
 		readonly index: number;
-		/** Since when this part is asked for, in milliseconds. */
+		/** Time at which this part was first requested, in milliseconds. */
 		readonly since: number;
-		/** When to ask again; undefined while an answer is awaited. */
+		/** Time of the next request for it, in milliseconds; undefined while an answer is pending. */
 		readonly retryAt?: number;
 	}
 	| {readonly type: 'held'};
@@ -30,16 +30,16 @@
 	readonly request: Request;
 	readonly parts: readonly GroupPart[];
 	readonly progress: GroupProgress;
-	/** When its leases were last renewed, in milliseconds. */
+	/** Time at which its leases were last renewed, in milliseconds. */
 	readonly renewedAt: number;
 };
 
 export type GroupsState = {
 	/** By request. */
 	readonly groups: Table<string, Group>;
-	/** Time before which a service tries no other group, in milliseconds. */
+	/** Time until which no other group is formed, in milliseconds, by service. */
 	readonly backoffDeadlines: Table<string, number>;
-	/** Groups tried so far; part of each hold's name. */
+	/** Groups attempted so far; makes the ids of holds unique. */
 	readonly attempts: number;
 };
 
--- a/src/core/features/limits/commands.ts
+++ b/src/core/features/limits/commands.ts
@@ -1,4 +1,4 @@
-/** Keeps the accounts of organisations that have limits. */
+/** Updates the accounts of organisations that have limits. */
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {trim} from '../../utils/bounded.js';
@@ -25,7 +25,7 @@
 }
 
 /**
- * Counts demand, whether or not the request is admitted later.
+ * Counts a request's demand, whether or not it is admitted.
  *
  * @param state - Core state.
  * @param request - Request that arrived.
--- a/src/core/features/limits/feature.ts
+++ b/src/core/features/limits/feature.ts
@@ -1,4 +1,4 @@
-/** Limits of organisations, shared between hosts by published demand alone. */
+/** Limits of organisations. Hosts divide each limit by the demand that they publish, without further coordination. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {charge, countDemand} from './commands.js';
--- a/src/core/features/limits/queries.ts
+++ b/src/core/features/limits/queries.ts
@@ -1,4 +1,4 @@
-/** Works out this host's part of an organisation's limits from what everyone publishes of the demand. */
+/** Computes this host's share of each organisation's limits from the demand that all hosts publish. */
 import {type Organisation} from '../../types/configuration.js';
 import {type Demand} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
@@ -9,13 +9,13 @@
 import {runningOf} from '../requests/queries.js';
 import {demandWindowMs, noAccount, type Account} from './types.js';
 
-/** Organisations whose demand one host publishes, the largest first. */
+/** Organisations whose demand one host publishes; those with the largest demand are kept. */
 const maxPublishedDemands = 64;
 
-/** What may be given at once, as time of the limit, in seconds. */
+/** Burst that an organisation may use at once, as the amount that its limit grants in this time. */
 const burstSeconds = 1;
 
-/** Demand of a host that asks for nothing yet, in tokens per second, so that shares add up from the start. */
+/** Added to each host's demand, so that the shares add up to 1 before any demand is measured. */
 const minDemandTokensPerSecond = 1;
 
 const demandTables = new WeakMap<readonly Demand[], ReadonlyMap<string, Demand>>();
@@ -33,7 +33,7 @@
 /**
  * @param state - Core state.
  * @param now - Time in milliseconds.
- * @returns Demand at this host of organisations that have a limit, as it is published to peers.
+ * @returns Demand at this host by organisations that have a limit, as published to peers.
  */
 export function ownDemands(state: State, now: number): readonly Demand[] {
 	return [...state.limits.accounts.entries()]
@@ -47,10 +47,13 @@
 		.slice(0, maxPublishedDemands);
 }
 
-/** Demand of one failure domain: what was heard of it, scaled to the hosts that are known there. */
+/** Demand of one failure domain, as the live peers there publish it. */
 type DomainDemand = {
+	/** Peers whose heartbeats or digests arrive. */
 	readonly live: number;
+	/** Peers that are not known to be dead, live ones included. */
 	readonly known: number;
+	/** Sum over the live peers, in tokens per second. */
 	readonly demand: number;
 };
 
@@ -74,13 +77,13 @@
 }
 
 /**
- * By demand among everyone heard. A failure domain from which nobody is heard keeps its even part to itself, so that
- * both sides of a cut together stay within the limit.
+ * Divides the limits in proportion to demand. A failure domain without live peers is left an even part, so that both sides of a
+ * network partition together stay within the limit.
  *
  * @param state - Core state.
  * @param id - Organisation.
  * @param now - Time in milliseconds.
- * @returns This host's part of the organisation's limits, from 0 to 1.
+ * @returns This host's share of the organisation's limits, from 0 to 1.
  */
 export function share(state: State, id: string, now: number): number {
 	const own = perSecond((state.limits.accounts.get(id) ?? noAccount).tokens, now, demandWindowMs) + minDemandTokensPerSecond;
@@ -91,7 +94,7 @@
 		const known = others.get(domain.id);
 		const isOwn = domain.id === state.self.failureDomain;
 		if (known !== undefined && known.live > 0) {
-			// Of the own domain every connected host is heard itself; of another one only a few are.
+			// Every connected host of this domain is live; of another domain only a few are, so their demand is scaled up.
 			total += isOwn ? known.demand : known.demand * known.known / known.live;
 		} else if (!isOwn) {
 			cutOffDomains += 1;
@@ -105,9 +108,9 @@
 /**
  * @param account - Account.
  * @param limits - Limits over the whole fleet.
- * @param share - This host's part of them.
+ * @param share - This host's share of them, from 0 to 1.
  * @param now - Time in milliseconds.
- * @returns The account with its debts paid up to now.
+ * @returns The account with its debts reduced by what the limits granted since they were last settled.
  */
 export function settleDebts(account: Account, limits: Organisation['limits'], share: number, now: number): Account {
 	const seconds = Math.max(now - account.at, 0) / 1000;
@@ -119,7 +122,7 @@
 	};
 }
 
-/** Time until a debt is small enough, in milliseconds. */
+/** Computes the time until a debt is within the allowed burst, in milliseconds. */
 function computeWait(debt: number, rate: number, minAllowed: number): number {
 	const allowed = Math.max(rate * burstSeconds, minAllowed);
 	return debt < allowed ? 0 : ((debt - allowed) * 1000 / rate) + 1;
@@ -129,7 +132,7 @@
  * @param state - Core state.
  * @param request - Request that arrived.
  * @param now - Time in milliseconds.
- * @returns Time until the organisation's limits may allow it, in milliseconds; 0 if they do.
+ * @returns Time until the organisation's limits may allow it, in milliseconds; 0 if they allow it now.
  */
 export function limitedFor(state: State, request: Request, now: number): number {
 	const limits = organisation(state, request.organisation)?.limits;
--- a/src/core/features/limits/types.ts
+++ b/src/core/features/limits/types.ts
@@ -1,15 +1,16 @@
-/** Limits of organisations over the whole fleet, as one host keeps its part of them. */
+/** State of the organisations' limits at this host. Limits hold for the whole fleet; each host enforces its share. */
 import {Map as Table} from 'immutable';
 import {noRate, type Rate} from '../../utils/rates.js';
 
-/** What an organisation asks for at this host, and what it was given beyond its rate. */
+/** An organisation's demand at this host, and its debts: a leaky bucket for requests and one for tokens. */
 export type Account = {
+	/** Demand, whether admitted or not. */
 	readonly requests: Rate;
 	readonly tokens: Rate;
-	/** Requests and tokens admitted and not yet covered by the limit as time passes. */
+	/** Requests and tokens admitted and not yet covered by the limit's rate. */
 	readonly requestDebt: number;
 	readonly tokenDebt: number;
-	/** Time up to which the debts were paid, in milliseconds. */
+	/** Time at which the debts were last settled, in milliseconds. */
 	readonly at: number;
 };
 
@@ -18,11 +19,11 @@
 };
 
 export type LimitsState = {
-	/** By organisation; only those that have a limit. */
+	/** By organisation; only those that have limits. */
 	readonly accounts: Table<string, Account>;
 };
 
 export const initialLimits: LimitsState = {accounts: Table()};
 
-/** Time over which demand is counted, in milliseconds. */
+/** Window of the demand rates. */
 export const demandWindowMs = 5000;
--- a/src/core/features/placement/commands/orders.ts
+++ b/src/core/features/placement/commands/orders.ts
@@ -1,4 +1,4 @@
-/** Changes to one engine's conduct. */
+/** Sends orders to one engine that this host controls, and handles its answers. */
 import {type Engine} from '../../../types/configuration.js';
 import {type EventOf} from '../../../types/event.js';
 import {type Effect} from '../../../types/effect.js';
@@ -10,13 +10,13 @@
 import {isSameTarget, countLoadsNeeded} from '../queries.js';
 import {type ControlledEngine, type OrderProgress} from '../types.js';
 
-/** Milliseconds until an engine is looked at again after an order that it took, and after one that failed. */
+/** Time until an engine is reconciled again: after an accepted order, and after a failed one. */
 const settleDelayMs = 1500;
 const failureDelayMs = 1000;
 
 /**
  * @param state - Core state.
- * @param control - Conduct as it is now.
+ * @param control - New control state of its engine.
  * @returns The next state.
  */
 export function setControlled(state: State, control: ControlledEngine): State {
@@ -33,10 +33,10 @@
 }
 
 /**
- * Leaves an engine alone for a while, and gives back the load that was kept for it.
+ * Takes no action on an engine for a while, and returns the load that was reserved for it.
  *
  * @param state - Core state.
- * @param control - Conduct of the engine.
+ * @param control - Control state of the engine.
  * @param until - Monotonic time in milliseconds.
  * @returns The next state.
  */
@@ -52,10 +52,10 @@
 
 /**
  * @param state - Core state.
- * @param control - Conduct of the engine.
+ * @param control - Control state of the engine.
  * @param engine - Engine.
  * @param now - Monotonic time in milliseconds.
- * @returns A step that asks the engine for its orders.
+ * @returns A step that asks the engine for its current orders, and reserves a load if one may follow.
  */
 export function requestOrders(state: State, control: ControlledEngine, engine: Engine, now: number): Step {
 	const reserved = control.isSealed ? 1 : 0;
@@ -80,10 +80,10 @@
 }
 
 /**
- * Decides on a fresh account of the engine's orders: seals first, then orders what differs.
+ * Handles an engine's current orders: sends the seal first if it is missing, then a load if the target differs.
  *
  * @param state - Core state.
- * @param event - The engine's account.
+ * @param event - The engine's current orders.
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
@@ -133,7 +133,7 @@
 	}
 
 	if (!event.accepted) {
-		// Another host has ordered meanwhile: if this one still is the orderer, it seals again.
+		// Another host has sent an order in the meantime. If this host still controls the engine, it seals again.
 		return {
 			state: setControlled(state, {...control, isSealed: false, progress: {type: 'waiting', until: now + failureDelayMs}}),
 			effects: [{type: 'count', name: 'placement.refused', value: 1}],
--- a/src/core/features/placement/commands/reconcile.ts
+++ b/src/core/features/placement/commands/reconcile.ts
@@ -1,4 +1,4 @@
-/** Looks at the engines from time to time: takes over, gives up, and begins changes. */
+/** Reconciles engines with their targets: takes control, gives it up, and starts changes. */
 import {Set as Group} from 'immutable';
 import {type Engine} from '../../../types/configuration.js';
 import {
@@ -14,16 +14,15 @@
 import {type ControlledEngine} from '../types.js';
 import {backOff, setControlled, requestOrders} from './orders.js';
 
-/** Milliseconds between two looks. */
 const reconcileIntervalMs = 100;
 
-/** Milliseconds after which a question or an order without an answer is given up. */
+/** A query or an order without an answer is abandoned after this time. */
 const answerTimeoutMs = 3000;
 
-/** Milliseconds that orders of an earlier orderer get to arrive at an engine that ignores numbers. */
+/** Delay before the first order to an engine that ignores order numbers: late orders of its previous controller arrive first. */
 const takeoverDelayMs = 3000;
 
-/** Milliseconds that running requests get before an engine changes. */
+/** Longest wait for running requests before an engine changes. */
 const drainTimeoutMs = 600_000;
 
 function findChangingEngines(state: State, changeable: readonly Engine[]): Group<string> {
@@ -31,7 +30,7 @@
 	return Group(replaced.map(engine => engine.id));
 }
 
-/** Engines that this host has become the orderer of get a new conduct, others lose theirs. */
+/** Adds the engines that this host now controls, and removes those that it no longer controls. */
 function updateControlled(state: State, engines: readonly Engine[], now: number): State {
 	const getController = orderers(state);
 	const {host} = state.self.incarnation;
@@ -98,7 +97,7 @@
 /**
  * @param state - Core state.
  * @param context - Time.
- * @returns The next step; without change between two looks.
+ * @returns The next step; without change until the next reconciliation is due.
  */
 export function reconcile(state: State, {now, wall}: Context): Step {
 	if (now < state.placement.nextReconciliation || state.configuration.inForce === undefined) {
--- a/src/core/features/placement/feature.ts
+++ b/src/core/features/placement/feature.ts
@@ -1,11 +1,11 @@
-/** Placement: has engines hold what the document says, through one orderer for each. */
+/** Model placement: one host, the engine's controller, orders each engine to load what the configuration assigns to it. */
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {handleOrdersRead, handleOrderAnswered} from './commands/orders.js';
 import {reconcile} from './commands/reconcile.js';
 import {initialPlacement} from './types.js';
 
-/** After a pause another host may order in this one's place: everything is taken over anew, hold-off and seal included. */
+/** After a pause of the process another host may control its engines, so each is taken over again, with delay and seal. */
 function resetControl(state: State): State {
 	return {...state, placement: {...state.placement, controlled: initialPlacement.controlled}};
 }
--- a/src/core/features/placement/numbers.ts
+++ b/src/core/features/placement/numbers.ts
@@ -1,7 +1,7 @@
-/** Order numbers: the revision that an order follows, then a count, so that an older document never outnumbers a newer one. */
+/** Order numbers: the revision is the high part, a count the low part, so that orders of an older revision never win. */
 import {type OrderNumber} from '../../types/upstream.js';
 
-/** Orders that one revision has numbers for. */
+/** Order numbers available to each revision. */
 const ordersPerRevision = 2 ** 20;
 
 /**
@@ -15,9 +15,9 @@
 
 /**
  * @param revision - Revision in force.
- * @param host - Host that orders.
+ * @param host - Host that sends the order.
  * @param highest - Highest number that the engine has seen.
- * @returns A number above it.
+ * @returns A higher number, at least the first of the revision.
  */
 export function nextNumber(revision: number, host: string, highest: OrderNumber | undefined): OrderNumber {
 	return {counter: Math.max(revision * ordersPerRevision, (highest?.counter ?? 0) + 1), host};
--- a/src/core/features/placement/queries.ts
+++ b/src/core/features/placement/queries.ts
@@ -1,4 +1,4 @@
-/** What engines should hold, who orders it, and which may change now. Pure: hosts with the same view answer alike. */
+/** Determines the controller of each engine and the engines that may change now. Hosts with the same view agree on both. */
 import {type Engine, type Target} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
 import {hashText, mix, rank} from '../../utils/hashes.js';
@@ -6,13 +6,13 @@
 import {servingHosts} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 
-/** At most this part of a service's engines in a failure domain changes at a time. */
+/** Largest share of a service's engines in a failure domain that may change at a time. */
 const maxChangingShare = 0.25;
 
 /**
  * @param a - What an engine holds.
  * @param b - What it should hold.
- * @returns Whether both have the same weights.
+ * @returns Whether both have the same weights, that is, model and version.
  */
 export function hasSameWeights(a: Target | undefined, b: Target): boolean {
 	return a?.model === b.model && a.version === b.version;
@@ -21,7 +21,7 @@
 /**
  * @param a - What an engine holds.
  * @param b - What it should hold.
- * @returns Whether they are the same; the order of adapters does not matter.
+ * @returns Whether they are equal; the order of adapters does not matter.
  */
 export function isSameTarget(a: Target | undefined, b: Target): boolean {
 	return hasSameWeights(a, b)
@@ -42,7 +42,7 @@
 
 /**
  * @param state - Core state.
- * @returns A function that names the host that orders an engine, by rendezvous over the hosts that serve here.
+ * @returns A function that returns the host that controls an engine, by rendezvous hashing over the serving hosts of this domain.
  */
 export function orderers(state: State): (engine: Engine) => string | undefined {
 	const hosts = servingHosts(state, state.self.failureDomain)
@@ -63,7 +63,7 @@
 /**
  * @param state - Core state.
  * @param engine - Engine.
- * @returns Whether it is last known to hold, or to load, something else than its target.
+ * @returns Whether its last report shows that it holds, or is loading, something other than its target.
  */
 export function isOffTarget(state: State, engine: Engine): boolean {
 	const {report} = view(state, engine.id);
@@ -74,12 +74,12 @@
 	return mix(hashText(engine.id), 0);
 }
 
-/** Of one service: engines that are off and ready change in one order, while enough others stay ready. */
+/** Selects the ready engines of one service that may change now, in an order on which hosts agree; at least `minReady` stay. */
 function selectChangeable(state: State, engines: readonly Engine[], minReady: number): readonly Engine[] {
 	const ready = engines.filter(engine => isReady(state, engine));
 	const maxChanging = Math.max(1, Math.floor(engines.length * maxChangingShare));
 	const allowed = Math.max(0, Math.min(maxChanging, engines.length - minReady));
-	// What is already loading counts among those that change; what cannot be reached does not hold the others up.
+	// Engines that are loading count as changing. Unreachable ones do not, or they would block the others.
 	const loadingCount = engines.filter(engine => isLoading(state, engine)).length;
 	return ready
 		.filter(engine => isOffTarget(state, engine))
@@ -90,7 +90,7 @@
 
 /**
  * @param state - Core state.
- * @returns Ready engines of this failure domain that may load something else now.
+ * @returns Ready engines of this failure domain that may load a different target now.
  */
 export function findChangeableEngines(state: State): readonly Engine[] {
 	const groups = new Map<string, Engine[]>();
@@ -112,7 +112,7 @@
 /**
  * @param current - What an engine holds.
  * @param target - What it should hold.
- * @returns Loads that the change takes from the weight store.
+ * @returns Loads from the weight store that the change needs.
  */
 export function countLoadsNeeded(current: Target | undefined, target: Target): number {
 	const isReplacement = !hasSameWeights(current, target);
--- a/src/core/features/placement/store.ts
+++ b/src/core/features/placement/store.ts
@@ -1,15 +1,18 @@
 /**
- * The weight store's rate, shared without shared state: wall-clock time is cut into slots of one load, slots go to failure
- * domains in turn, and within a domain to its serving hosts in turn. A domain that is cut off keeps its own slots.
+ * Divides the weight store's rate among hosts without communication. Wall-clock time is divided into slots of one load; slots
+ * are assigned to failure domains in turn, and within a domain to its serving hosts in turn. A partitioned domain keeps its
+ * own slots.
  */
 import {type State} from '../../types/state.js';
 import {servingHosts} from '../membership/queries.js';
 
 const secondMs = 1000;
 
-/** What was saved up to and is owned now. */
+/** Loads that this host may order. */
 export type Credit = {
+	/** Loads; negative while more were ordered than earned. */
 	readonly credit: number;
+	/** Last slot that was counted. */
 	readonly slot: number;
 };
 
@@ -21,7 +24,7 @@
 /**
  * @param state - Core state.
  * @param wall - Wall-clock time in milliseconds since 1970.
- * @returns Credit with the slots that have passed since; slots older than a second are lost.
+ * @returns Credit with this host's slots that have passed since the last one counted; slots older than a second expire.
  */
 export function earnCredit(state: State, wall: number): Credit {
 	const {inForce} = state.configuration;
@@ -40,7 +43,7 @@
 		earned += isOwn(state, domains, hosts, next) ? 1 : 0;
 	}
 
-	// At most one load is saved up, or what one second gives; a debt is paid off first.
+	// Saves at most one load, or the loads of one second if that is more; earned slots reduce a negative credit first.
 	const maxCredit = Math.max(1, rate / domains.length / Math.max(1, hosts.length));
 	const saved = Number.isFinite(credit) ? credit : 0;
 	return {credit: Math.min(maxCredit, saved + earned), slot: Math.max(slot, last)};
--- a/src/core/features/placement/types.ts
+++ b/src/core/features/placement/types.ts
@@ -1,35 +1,35 @@
-/** Orders to engines: what this host, as the orderer of some, is doing with each. */
+/** Placement state: the engines that this host controls, and the progress of its orders to each. */
 import {Map as Table, Set as Group} from 'immutable';
 import {type OrderNumber} from '../../types/upstream.js';
 
 /** Times are monotonic, in milliseconds. */
 export type OrderProgress
-	/** Nothing before this time. */
+	/** No action before this time. */
 	= | {readonly type: 'waiting'; readonly until: number}
-	/** The engine was asked for its orders afresh; a load that may follow is already taken from the credit. */
+	/** The engine was asked for its current orders; `reserved` loads are already taken from the credit. */
 		| {readonly type: 'reading'; readonly since: number; readonly reserved: number}
 	/** An order was sent. */
 		| {readonly type: 'ordering'; readonly since: number; readonly number: OrderNumber};
 
-/** One engine that this host orders. */
+/** An engine that this host controls. */
 export type ControlledEngine = {
 	readonly upstream: string;
-	/** Whether older numbers are refused since this host took over, or never will be. */
+	/** Set once the engine refuses older numbers since this host took over, or if it does not check numbers at all. */
 	readonly isSealed: boolean;
 	readonly progress: OrderProgress;
-	/** Since when its running requests are waited for, in milliseconds. */
+	/** Time since which this host waits for its running requests to finish, in milliseconds. */
 	readonly draining?: number;
 };
 
 export type PlacementState = {
-	/** Engines that this host orders. */
+	/** Engines that this host controls, by id. */
 	readonly controlled: Table<string, ControlledEngine>;
-	/** Engines about to load other weights, by every host's own account: they get no new work. */
+	/** Engines about to load other weights, as each host computes for itself; they are sent no new work. */
 	readonly changing: Group<string>;
-	/** Loads that this host may order, and the last slot of the weight store that was counted. */
+	/** Loads that this host may order, and the last of the weight store's slots that was counted. */
 	readonly credit: number;
 	readonly slot: number;
-	/** Monotonic time of the next look, in milliseconds. */
+	/** Monotonic time of the next reconciliation, in milliseconds. */
 	readonly nextReconciliation: number;
 };
 
--- a/src/core/features/polling/feature.ts
+++ b/src/core/features/polling/feature.ts
@@ -1,4 +1,4 @@
-/** Shares load reports between the hosts of a failure domain, so that reading them costs each host little. */
+/** Shares load reports among the hosts of a failure domain, so that each host polls only some of the engines. */
 import {type Effect} from '../../types/effect.js';
 import {type Event} from '../../types/event.js';
 import {type Report} from '../../types/upstream.js';
@@ -8,15 +8,15 @@
 import {view} from '../upstreams/queries.js';
 import {type DatedReport} from './types.js';
 
-/** Milliseconds between two tellings to few peers, and to many. */
+/** Interval between two publications to at most `maxFrequentPeers` peers, and to more. */
 const publishIntervalMs = 500;
 const widePublishIntervalMs = 2000;
 const maxFrequentPeers = 8;
 
-/** Milliseconds after which peers are told again though nothing changed; shorter than what they take for silence. */
+/** An unchanged report is published again after this time, before its receivers would consider it overdue. */
 const republishIntervalMs = 2000;
 
-/** Share of an engine's memory or of its queue that counts as a change. */
+/** A difference of more than this share of an engine's memory or queue counts as a change. */
 const changeThreshold = 0.05;
 
 function isChanged(one: number, other: number, whole: number): boolean {
@@ -63,7 +63,7 @@
 	};
 }
 
-/** A report older than the one held would bring back an engine's earlier incarnation. */
+/** Skips reports older than the current one, which could restore an earlier incarnation of the engine. */
 function handleReports(state: State, reports: readonly Report[], now: number): Step {
 	const newer = reports.filter(report => now - report.age > (view(state, report.upstream).reportedAt ?? Number.NEGATIVE_INFINITY));
 	return {
--- a/src/core/features/polling/queries.ts
+++ b/src/core/features/polling/queries.ts
@@ -1,11 +1,11 @@
-/** Chooses the engines that this host asks for a load report. */
+/** Chooses the engines that this host polls for a load report. */
 import {type Engine} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
 import {firstChoices, hashText} from '../../utils/hashes.js';
 import {servingHosts} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 
-/** Milliseconds after which a report that another host should have brought is read by this one. */
+/** A host polls an engine that another host should poll once its last report is older than this. */
 const overdueAgeMs = 5000;
 
 /**
@@ -19,13 +19,13 @@
 }
 
 /**
- * Each engine is read by one host of its failure domain, chosen alike by all; the others read it only when no report of it
- * comes.
+ * Each engine is polled by one host of its failure domain, on which all agree by rendezvous hashing; the others poll it only when
+ * its reports do not arrive.
  *
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @param interval - Milliseconds between two reports of one engine.
- * @returns Engines to read now, those whose report is oldest first.
+ * @param interval - Polling interval of an engine, in milliseconds.
+ * @returns Engines to poll now, oldest report first.
  */
 export function readingsDue(state: State, now: number, interval: number): readonly Engine[] {
 	const hosts = servingHosts(state, state.self.failureDomain)
--- a/src/core/features/polling/types.ts
+++ b/src/core/features/polling/types.ts
@@ -1,8 +1,8 @@
-/** Which engines this host asks for load reports, and what it tells its peers of them. */
+/** State of the load reports that this host publishes to its peers. */
 import {Map as Table} from 'immutable';
 import {type Report} from '../../types/upstream.js';
 
-/** A report with the time at which its figures were true. */
+/** A report with the time at which its figures were measured. */
 export type DatedReport = {
 	readonly report: Report;
 	/** Monotonic time in milliseconds. */
@@ -10,11 +10,11 @@
 };
 
 export type PollingState = {
-	/** Reports read here and not yet told to peers, by upstream. */
+	/** Reports polled by this host and not yet published, by upstream. */
 	readonly unpublished: Table<string, DatedReport>;
-	/** What peers were told last, by upstream. */
+	/** Last published reports, by upstream. */
 	readonly published: Table<string, DatedReport>;
-	/** Monotonic time of the next telling, in milliseconds. */
+	/** Monotonic time of the next publication, in milliseconds. */
 	readonly nextPublication: number;
 };
 
--- a/src/core/features/prefixes/commands.ts
+++ b/src/core/features/prefixes/commands.ts
@@ -1,4 +1,4 @@
-/** Changes the prefix index. */
+/** Updates the prefix index. */
 import {Map as Table} from 'immutable';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
@@ -7,11 +7,10 @@
 import {findHolders} from './queries.js';
 import {sampleDepths, type Blocks, type PrefixesState} from './types.js';
 
-/** Blocks of one generation; there are two. */
+/** Blocks in each of the two generations. */
 const maxGenerationBlocks = 16_384;
-/** Upstreams remembered for one block. */
 const maxHoldersPerBlock = 8;
-/** Blocks that are taken from one cache event beside those already known. */
+/** Blocks not yet in the index that are added from one cache event. */
 const maxNewBlocksPerEvent = 32;
 
 function updatePrefixes(state: State, part: Partial<PrefixesState>): State {
@@ -52,7 +51,7 @@
 
 /**
  * @param state - Core state.
- * @param upstream - Upstream that holds nothing any more.
+ * @param upstream - Upstream whose cache is empty.
  * @returns The next state.
  */
 export function clearUpstream(state: State, upstream: string): State {
@@ -63,7 +62,7 @@
 /**
  * @param state - Core state.
  * @param request - Request that was sent.
- * @param upstream - Upstream that will hold its prompt.
+ * @param upstream - Upstream that will cache its prompt.
  * @returns The next state.
  */
 export function recordRequest(state: State, request: Request, upstream: string): State {
@@ -72,8 +71,8 @@
 
 /**
  * @param state - Core state.
- * @param upstream - Upstream that published a change.
- * @param cacheChange - The change.
+ * @param upstream - Upstream that published the change.
+ * @param cacheChange - Change of its cache.
  * @returns The next state.
  */
 export function applyCacheChange(state: State, upstream: string, cacheChange: CacheChange): State {
--- a/src/core/features/prefixes/feature.ts
+++ b/src/core/features/prefixes/feature.ts
@@ -1,4 +1,4 @@
-/** Prefix index: learns from this host's own sends and from what engines publish of their caches. */
+/** Prefix index: maintained from the requests that this host sends and the cache events that engines publish. */
 import {type EventOf} from '../../types/event.js';
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
--- a/src/core/features/prefixes/queries.ts
+++ b/src/core/features/prefixes/queries.ts
@@ -1,4 +1,4 @@
-/** Reads the prefix index. */
+/** Queries on the prefix index. */
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {sampleDepths, type Holder} from './types.js';
@@ -6,7 +6,7 @@
 /**
  * @param state - Core state.
  * @param block - Hash of a block.
- * @returns Upstreams believed to hold it.
+ * @returns Upstreams believed to cache it, most recent first.
  */
 export function findHolders(state: State, block: string): readonly Holder[] {
 	const {young, old, epochs} = state.prefixes;
@@ -17,7 +17,7 @@
 /**
  * @param state - Core state.
  * @param request - Request.
- * @returns Prompt tokens that upstreams are believed to hold, by upstream; those with none are absent.
+ * @returns Prompt tokens believed to be cached, by upstream, longest match first; upstreams with none are absent.
  */
 export function cachedTokens(state: State, request: Request): ReadonlyMap<string, number> {
 	const found = new Map<string, number>();
--- a/src/core/features/prefixes/types.ts
+++ b/src/core/features/prefixes/types.ts
@@ -1,33 +1,34 @@
-/** Which upstreams are believed to hold which prompt prefixes: a hint, bounded and at times wrong. */
+/** Index of the prompt prefixes that upstreams are believed to cache. It is bounded, and only a hint: entries may be stale. */
 import {Map as Table} from 'immutable';
 
-/** An upstream that is believed to hold a block. */
+/** An upstream that is believed to cache a block. */
 export type Holder = {
 	readonly upstream: string;
-	/** Holders of an earlier epoch than the upstream's are void. */
+	/** Epoch of the upstream when the holder was added; holders of earlier epochs are ignored. */
 	readonly epoch: number;
 };
 
 export type Blocks = Table<string, readonly Holder[]>;
 
 export type PrefixesState = {
-	/** Blocks used lately. When they are too many they become the old ones, and the old ones go. */
+	/** Recently used blocks. When full, this generation replaces the old one, which is discarded. */
 	readonly young: Blocks;
 	readonly old: Blocks;
-	/** By upstream; raised when its cache is cleared or it restarts. */
+	/** By upstream; incremented when its cache is cleared or it restarts. */
 	readonly epochs: Table<string, number>;
 };
 
 export const initialPrefixes: PrefixesState = {young: Table(), old: Table(), epochs: Table()};
 
-/** Positions for each doubling of the depth; a match is found to within an eighth of its length. */
+/** Positions for each doubling of the depth: the length of a match is found to within an eighth. */
 const stepsPerDoubling = 8;
 
 /**
- * Chained hashes make one block stand for the whole prefix before it, so that a few depths are enough.
+ * Selects the block positions that are indexed. Hashes are chained, so one block identifies the whole prefix up to it and a few
+ * positions are enough.
  *
- * @param length - Blocks of a prompt.
- * @returns Indexes that are looked up and remembered, the same for every prompt up to its length, rising.
+ * @param length - Number of blocks of a prompt.
+ * @returns Positions in ascending order; a longer prompt has the same ones and more.
  */
 export function sampleDepths(length: number): readonly number[] {
 	const all: number[] = [];
--- a/src/core/features/retries/feature.ts
+++ b/src/core/features/retries/feature.ts
@@ -1,4 +1,4 @@
-/** Retry budget of each service: a share of its requests, saved up to a burst. */
+/** Retry budget of each service: every admitted request adds the configured ratio, up to a burst. */
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {service} from '../configuration/queries.js';
--- a/src/core/features/retries/queries.ts
+++ b/src/core/features/retries/queries.ts
@@ -1,4 +1,4 @@
-/** Decides whether an attempt that ended may be followed by another. */
+/** Decides whether a request may be retried after an attempt ended. */
 import {type Attempt, type Ending, type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
@@ -6,22 +6,22 @@
 import {service, upstream} from '../configuration/queries.js';
 import {estimate, prefillTime} from '../work/queries.js';
 
-/** Attempts of one request, the first included. */
+/** Attempts of one request, including the first. */
 const maxAttempts = 3;
 
-/** Failures that another upstream may not have. */
+/** Failures that may not recur at another upstream. */
 const retryableCodes: ReadonlySet<number> = new Set([codes.upstreamFailed, codes.streamCut, codes.frameMismatch]);
 
 /**
  * @param state - Core state.
  * @param id - Service.
- * @returns Retries that the service may still make.
+ * @returns Retries that the service has left; may be fractional.
  */
 export function getBudget(state: State, id: string): number {
 	return state.retries.budgets.get(id) ?? service(state, id)?.retryBudget.burst ?? 0;
 }
 
-/** Whether running the request once more is harmless: it never ran, or it may run twice and nothing was relayed. */
+/** Returns whether the request can run again: it never ran, or it is idempotent and nothing of the answer was relayed. */
 function isSafeToRepeat(request: Request, attempt: Attempt, ending: Ending): boolean {
 	switch (ending.type) {
 		case 'not-run': {
--- a/src/core/features/retries/types.ts
+++ b/src/core/features/retries/types.ts
@@ -1,8 +1,8 @@
-/** Retries that services have saved up. */
+/** Retry budgets of services. */
 import {Map as Table} from 'immutable';
 
 export type RetriesState = {
-	/** Retries left by service; a service that is absent has all of its burst. */
+	/** Retries left, by service; a service that is absent has its full burst. */
 	readonly budgets: Table<string, number>;
 };
 
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -1,4 +1,4 @@
-/** Finds the upstreams worth scoring for a request. */
+/** Selects the upstreams that are scored for a request, so that the cost of routing does not grow with the fleet. */
 import {type ModelService, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
@@ -13,20 +13,20 @@
 import {getModelLengthClass, segments} from './segments.js';
 import {type Search} from './types.js';
 
-/** Engines of a segment that are all scored; of more, these many are drawn. */
+/** A segment of at most this many engines is scored whole; of a larger one, this many are sampled. */
 const sampleSize = 8;
-/** First choices by the prompt's first block: where its prefix will be looked for, also by other hosts. */
+/** Engines chosen by hashing the prompt's first block: every host chooses the same ones, so equal prefixes meet there. */
 const homeCount = 2;
-/** Believed holders of the prefix that are scored, the longest match first. */
+/** Engines believed to cache the prefix that are scored, longest match first. */
 const maxHolders = 4;
-/** Engines kept for longer prompts that are looked at as well. */
+/** Engines reserved for longer prompts that are sampled as well. */
 const borrowedSampleSize = 4;
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param now - Time in milliseconds.
- * @returns Whether it takes requests, as far as is known.
+ * @returns Whether it is available and its circuit allows an attempt.
  */
 export function isUsable(state: State, upstream: Upstream, now: number): boolean {
 	return isUp(state, upstream) && canAttempt(state, upstream.id, now);
@@ -35,7 +35,7 @@
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns Whether it can be reached, says that it is ready and is not stopping; one never heard of counts as ready.
+ * @returns Whether it is reachable, ready and not stopping; an upstream without a report counts as ready.
  */
 export function isUp(state: State, upstream: Upstream): boolean {
 	const known = view(state, upstream.id);
@@ -43,14 +43,14 @@
 }
 
 /**
- * Open circuits, and upstreams where the request failed before, are passed over unless nothing else is left; those
- * where suspicion does not let it run are never taken.
+ * Skips upstreams with an open circuit and those where the request failed before, unless there are no others. Upstreams
+ * where suspicion forbids the request are never returned.
  *
  * @param state - Core state.
  * @param upstreams - Upstreams.
- * @param search - Request, and where it failed before.
+ * @param search - Request, and the upstreams where it failed before.
  * @param context - Time.
- * @returns Those that take the request.
+ * @returns Upstreams that can take the request; empty if there are none.
  */
 export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
 	const {request, avoided} = search;
@@ -61,10 +61,10 @@
 }
 
 /**
- * @param items - Anything to draw from.
- * @param size - Number wanted.
+ * @param items - Items.
+ * @param size - Largest size of the sample.
  * @param context - Random source.
- * @returns All, or so many drawn without repeats, in random order.
+ * @returns Up to `size` items without repeats, in random order.
  */
 export function draw<T>(items: readonly T[], size: number, context: Context): readonly T[] {
 	const remaining = [...items];
@@ -82,7 +82,7 @@
 const hashCache = new Map<string, number>();
 const maxCachedHashes = 4096;
 
-/** The hash of an upstream's name never changes. */
+/** Returns the hash of an upstream's id; cached, since ids are hashed for every request. */
 function getHash(upstream: string): number {
 	const cached = hashCache.get(upstream);
 	if (cached !== undefined) {
@@ -108,13 +108,13 @@
 	return firstChoices(hashText(firstBlock), members, homeCount).map(each => each.upstream);
 }
 
-/** What the search for an engine needs. */
+/** A search for an engine of a model service. */
 type EngineSearch = {
 	readonly state: State;
 	readonly request: Request;
 	readonly requestedService: ModelService;
 	readonly all: readonly Upstream[];
-	/** Of all, those that take requests. */
+	/** The subset of `all` that can take the request. */
 	readonly usable: readonly Upstream[];
 	readonly prompt: Prompt;
 	readonly context: Context;
@@ -125,14 +125,14 @@
 	return assessUpstream(state, upstream, prompt, context.now);
 }
 
-/** Longer prompts' engines: idle ones for a middle prompt, any for a short one, as it goes first there. */
+/** Samples engines of longer prompts: any for a short prompt, which has precedence there, only idle ones for a middle one. */
 function sampleLongerSegments(search: EngineSearch, engines: readonly Upstream[]): readonly Assessment[] {
 	return draw(engines, borrowedSampleSize, search.context)
 		.map(each => assessFor(search, each))
 		.filter(each => each.length === 'short' || isIdle(each));
 }
 
-/** Holders of the prefix outside the segment, where what is left to do is as short as what they are kept for. */
+/** Assesses engines of any segment that cache so much of the prompt that the remaining prefill counts as short. */
 function assessHolders(search: EngineSearch, usableIds: ReadonlyMap<string, Upstream>): readonly Assessment[] {
 	const assessments: Assessment[] = [];
 	for (const [id] of search.prompt.cached) {
@@ -152,7 +152,7 @@
 
 /**
  * @param search - Request, service and upstreams.
- * @returns Engines worth scoring, none twice.
+ * @returns Assessed engines to score, without duplicates.
  */
 export function findEngineCandidates(search: EngineSearch): readonly Assessment[] {
 	const {state, requestedService, request, context} = search;
--- a/src/core/features/routing/commands.ts
+++ b/src/core/features/routing/commands.ts
@@ -1,4 +1,4 @@
-/** Counts turns and arrivals. */
+/** Updates the round-robin turns and the arrival rates. */
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {increase} from '../../utils/rates.js';
--- a/src/core/features/routing/feature.ts
+++ b/src/core/features/routing/feature.ts
@@ -1,4 +1,4 @@
-/** Routing: counts what arrives by length and whose turn it is. */
+/** Routing: counts arriving work by prompt length, and requests sent for round-robin. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {countArrival, advanceTurn} from './commands.js';
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -1,4 +1,4 @@
-/** Chooses an upstream for a request by the service's policy. */
+/** Chooses an upstream for a request according to the service's routing policy. */
 import {type Engine, type Service, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
@@ -15,10 +15,10 @@
 import {classOf} from './segments.js';
 import {type Choice, type Route, type Search} from './types.js';
 
-/** Candidates that are written to the log. */
+/** Candidates written to the decision log. */
 const maxLoggedCandidates = 5;
 
-/** Plain upstreams that are drawn and scored. */
+/** Plain upstreams that are sampled and scored. */
 const plainSampleSize = 4;
 
 /**
@@ -33,7 +33,7 @@
 /**
  * @param upstream - Upstream.
  * @param needed - KV memory needed, in tokens.
- * @returns Whether the request fits into it alone.
+ * @returns Whether the upstream alone has enough memory, whatever else runs there; always true if it is not an engine.
  */
 export function canFit(upstream: Upstream, needed: number): boolean {
 	return upstream.kind !== 'engine' || upstream.memory >= needed;
@@ -56,11 +56,11 @@
 	};
 }
 
-/** The upstreams that a search is about. */
+/** Upstreams that a search considers. */
 type EligibleUpstreams = {
-	/** As the configuration lists them. */
+	/** In the order of the configuration. */
 	readonly all: readonly Upstream[];
-	/** Of all, those that can take the request. */
+	/** The subset of `all` that can take the request. */
 	readonly eligible: readonly Upstream[];
 };
 
@@ -88,7 +88,7 @@
 	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), wanted, 'lowest cost');
 }
 
-/** A baseline takes an upstream whether it has room or not: the queue is then the upstream's own. */
+/** Baseline policies ignore whether the upstream has room: requests queue at the upstream instead of at the host. */
 function chooseBaseline(state: State, search: Search, upstream: Upstream | undefined, {now}: Context): Choice | undefined {
 	const assessments = upstream === undefined ? [] : [assessUpstream(state, upstream, describePrompt(state, search), now)];
 	return chooseBest(state, assessments, search.wanted, search.wanted.policy);
@@ -126,7 +126,7 @@
 	}
 }
 
-/** What the old scripts serve goes to them alone, and never to another failure domain. */
+/** Lists the upstreams of the search's failure domain. Legacy requests run only at legacy upstreams of this domain. */
 function listUpstreams(state: State, {request, wanted, failureDomain}: Search): readonly Upstream[] {
 	if (failureDomain === state.self.failureDomain) {
 		return upstreamsFor(state, request);
@@ -137,9 +137,9 @@
 
 /**
  * @param state - Core state.
- * @param search - What is routed, and where to.
+ * @param search - Request and failure domain.
  * @param context - Time and random source.
- * @returns Where to send the request now, that it must wait, or that nothing there can run it.
+ * @returns The chosen upstream, or that the request must wait, or that no upstream there can run it.
  */
 export function route(state: State, search: Search, context: Context): Route {
 	const all = listUpstreams(state, search);
@@ -157,7 +157,7 @@
 /**
  * @param state - Core state.
  * @param request - Request.
- * @returns Whether every engine of its service here is too small for it alone.
+ * @returns Whether each engine of its service in this failure domain is too small for it, so that it needs several.
  */
 export function needsGroup(state: State, request: Request): boolean {
 	const requestedService = service(state, request.service);
--- a/src/core/features/routing/score.ts
+++ b/src/core/features/routing/score.ts
@@ -1,4 +1,4 @@
-/** Scores an upstream for a request: lower is better, in milliseconds. */
+/** Scores upstreams for a request: estimated cost in milliseconds, lower is better. */
 import {type ModelService, type Service, type Upstream} from '../../types/configuration.js';
 import {type LengthClass} from '../../types/request.js';
 import {type State} from '../../types/state.js';
@@ -8,19 +8,19 @@
 import {decodeTime, prefillRate} from '../work/queries.js';
 
 /**
- * Prefill that an engine does not interrupt, in tokens: engines batch a chunk of a prompt at a time. It may have so much
- * before it while it is given more: enough to keep it at work between two of this host's decisions. Everything beyond
- * waits in the host's queue, where order can still change.
+ * Size of the chunks in which engines prefill a prompt; a chunk is not interrupted. An engine is sent more work while it has
+ * at most this much prefill queued: enough to keep it busy between two decisions of this host. Further requests wait in
+ * the host's queue, where they can still be reordered.
  */
 const prefillChunkTokens = 1024;
 
-/** An upstream as one request finds it. */
+/** The state of an upstream as it matters to one request. */
 export type Assessment = {
 	readonly upstream: Upstream;
 	readonly known: UpstreamView;
-	/** Everyone's work there. */
+	/** Outstanding work of all hosts. */
 	readonly work: Work;
-	/** Prompt tokens of the request that it is believed to hold, and those it would have to work on. */
+	/** Prompt tokens that it is believed to cache, and those that it would have to prefill. */
 	readonly cached: number;
 	readonly prefill: number;
 	readonly length: LengthClass;
@@ -28,11 +28,11 @@
 	readonly rate: number;
 };
 
-/** What of a request matters to an upstream. */
+/** The properties of a request's prompt that matter for scoring. */
 export type Prompt = {
 	readonly tokens: number;
 	readonly length: LengthClass;
-	/** Tokens believed to be held, by upstream. */
+	/** Tokens believed to be cached, by upstream. */
 	readonly cached: ReadonlyMap<string, number>;
 };
 
@@ -41,7 +41,7 @@
  * @param upstream - Upstream.
  * @param prompt - Prompt of the request.
  * @param now - Time in milliseconds.
- * @returns The upstream as the request finds it.
+ * @returns The assessment of the upstream for this prompt.
  */
 export function assessUpstream(state: State, upstream: Upstream, prompt: Prompt, now: number): Assessment {
 	const rate = prefillRate(state, upstream);
@@ -59,11 +59,11 @@
 }
 
 /**
- * Engines honour priorities, and a short prompt has a better one than any longer: of longer prompts it waits for no
- * more than what the engine has just begun.
+ * Counts the prefill queued before a request. Engines honour priorities, and short prompts have precedence over longer
+ * ones: of the longer prompts, a short one waits only for the chunk that has started.
  *
- * @param assessment - Upstream as a request finds it.
- * @returns Prefill tokens that are worked on before the request's own.
+ * @param assessment - Upstream, assessed for the request.
+ * @returns Prefill tokens that the upstream processes before the request's own.
  */
 export function countTokensAhead(assessment: Assessment): number {
 	const {work, length} = assessment;
@@ -73,9 +73,9 @@
 }
 
 /**
- * @param assessment - Upstream as a request finds it.
+ * @param assessment - Upstream, assessed for the request.
  * @param footprint - KV memory that the request needs, in tokens.
- * @returns Whether it would be worked on at once or nearly so.
+ * @returns Whether the upstream would start the request at once or almost at once.
  */
 export function hasRoom(assessment: Assessment, footprint: number): boolean {
 	const {upstream, known, work} = assessment;
@@ -100,8 +100,8 @@
 }
 
 /**
- * @param assessment - Upstream.
- * @returns Whether no prefill is under way there.
+ * @param assessment - Upstream, assessed for a request.
+ * @returns Whether no prefill is outstanding there.
  */
 export function isIdle(assessment: Assessment): boolean {
 	return assessment.work.prefill === 0;
@@ -117,12 +117,13 @@
 }
 
 /**
- * Time to the first token, the delay given to others, and a little for a full batch; weighed as the service says.
+ * Sums the time to the first token and the delay that the request causes to others, weighted as the service configures, plus a
+ * small cost for each request in the batch.
  *
  * @param state - Core state.
- * @param assessment - Upstream as a request finds it.
- * @param requestedService - Service.
- * @returns The score.
+ * @param assessment - Upstream, assessed for the request.
+ * @param requestedService - Service, for its weights.
+ * @returns The score in milliseconds; lower is better.
  */
 export function scoreUpstream(state: State, assessment: Assessment, requestedService: Service): number {
 	return requestedService.kind === 'model'
--- a/src/core/features/routing/segments.ts
+++ b/src/core/features/routing/segments.ts
@@ -1,4 +1,7 @@
-/** Splits the engines of a service and failure domain between prompts of different lengths; every host does it alike. */
+/**
+ * Divides the engines of a service and failure domain among prompt lengths, so that short prompts do not wait behind long ones.
+ * Deterministic: hosts with the same view compute the same segments.
+ */
 import {
 	type Engine, type ModelService, type Service, type Upstream,
 } from '../../types/configuration.js';
@@ -9,19 +12,19 @@
 import {perSecond} from '../../utils/rates.js';
 import {noArrivals} from './types.js';
 
-/** Time over which arrivals are counted, in milliseconds: long prompts are rare. */
+/** Window of the arrival rates: long prompts are rare, so a shorter one would often see none. */
 export const arrivalWindowMs = 300_000;
 
-/** Lengths that have engines of their own, the longest first. */
+/** Length classes in the order in which they are assigned engines. */
 const longestFirst = ['long', 'middle', 'short'] as const;
 
-/** Share of the work by length until enough has arrived. */
+/** Assumed share of the work by length until enough requests have arrived. */
 const defaultMix: Readonly<Record<LengthClass, number>> = {short: 0.2, middle: 0.4, long: 0.4};
 
-/** Weight of the usual mix, in tokens per second. */
+/** Rate at which the default mix counts among the measured rates. */
 const defaultMixTokensPerSecond = 50;
 
-/** Spare engines for short prompts where the slowdown of short prompts is all that counts, as a part of their share. */
+/** Extra capacity for short prompts, relative to their share, for a service that weighs only slowdown; less otherwise. */
 const shortPromptHeadroom = 3;
 
 export type Segments = Readonly<Record<LengthClass, readonly Engine[]>>;
@@ -44,7 +47,7 @@
  * @param state - Core state.
  * @param requestedService - Service.
  * @param promptTokens - Length of a prompt.
- * @returns Its length class; requests to a plain service are all alike.
+ * @returns Its length class; always `short` for a plain or unknown service.
  */
 export function classOf(requestedService: Service | undefined, promptTokens: number): LengthClass {
 	return requestedService?.kind === 'model' ? getModelLengthClass(requestedService, promptTokens) : 'short';
@@ -53,7 +56,7 @@
 /**
  * @param state - Core state.
  * @param now - Time in milliseconds.
- * @returns What arrives at this host, as it is published to peers.
+ * @returns Arrival rates of this host by service and length, as published to peers.
  */
 export function ownMixes(state: State, now: number): readonly Mix[] {
 	return [...state.routing.arrivals.entries()].map(([service, arrivals]) => ({
@@ -85,12 +88,12 @@
 type SegmentSizes = Readonly<Record<LengthClass, number>>;
 
 /**
- * Every length has at least one engine; the rest go by work, short prompts with some to spare.
+ * Assigns at least one engine to each length and the others in proportion to the work, with extra capacity for short prompts.
  *
  * @param mix - Work by length, in any unit.
  * @param requestedService - Service, for its weights.
- * @param count - Engines to share out, three at least.
- * @returns Engines for each length.
+ * @param count - Engines to assign, at least three.
+ * @returns Number of engines for each length.
  */
 export function computeSegmentSizes(mix: Readonly<Record<LengthClass, number>>, requestedService: ModelService, count: number): SegmentSizes {
 	const {slowdown, firstToken} = requestedService.weights;
@@ -106,7 +109,7 @@
 
 const rankingCache = new WeakMap<readonly Upstream[], readonly Engine[]>();
 
-/** Ranked once for each list: the configuration keeps its lists as they are. */
+/** Ranks the engines of a list; cached by list, since the configuration's lists are immutable. */
 function rankEngines(requestedService: ModelService, upstreams: readonly Upstream[]): readonly Engine[] {
 	const cached = rankingCache.get(upstreams);
 	if (cached !== undefined) {
@@ -120,17 +123,18 @@
 	return ranked;
 }
 
+/** Fewer engines are not divided: each length needs one of its own. */
 const minSegmentedEngines = 3;
 
 /**
- * Subsets of different sizes are nested, so hosts whose views of the demand differ a little disagree on an engine or
- * two and no more.
+ * Segments are consecutive ranges of one ranking, so hosts whose views of the demand differ slightly disagree on one or two
+ * engines only.
  *
  * @param state - Core state.
  * @param requestedService - Model service.
- * @param upstreams - Its upstreams in one failure domain, as the configuration lists them.
+ * @param upstreams - Its upstreams in one failure domain, in the order of the configuration.
  * @param now - Time in milliseconds.
- * @returns Engines by the length of prompts that they are kept for.
+ * @returns Engines by the length of the prompts that they are reserved for.
  */
 export function segments(state: State, requestedService: ModelService, upstreams: readonly Upstream[], now: number): Segments {
 	const engines = rankEngines(requestedService, upstreams);
--- a/src/core/features/routing/types.ts
+++ b/src/core/features/routing/types.ts
@@ -1,27 +1,29 @@
-/** What routing remembers: whose turn it is, and how much work of each length arrives. */
+/** Routing state, and the types of a search for an upstream. */
 import {Map as Table} from 'immutable';
 import {type Service, type Upstream} from '../../types/configuration.js';
 import {type Candidate} from '../../types/effect.js';
 import {type LengthClass, type Request} from '../../types/request.js';
 import {noRate, type Rate} from '../../utils/rates.js';
 
-/** Work that arrives, in tokens, by length. */
+/** Arriving work in prompt tokens, by length. */
 export type Arrivals = Readonly<Record<LengthClass, Rate>>;
 
 export const noArrivals: Arrivals = {short: noRate, middle: noRate, long: noRate};
 
 export type RoutingState = {
-	/** Requests sent so far, by service. */
+	/** Requests sent so far, by service; the round-robin position. */
 	readonly turns: Table<string, number>;
+	/** By service. */
 	readonly arrivals: Table<string, Arrivals>;
 };
 
 export const initialRouting: RoutingState = {turns: Table(), arrivals: Table()};
 
-/** What a request's routing needs to know. */
+/** A search for an upstream that can take a request. */
 export type Search = {
 	readonly request: Request;
 	readonly wanted: Service;
+	/** Domain whose upstreams are searched. */
 	readonly failureDomain: string;
 	/** Upstreams where the request failed before. */
 	readonly avoided: readonly string[];
@@ -30,19 +32,19 @@
 /** An upstream chosen for a request. */
 export type Choice = {
 	readonly upstream: Upstream;
-	/** Best first; the upstream chosen is the first. */
+	/** Best first; the first is the chosen upstream. */
 	readonly candidates: readonly Candidate[];
-	/** Prompt tokens that it is believed to hold. */
+	/** Prompt tokens that it is believed to cache. */
 	readonly cached: number;
-	/** Prefill tokens that it has before this request. */
+	/** Prefill tokens that it processes before this request's own. */
 	readonly ahead: number;
 	readonly reason: string;
 };
 
-/** What routing says to a request that wants to be sent. */
+/** The result of routing a request. */
 export type Route
 	= | {readonly type: 'send'; readonly choice: Choice}
-	/** All that could take it have enough to do: it waits. */
+	/** Every upstream that can run it is busy. */
 		| {readonly type: 'wait'}
-	/** Nothing in this failure domain can run it now. */
+	/** No upstream in this failure domain can run it now. */
 		| {readonly type: 'none'; readonly reason: string};
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -1,4 +1,4 @@
-/** Changes the views of upstreams. */
+/** Updates the views of upstreams. */
 import {Map as Table} from 'immutable';
 import {type Load} from '../../types/peer.js';
 import {type Attempt, type Request} from '../../types/request.js';
@@ -20,7 +20,7 @@
 	return known === undefined ? 0 : prefillRate(state, known);
 }
 
-/** Brings `worked` up to date, so that work may be added or taken away. */
+/** Brings `prefilled` up to date, which must be done before work is added or removed. */
 function updatePrefilled(state: State, upstream: string, now: number): UpstreamView {
 	const before = view(state, upstream);
 	const done = estimatePrefilled(before, now, findPrefillRate(state, upstream));
@@ -51,7 +51,7 @@
 /**
  * @param state - Core state.
  * @param request - Request that is sent.
- * @param attempt - Attempt that begins.
+ * @param attempt - Attempt that starts.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
@@ -82,7 +82,7 @@
 
 /**
  * @param state - Core state.
- * @param attempt - Attempt, as it was before its first frame.
+ * @param attempt - Attempt in its state before the first frame.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
@@ -98,7 +98,7 @@
 /**
  * @param state - Core state.
  * @param request - Request.
- * @param attempt - Attempt that is over.
+ * @param attempt - Attempt that has ended.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
@@ -160,7 +160,7 @@
 }
 
 /**
- * Counts the loads that changed since the last time; a peer that is not heard of counts nothing.
+ * Applies the loads that changed since the last call to the views. The loads of a peer that is not live count as none.
  *
  * @param state - Core state.
  * @param now - Time in milliseconds.
--- a/src/core/features/upstreams/feature.ts
+++ b/src/core/features/upstreams/feature.ts
@@ -1,4 +1,4 @@
-/** Keeps a view of each upstream from its reports, this host's own work and what peers say of theirs. */
+/** Maintains a view of each upstream from its reports, this host's own attempts and the loads that peers publish. */
 import {type Report} from '../../types/upstream.js';
 import {type Feature, type State, type Step} from '../../types/state.js';
 import {only} from '../../utils/common.js';
@@ -25,7 +25,7 @@
 	};
 }
 
-/** This feature comes before the requests' own, which sets the time of the first frame. */
+/** Runs before the requests feature sets the time of the first frame, so an attempt without one has just received it. */
 function handleProgress(state: State, id: string, now: number): State {
 	const progress = admissionOf(state, id)?.progress;
 	return progress?.type === 'running' && progress.attempt.firstFrame === undefined
--- a/src/core/features/upstreams/queries.ts
+++ b/src/core/features/upstreams/queries.ts
@@ -1,17 +1,17 @@
-/** Reads the views of upstreams. */
+/** Queries on the views of upstreams. */
 import {type State} from '../../types/state.js';
 import {noWork, type UpstreamView, type Work} from './types.js';
 
-/** A report older than this says nothing of load any more, in milliseconds. */
+/** The load in older reports is ignored. */
 const maxReportAgeMs = 5000;
 
-/** Overdue prefill that is taken to remain, in tokens: a slow engine is not given more on a guess. */
+/** Prefill assumed to remain when all of it should be done: an engine slower than estimated is not sent more. */
 const minRemainingTokens = 1536;
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns The view, an empty one if nothing is known.
+ * @returns The view; an empty one if nothing is known of the upstream.
  */
 export function view(state: State, upstream: string): UpstreamView {
 	return state.upstreams.views.get(upstream) ?? {
@@ -34,7 +34,7 @@
  * @param view - View of an upstream.
  * @param now - Time in milliseconds.
  * @param rate - Prefill tokens per second there.
- * @returns Prefill tokens that should be done by now of own attempts still waiting.
+ * @returns Prefill tokens that should be done by now, of this host's attempts that wait for their first frame.
  */
 export function estimatePrefilled(view: UpstreamView, now: number, rate: number): number {
 	if (view.waiting === 0) {
@@ -59,13 +59,13 @@
 }
 
 /**
- * Everyone's work at an upstream. The report only adds what neither this host nor its peers account for, so nothing
- * counts twice, and it ages by the upstream's speed.
+ * Estimates the work of all hosts at an upstream. The last report adds only work that neither this host nor its peers account for,
+ * so nothing counts twice; that part decreases at the upstream's prefill rate.
  *
  * @param view - View of the upstream.
  * @param now - Time in milliseconds.
  * @param rate - Prefill tokens per second there.
- * @returns Requests in flight, prefill and decode tokens that remain.
+ * @returns Requests in flight, and the prefill and decode tokens that remain.
  */
 export function outstanding(view: UpstreamView, now: number, rate: number): Work {
 	const isFresh = view.reportedAt !== undefined && now - view.reportedAt <= maxReportAgeMs;
--- a/src/core/features/upstreams/types.ts
+++ b/src/core/features/upstreams/types.ts
@@ -1,15 +1,15 @@
-/** What this host knows of each upstream. */
+/** This host's view of each upstream. */
 import {Map as Table} from 'immutable';
 import {type Load} from '../../types/peer.js';
 import {type Report} from '../../types/upstream.js';
 
-/** Work in flight that others have there. */
+/** Work in flight at an upstream. */
 export type Work = {
 	readonly requests: number;
-	/** Tokens. */
+	/** In tokens. */
 	readonly prefill: number;
 	readonly decode: number;
-	/** Part of the prefill that is of short prompts. */
+	/** The part of the prefill that belongs to short prompts. */
 	readonly urgent: number;
 };
 
@@ -19,31 +19,31 @@
 
 export type UpstreamView = {
 	readonly upstream: string;
-	/** This host's own attempts in flight, and those of them that wait for their first frame. */
+	/** This host's attempts in flight, and those of them that wait for their first frame. */
 	readonly requests: number;
 	readonly waiting: number;
-	/** Prefill of the waiting ones, in tokens, and how much of it should be done by now. */
+	/** Prefill of the waiting attempts, in tokens, and how much of it should be done as of `prefilledAsOf`. */
 	readonly prefill: number;
 	readonly prefilled: number;
-	/** Time up to which `worked` was counted, in milliseconds. */
+	/** Time at which `prefilled` was last updated, in milliseconds. */
 	readonly prefilledAsOf: number;
-	/** Part of the prefill that is of short prompts; it is done too soon to be worth ageing. */
+	/** The part of the prefill that belongs to short prompts; not reduced over time, as it is done soon. */
 	readonly urgent: number;
-	/** Decode tokens expected of own attempts when they were sent. */
+	/** Decode tokens of this host's attempts, as expected when they were sent. */
 	readonly decode: number;
-	/** KV memory that own attempts need, in tokens. */
+	/** KV memory that this host's attempts need, in tokens. */
 	readonly footprint: number;
-	/** What connected peers say they have in flight. */
+	/** Work in flight of live peers, as they publish it. */
 	readonly peers: Work;
-	/** What the last report showed beyond own and peers' work. */
+	/** Work in the last report beyond that of this host and its peers. */
 	readonly unattributed: Work;
 	readonly report?: Report;
-	/** Monotonic time at which the report's figures were true, in milliseconds. */
+	/** Monotonic time at which the report's figures were measured, in milliseconds. */
 	readonly reportedAt?: number;
 	readonly reachable: boolean;
 };
 
-/** Loads of each peer as they are counted in the views, by host and upstream. */
+/** Loads of each peer as included in the views, by host and upstream. */
 export type CountedLoads = Table<string, Table<string, Load>>;
 
 export type UpstreamsState = {
--- a/src/core/features/work/commands.ts
+++ b/src/core/features/work/commands.ts
@@ -1,19 +1,18 @@
-/** Learns speeds and answer lengths. */
+/** Updates the measured speeds and answer lengths. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {trim} from '../../utils/bounded.js';
 import {include} from '../../utils/rates.js';
 import {createOutputKey, type Speed, type WorkState} from './types.js';
 
-/** Samples after which older ones fade. */
+/** Number of samples after which older ones fade. */
 const sampleWindow = 40;
-/** Services and organisations whose answer lengths are kept. */
+/** Answer lengths that are kept, each of a service or of an organisation at a service. */
 const maxOutputs = 4096;
-/** Upstreams whose speeds are kept. */
 const maxSpeeds = 1024;
-/** Less prefill than this says more of the network than of the engine, in tokens. */
+/** With less prefill, the time measures the network more than the engine. */
 const minPrefillTokens = 2048;
-/** Fewer tokens than this say little of the time between two. */
+/** Shorter answers are too noisy a sample of the time between two tokens. */
 const minAnswerTokens = 8;
 
 function updateWork(state: State, part: Partial<WorkState>): State {
@@ -30,12 +29,12 @@
 }
 
 /**
- * Learns from the first frame. The work that was before the attempt counts as well, so the rate is the one that makes
- * predictions of the wait come true.
+ * Updates an upstream's prefill rate when the first frame arrives. The prefill queued before the attempt counts as well, so the
+ * rate is the one with which predicted waits match the measured ones.
  *
  * @param state - Core state.
- * @param attempt - Attempt whose first frame came.
- * @param prefill - Tokens that were in fact worked on for it.
+ * @param attempt - Attempt whose first frame arrived.
+ * @param prefill - Tokens that the upstream actually processed for it.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
@@ -50,11 +49,11 @@
 }
 
 /**
- * Learns from a whole answer.
+ * Updates speeds and answer lengths from a complete answer.
  *
  * @param state - Core state.
  * @param request - Request that was answered.
- * @param attempt - Attempt that brought the answer.
+ * @param attempt - Attempt that produced the answer.
  * @param tokens - Tokens of the answer.
  * @param now - Time in milliseconds.
  * @returns The next state.
--- a/src/core/features/work/feature.ts
+++ b/src/core/features/work/feature.ts
@@ -1,4 +1,4 @@
-/** Work model: learns speeds and answer lengths from attempts. */
+/** Work model: measures the speeds of upstreams and the lengths of answers, and estimates the work of requests from them. */
 import {type EventOf} from '../../types/event.js';
 import {type Feature, type State} from '../../types/state.js';
 import {only} from '../../utils/common.js';
--- a/src/core/features/work/queries.ts
+++ b/src/core/features/work/queries.ts
@@ -1,4 +1,4 @@
-/** Estimates work in tokens and its time in milliseconds. */
+/** Estimates the work of requests in tokens, and its duration in milliseconds. */
 import {type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
@@ -6,19 +6,19 @@
 import {service} from '../configuration/queries.js';
 import {createOutputKey, type WorkEstimate} from './types.js';
 
-/** Samples of its own that an organisation needs to count as much as all others together. */
+/** Samples at which an organisation's own mean counts as much as the mean of the service. */
 const priorSamples = 8;
 
-/** Spreads beyond the mean that an answer's length may well reach. */
+/** Conservative estimates of an answer's length add this many mean deviations to the mean. */
 const conservativeSpreads = 2;
 
-/** Part of the learnt prefill rate that is counted on at least. */
+/** Conservative estimates never assume less than this share of the measured prefill rate. */
 const minRateShare = 0.5;
 
-/** Time assumed for a call of a plain service until one has been seen, in milliseconds. */
+/** Assumed duration of a call to a plain service until one has been measured. */
 const defaultPlainDurationMs = 50;
 
-/** Prefill rate of an upstream that has no prefill, in tokens per second. */
+/** Prefill rate of an upstream that has no prefill. */
 const unlimitedTokensPerSecond = 1e9;
 
 const defaultOutputTokens = 256;
@@ -26,7 +26,7 @@
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns Prefill tokens per second; very high for a plain service, which has no prefill.
+ * @returns Prefill tokens per second, measured or configured; practically unlimited for an upstream that has no prefill.
  */
 export function prefillRate(state: State, upstream: Upstream): number {
 	switch (upstream.kind) {
@@ -49,7 +49,7 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Prefill tokens.
- * @returns Time to work on them, in milliseconds.
+ * @returns Expected duration of the prefill, in milliseconds.
  */
 export function prefillTime(state: State, upstream: Upstream, tokens: number): number {
 	return tokens * 1000 / prefillRate(state, upstream);
@@ -59,7 +59,7 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Prefill tokens.
- * @returns Time that the work may well take, in milliseconds; other prompts slow it down at times.
+ * @returns Conservative duration of the prefill, in milliseconds, since other prompts slow it down at times.
  */
 export function cautiousPrefillTime(state: State, upstream: Upstream, tokens: number): number {
 	const rate = prefillRate(state, upstream);
@@ -71,7 +71,7 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Tokens of an answer.
- * @returns Time from its first to its last token, or of the whole call at a plain service, in milliseconds.
+ * @returns Time from its first to its last token, or of the whole call at an upstream that is not an engine, in milliseconds.
  */
 export function decodeTime(state: State, upstream: Upstream, tokens: number): number {
 	const speed = state.work.speeds.get(upstream.id);
@@ -81,7 +81,7 @@
 }
 
 /**
- * Answer length from the organisation's own answers, drawn towards all answers of the service while they are few.
+ * Estimates the length of an answer from the organisation's own answers, weighted with all answers of the service while they are few.
  *
  * @param state - Core state.
  * @param request - Request.
@@ -102,12 +102,12 @@
 }
 
 /**
- * What admission counts on: a request that is admitted should finish in time, not only on the average.
+ * Estimates the decode time for admission: an admitted request should finish in time, and not only on average.
  *
  * @param state - Core state.
  * @param request - Request.
  * @param upstream - Upstream.
- * @returns Time that its answer may well take from the first token to the last, in milliseconds.
+ * @returns Conservative time from the first to the last token of its answer, in milliseconds.
  */
 export function cautiousDecodeTime(state: State, request: Request, upstream: Upstream): number {
 	const {speeds, outputs} = state.work;
@@ -122,8 +122,8 @@
 /**
  * @param state - Core state.
  * @param request - Request.
- * @param cached - Prompt tokens that the upstream is believed to hold.
- * @returns Work at that upstream.
+ * @param cached - Prompt tokens that the upstream is believed to cache.
+ * @returns Expected work at that upstream.
  */
 export function estimate(state: State, request: Request, cached = 0): WorkEstimate {
 	return {
--- a/src/core/features/work/types.ts
+++ b/src/core/features/work/types.ts
@@ -1,14 +1,14 @@
-/** What this host has learnt of speeds and answer lengths. */
+/** Measured speeds of upstreams and lengths of answers. */
 import {Map as Table} from 'immutable';
 import {type Mean} from '../../utils/rates.js';
 
-/** Speed of one upstream, as far as it has been seen. */
+/** Measured speed of one upstream; a member without samples is absent. */
 export type Speed = {
-	/** Tokens of prefill per second, work that was before it included. */
+	/** Prefill tokens per second, counting the prefill queued before each attempt. */
 	readonly prefill?: Mean;
 	/** Milliseconds between two tokens of an answer. */
 	readonly interval?: Mean;
-	/** Milliseconds from sending to the end, at a plain service. */
+	/** Milliseconds from sending to the end of the answer, for answers without frames. */
 	readonly duration?: Mean;
 };
 
@@ -29,8 +29,8 @@
 
 /**
  * @param service - Service.
- * @param organisation - Organisation, or nothing for all of them.
- * @returns The key of their answer length; names have no slash.
+ * @param organisation - Organisation; absent for all organisations.
+ * @returns The key of their answer length. It is unique, as names contain no slash.
  */
 export function createOutputKey(service: string, organisation = ''): string {
 	return `${service}/${organisation}`;
