--- a/src/core/features/limits/queries.ts
+++ b/src/core/features/limits/queries.ts
@@ -77,7 +77,7 @@
 }
 
 /**
- * Divides the limits in proportion to demand. A failure domain without live peers is left an even part, so that both sides of a
+ * Divides the limits in proportion to demand. A failure domain without live peers is left an even part of them, so that both sides of a
  * network partition together stay within the limit.
  *
  * @param state - Core state.
@@ -89,20 +89,20 @@
 	const own = perSecond((state.limits.accounts.get(id) ?? noAccount).tokens, now, demandWindowMs) + minDemandTokensPerSecond;
 	const others = sumDomainDemands(state, id);
 	let total = own;
-	let cutOffDomains = 0;
+	let unreachableDomains = 0;
 	for (const domain of state.configuration.inForce?.failureDomains ?? []) {
 		const known = others.get(domain.id);
 		const isOwn = domain.id === state.self.failureDomain;
 		if (known !== undefined && known.live > 0) {
-			// Every connected host of this domain is live; of another domain only a few are, so their demand is scaled up.
+			// All connected hosts of this domain send heartbeats here; of another domain only a few do, so their demand is scaled up.
 			total += isOwn ? known.demand : known.demand * known.known / known.live;
 		} else if (!isOwn) {
-			cutOffDomains += 1;
+			unreachableDomains += 1;
 		}
 	}
 
 	const domainCount = state.configuration.inForce?.failureDomains.length ?? 1;
-	return (own / total) * (domainCount - cutOffDomains) / domainCount;
+	return (own / total) * (domainCount - unreachableDomains) / domainCount;
 }
 
 /**
--- a/src/core/features/placement/types.ts
+++ b/src/core/features/placement/types.ts
@@ -17,7 +17,7 @@
 	/** Set once the engine refuses older numbers since this host took over, or if it does not check numbers at all. */
 	readonly isSealed: boolean;
 	readonly progress: OrderProgress;
-	/** Time since which this host waits for its running requests to finish, in milliseconds. */
+	/** Time since which this host waits for the engine's running requests to finish, in milliseconds. */
 	readonly draining?: number;
 };
 
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -15,7 +15,7 @@
 
 /** A segment of at most this many engines is scored whole; of a larger one, this many are sampled. */
 const sampleSize = 8;
-/** Engines chosen by hashing the prompt's first block: every host chooses the same ones, so equal prefixes meet there. */
+/** Engines chosen by a hash of the prompt's first block. Hosts choose the same ones, so equal prefixes are cached together. */
 const homeCount = 2;
 /** Engines believed to cache the prefix that are scored, longest match first. */
 const maxHolders = 4;
@@ -55,9 +55,9 @@
 export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
 	const {request, avoided} = search;
 	const available = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
-	const attemptable = available.filter(each => canAttempt(state, each.id, context.now));
-	const untried = attemptable.filter(each => !avoided.includes(each.id));
-	return [untried, attemptable, available].find(each => each.length > 0) ?? [];
+	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
+	const untried = allowed.filter(each => !avoided.includes(each.id));
+	return [untried, allowed, available].find(each => each.length > 0) ?? [];
 }
 
 /**
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -56,12 +56,12 @@
 	};
 }
 
-/** Upstreams that a search considers. */
-type EligibleUpstreams = {
+/** Upstreams among which a search chooses. */
+type SearchedUpstreams = {
 	/** In the order of the configuration. */
 	readonly all: readonly Upstream[];
 	/** The subset of `all` that can take the request. */
-	readonly eligible: readonly Upstream[];
+	readonly usable: readonly Upstream[];
 };
 
 function describePrompt(state: State, search: Search): Prompt {
@@ -73,16 +73,16 @@
 	};
 }
 
-function chooseByCost(state: State, search: Search, {all, eligible}: EligibleUpstreams, context: Context): Choice | undefined {
+function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: Context): Choice | undefined {
 	const {request, wanted} = search;
 	const prompt = describePrompt(state, search);
 	if (wanted.kind === 'plain' || isLegacy(state, request)) {
-		const assessments = draw(eligible, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
-		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), wanted, 'least work of those drawn');
+		const assessments = draw(usable, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
+		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), wanted, 'least work of those sampled');
 	}
 
 	const assessments = findEngineCandidates({
-		state, request, requestedService: wanted, all, usable: eligible, prompt, context,
+		state, request, requestedService: wanted, all, usable, prompt, context,
 	});
 	const needed = footprint(state, request);
 	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), wanted, 'lowest cost');
@@ -99,25 +99,25 @@
 		.toSorted((a, b) => view(state, a.id).requests - view(state, b.id).requests)[0];
 }
 
-function choose(state: State, search: Search, upstreams: EligibleUpstreams, context: Context): Choice | undefined {
+function choose(state: State, search: Search, upstreams: SearchedUpstreams, context: Context): Choice | undefined {
 	const {policy} = search.wanted;
-	const {eligible} = upstreams;
+	const {usable} = upstreams;
 	switch (policy) {
 		case 'cost': {
 			return chooseByCost(state, search, upstreams, context);
 		}
 
 		case 'random': {
-			return chooseBaseline(state, search, draw(eligible, 1, context)[0], context);
+			return chooseBaseline(state, search, draw(usable, 1, context)[0], context);
 		}
 
 		case 'round-robin': {
 			const turn = state.routing.turns.get(search.wanted.id) ?? 0;
-			return chooseBaseline(state, search, eligible[turn % eligible.length], context);
+			return chooseBaseline(state, search, usable[turn % usable.length], context);
 		}
 
 		case 'least-requests': {
-			return chooseBaseline(state, search, findLeastLoaded(state, eligible, context), context);
+			return chooseBaseline(state, search, findLeastLoaded(state, usable, context), context);
 		}
 
 		default: {
@@ -145,12 +145,12 @@
 	const all = listUpstreams(state, search);
 	const needed = footprint(state, search.request);
 	const fitting = all.filter(each => canFit(each, needed));
-	const eligible = findUsable(state, fitting, search, context);
-	if (eligible.length === 0) {
+	const usable = findUsable(state, fitting, search, context);
+	if (usable.length === 0) {
 		return {type: 'none', reason: fitting.length < all.length ? 'no engine is large enough' : 'no upstream in reach'};
 	}
 
-	const choice = choose(state, search, {all, eligible}, context);
+	const choice = choose(state, search, {all, usable}, context);
 	return choice === undefined ? {type: 'wait'} : {type: 'send', choice};
 }
 
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -16,8 +16,8 @@
 }
 
 function findPrefillRate(state: State, upstream: string): number {
-	const known = configured(state, upstream);
-	return known === undefined ? 0 : prefillRate(state, known);
+	const found = configured(state, upstream);
+	return found === undefined ? 0 : prefillRate(state, found);
 }
 
 /** Brings `prefilled` up to date, which must be done before work is added or removed. */
