--- a/src/core/features/groups/commands/release.ts
+++ b/src/core/features/groups/commands/release.ts
@@ -1,20 +1,20 @@
-/** Gives holds back; the holds feature asks each engine until it confirms. */
+/** Releases holds; the holds feature repeats each release until the engine confirms it. */
 import {type State, type Step} from '../../../types/state.js';
 import {only} from '../../../utils/common.js';
-import {type Group, type Part} from '../types.js';
+import {type Group, type GroupPart} from '../types.js';
 
-/** Parts that may be held: all that were ever asked for. */
-function askedFor({parts, progress}: Group): readonly Part[] {
+/** Returns the parts that may be held: all that were requested, answered or not. */
+function getRequestedParts({parts, progress}: Group): readonly GroupPart[] {
 	return progress.type === 'held' ? parts : parts.slice(0, progress.index + 1);
 }
 
 /**
  * @param state - Core state.
- * @param holds - Holds that are wanted no longer, each with its upstream.
- * @param reason - Why, for the log.
- * @returns The releases.
+ * @param holds - Holds that are no longer needed, each with its upstream.
+ * @param reason - Reason, for the log.
+ * @returns A step that releases them.
  */
-export function giveBack(state: State, holds: ReadonlyArray<Pick<Part, 'hold' | 'upstream'>>, reason: string): Step {
+export function releaseHolds(state: State, holds: ReadonlyArray<Pick<GroupPart, 'hold' | 'upstream'>>, reason: string): Step {
 	return {
 		state,
 		effects: holds.flatMap(({hold, upstream}) => [
@@ -30,16 +30,16 @@
 
 /**
  * @param state - Core state.
- * @param request - Request whose group is over, whatever became of it.
- * @param reason - Why, for the log.
- * @returns The next state, with every hold given back.
+ * @param request - Request whose group has ended, with or without success.
+ * @param reason - Reason, for the log.
+ * @returns The next step, which releases all holds of the group.
  */
-export function dissolve(state: State, request: string, reason: string): Step {
+export function dissolveGroup(state: State, request: string, reason: string): Step {
 	const group = state.groups.groups.get(request);
 	if (group === undefined) {
 		return only(state);
 	}
 
-	const left = {...state, groups: {...state.groups, groups: state.groups.groups.delete(request)}};
-	return giveBack(left, askedFor(group), reason);
+	const remaining = {...state, groups: {...state.groups, groups: state.groups.groups.delete(request)}};
+	return releaseHolds(remaining, getRequestedParts(group), reason);
 }
--- a/src/core/features/placement/queries.ts
+++ b/src/core/features/placement/queries.ts
@@ -1,4 +1,4 @@
-/** What engines should hold, who orders it, and which may change now. Pure: hosts with the same view answer alike. */
+/** Determines the controller of each engine and the engines that may change now. Hosts with the same view agree on both. */
 import {type Engine, type Target} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
 import {hashText, mix, rank} from '../../utils/hashes.js';
@@ -6,13 +6,13 @@
 import {servingHosts} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 
-/** At most this part of a service's engines in a failure domain changes at a time. */
-const changingPart = 0.25;
+/** Largest share of a service's engines in a failure domain that may change at a time. */
+const maxChangingShare = 0.25;
 
 /**
  * @param a - What an engine holds.
  * @param b - What it should hold.
- * @returns Whether both have the same weights.
+ * @returns Whether both have the same weights, that is, model and version.
  */
 export function hasSameWeights(a: Target | undefined, b: Target): boolean {
 	return a?.model === b.model && a.version === b.version;
@@ -21,9 +21,9 @@
 /**
  * @param a - What an engine holds.
  * @param b - What it should hold.
- * @returns Whether they are the same; the order of adapters does not matter.
+ * @returns Whether they are equal; the order of adapters does not matter.
  */
-export function isSame(a: Target | undefined, b: Target): boolean {
+export function isSameTarget(a: Target | undefined, b: Target): boolean {
 	return hasSameWeights(a, b)
 		&& a?.role === b.role
 		&& a.adapters.length === b.adapters.length
@@ -34,7 +34,7 @@
  * @param state - Core state.
  * @returns Engines of this host's failure domain.
  */
-export function ownEngines(state: State): readonly Engine[] {
+export function getOwnEngines(state: State): readonly Engine[] {
 	return (state.configuration.inForce?.upstreams ?? [])
 		.filter(upstream => upstream.kind === 'engine')
 		.filter(engine => engine.failureDomain === state.self.failureDomain);
@@ -42,7 +42,7 @@
 
 /**
  * @param state - Core state.
- * @returns A function that names the host that orders an engine, by rendezvous over the hosts that serve here.
+ * @returns A function that returns the host that controls an engine, by rendezvous hashing over the serving hosts of this domain.
  */
 export function orderers(state: State): (engine: Engine) => string | undefined {
 	const hosts = servingHosts(state, state.self.failureDomain)
@@ -63,38 +63,38 @@
 /**
  * @param state - Core state.
  * @param engine - Engine.
- * @returns Whether it is last known to hold, or to load, something else than its target.
+ * @returns Whether its last report shows that it holds, or is loading, something other than its target.
  */
-export function isOff(state: State, engine: Engine): boolean {
+export function isOffTarget(state: State, engine: Engine): boolean {
 	const {report} = view(state, engine.id);
-	return engine.target !== undefined && report !== undefined && !isSame(report.loading ?? report.current, engine.target);
+	return engine.target !== undefined && report !== undefined && !isSameTarget(report.loading ?? report.current, engine.target);
 }
 
-function place(engine: Engine): number {
+function getChangeRank(engine: Engine): number {
 	return mix(hashText(engine.id), 0);
 }
 
-/** Of one service: engines that are off and ready change in one order, while enough others stay ready. */
-function changeable(state: State, engines: readonly Engine[], kept: number): readonly Engine[] {
+/** Selects the ready engines of one service that may change now, in an order on which hosts agree; at least `minReady` stay. */
+function selectChangeable(state: State, engines: readonly Engine[], minReady: number): readonly Engine[] {
 	const ready = engines.filter(engine => isReady(state, engine));
-	const most = Math.max(1, Math.floor(engines.length * changingPart));
-	const allowed = Math.max(0, Math.min(most, engines.length - kept));
-	// What is already loading counts among those that change; what cannot be reached does not hold the others up.
-	const busy = engines.filter(engine => isLoading(state, engine)).length;
+	const maxChanging = Math.max(1, Math.floor(engines.length * maxChangingShare));
+	const allowed = Math.max(0, Math.min(maxChanging, engines.length - minReady));
+	// Engines that are loading count as changing. Unreachable ones do not, or they would block the others.
+	const loadingCount = engines.filter(engine => isLoading(state, engine)).length;
 	return ready
-		.filter(engine => isOff(state, engine))
-		.toSorted((a, b) => place(a) - place(b))
-		.slice(0, Math.max(0, allowed - busy))
-		.filter((_, index) => ready.length - index - 1 >= kept);
+		.filter(engine => isOffTarget(state, engine))
+		.toSorted((a, b) => getChangeRank(a) - getChangeRank(b))
+		.slice(0, Math.max(0, allowed - loadingCount))
+		.filter((_, index) => ready.length - index - 1 >= minReady);
 }
 
 /**
  * @param state - Core state.
- * @returns Ready engines of this failure domain that may load something else now.
+ * @returns Ready engines of this failure domain that may load a different target now.
  */
-export function changeableEngines(state: State): readonly Engine[] {
+export function findChangeableEngines(state: State): readonly Engine[] {
 	const groups = new Map<string, Engine[]>();
-	for (const engine of ownEngines(state)) {
+	for (const engine of getOwnEngines(state)) {
 		const group = groups.get(engine.service);
 		if (group === undefined) {
 			groups.set(engine.service, [engine]);
@@ -104,17 +104,17 @@
 	}
 
 	return [...groups].flatMap(([id, engines]) => {
-		const wanted = service(state, id);
-		return changeable(state, engines, wanted?.kind === 'model' ? wanted.readyEngines : 0);
+		const configured = service(state, id);
+		return selectChangeable(state, engines, configured?.kind === 'model' ? configured.readyEngines : 0);
 	});
 }
 
 /**
  * @param current - What an engine holds.
  * @param target - What it should hold.
- * @returns Loads that the change takes from the weight store.
+ * @returns Loads from the weight store that the change needs.
  */
-export function loadsNeeded(current: Target | undefined, target: Target): number {
+export function countLoadsNeeded(current: Target | undefined, target: Target): number {
 	const isReplacement = !hasSameWeights(current, target);
 	const held = isReplacement ? [] : current?.adapters ?? [];
 	return (isReplacement ? 1 : 0) + target.adapters.filter(adapter => !held.includes(adapter)).length;
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -1,41 +1,41 @@
-/** Finds the upstreams worth scoring for a request. */
+/** Selects the upstreams that are scored for a request, so that the cost of routing does not grow with the fleet. */
 import {type ModelService, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {firstChoices, hashText} from '../../utils/hashes.js';
-import {isClosed} from '../circuits/queries.js';
+import {canAttempt} from '../circuits/queries.js';
 import {isStopping} from '../stops/queries.js';
 import {mayRunAt} from '../suspicion/queries.js';
 import {view} from '../upstreams/queries.js';
 import {
-	isIdle, look, type Prompt, type Sight,
+	isIdle, assessUpstream, type Prompt, type Assessment,
 } from './score.js';
-import {lengthClass, segments} from './segments.js';
+import {getModelLengthClass, segments} from './segments.js';
 import {type Search} from './types.js';
 
-/** Engines of a segment that are all scored; of more, these many are drawn. */
-const sampled = 8;
-/** First choices by the prompt's first block: where its prefix will be looked for, also by other hosts. */
-const homes = 2;
-/** Believed holders of the prefix that are scored, the longest match first. */
-const mostHolders = 4;
-/** Engines kept for longer prompts that are looked at as well. */
-const borrowed = 4;
+/** A segment of at most this many engines is scored whole; of a larger one, this many are sampled. */
+const sampleSize = 8;
+/** Engines chosen by a hash of the prompt's first block. Hosts choose the same ones, so equal prefixes are cached together. */
+const homeCount = 2;
+/** Engines believed to cache the prefix that are scored, longest match first. */
+const maxHolders = 4;
+/** Engines reserved for longer prompts that are sampled as well. */
+const borrowedSampleSize = 4;
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param now - Time in milliseconds.
- * @returns Whether it takes requests, as far as is known.
+ * @returns Whether it is available and its circuit allows an attempt.
  */
 export function isUsable(state: State, upstream: Upstream, now: number): boolean {
-	return isUp(state, upstream) && isClosed(state, upstream.id, now);
+	return isUp(state, upstream) && canAttempt(state, upstream.id, now);
 }
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns Whether it can be reached, says that it is ready and is not stopping; one never heard of counts as ready.
+ * @returns Whether it is reachable, ready and not stopping; an upstream without a report counts as ready.
  */
 export function isUp(state: State, upstream: Upstream): boolean {
 	const known = view(state, upstream.id);
@@ -43,131 +43,131 @@
 }
 
 /**
- * Open circuits, and upstreams where the request failed before, are passed over unless nothing else is left; those
- * where suspicion does not let it run are never taken.
+ * Skips upstreams with an open circuit and those where the request failed before, unless there are no others. Upstreams
+ * where suspicion forbids the request are never returned.
  *
  * @param state - Core state.
  * @param upstreams - Upstreams.
- * @param search - Request, and where it failed before.
+ * @param search - Request, and the upstreams where it failed before.
  * @param context - Time.
- * @returns Those that take the request.
+ * @returns Upstreams that can take the request; empty if there are none.
  */
-export function usable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
+export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
 	const {request, avoided} = search;
-	const up = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
-	const closed = up.filter(each => isClosed(state, each.id, context.now));
-	const fresh = closed.filter(each => !avoided.includes(each.id));
-	return [fresh, closed, up].find(each => each.length > 0) ?? [];
+	const available = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
+	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
+	const untried = allowed.filter(each => !avoided.includes(each.id));
+	return [untried, allowed, available].find(each => each.length > 0) ?? [];
 }
 
 /**
- * @param all - Anything to draw from.
- * @param most - Number wanted.
+ * @param items - Items.
+ * @param size - Largest size of the sample.
  * @param context - Random source.
- * @returns All, or so many drawn without repeats, in random order.
+ * @returns Up to `size` items without repeats, in random order.
  */
-export function draw<T>(all: readonly T[], most: number, context: Context): readonly T[] {
-	const left = [...all];
-	const drawn: T[] = [];
-	while (drawn.length < most && left.length > 0) {
-		const place = context.random.integer(0, left.length - 1);
-		drawn.push(left[place]!);
-		left[place] = left.at(-1)!;
-		left.pop();
+export function draw<T>(items: readonly T[], size: number, context: Context): readonly T[] {
+	const remaining = [...items];
+	const sampled: T[] = [];
+	while (sampled.length < size && remaining.length > 0) {
+		const index = context.random.integer(0, remaining.length - 1);
+		sampled.push(remaining[index]!);
+		remaining[index] = remaining.at(-1)!;
+		remaining.pop();
 	}
 
-	return drawn;
+	return sampled;
 }
 
-const hashes = new Map<string, number>();
-const mostHashes = 4096;
+const hashCache = new Map<string, number>();
+const maxCachedHashes = 4096;
 
-/** The hash of an upstream's name never changes. */
-function hashOf(upstream: string): number {
-	const known = hashes.get(upstream);
-	if (known !== undefined) {
-		return known;
+/** Returns the hash of an upstream's id; cached, since ids are hashed for every request. */
+function getHash(upstream: string): number {
+	const cached = hashCache.get(upstream);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	if (hashes.size >= mostHashes) {
-		hashes.clear();
+	if (hashCache.size >= maxCachedHashes) {
+		hashCache.clear();
 	}
 
-	const made = hashText(upstream);
-	hashes.set(upstream, made);
-	return made;
+	const hash = hashText(upstream);
+	hashCache.set(upstream, hash);
+	return hash;
 }
 
-function home(request: Request, engines: readonly Upstream[]): readonly Upstream[] {
-	const first = request.blocks[0];
-	if (first === undefined) {
+function findHomes(request: Request, engines: readonly Upstream[]): readonly Upstream[] {
+	const firstBlock = request.blocks[0];
+	if (firstBlock === undefined) {
 		return [];
 	}
 
-	const members = engines.map(upstream => ({upstream, hash: hashOf(upstream.id)}));
-	return firstChoices(hashText(first), members, homes).map(each => each.upstream);
+	const members = engines.map(upstream => ({upstream, hash: getHash(upstream.id)}));
+	return firstChoices(hashText(firstBlock), members, homeCount).map(each => each.upstream);
 }
 
-/** What the search for an engine needs. */
+/** A search for an engine of a model service. */
 type EngineSearch = {
 	readonly state: State;
 	readonly request: Request;
-	readonly wanted: ModelService;
+	readonly requestedService: ModelService;
 	readonly all: readonly Upstream[];
-	/** Of all, those that take requests. */
+	/** The subset of `all` that can take the request. */
 	readonly usable: readonly Upstream[];
 	readonly prompt: Prompt;
 	readonly context: Context;
 };
 
-function see(search: EngineSearch, upstream: Upstream): Sight {
+function assessFor(search: EngineSearch, upstream: Upstream): Assessment {
 	const {state, prompt, context} = search;
-	return look(state, upstream, prompt, context.now);
+	return assessUpstream(state, upstream, prompt, context.now);
 }
 
-/** Longer prompts' engines: idle ones for a middle prompt, any for a short one, as it goes first there. */
-function borrow(search: EngineSearch, engines: readonly Upstream[]): readonly Sight[] {
-	return draw(engines, borrowed, search.context)
-		.map(each => see(search, each))
+/** Samples engines of longer prompts: any for a short prompt, which has precedence there, only idle ones for a middle one. */
+function sampleLongerSegments(search: EngineSearch, engines: readonly Upstream[]): readonly Assessment[] {
+	return draw(engines, borrowedSampleSize, search.context)
+		.map(each => assessFor(search, each))
 		.filter(each => each.length === 'short' || isIdle(each));
 }
 
-/** Holders of the prefix outside the segment, where what is left to do is as short as what they are kept for. */
-function holding(search: EngineSearch, usableIds: ReadonlyMap<string, Upstream>): readonly Sight[] {
-	const sights: Sight[] = [];
+/** Assesses engines of any segment that cache so much of the prompt that the remaining prefill counts as short. */
+function assessHolders(search: EngineSearch, usableIds: ReadonlyMap<string, Upstream>): readonly Assessment[] {
+	const assessments: Assessment[] = [];
 	for (const [id] of search.prompt.cached) {
 		const upstream = usableIds.get(id);
-		if (upstream === undefined || sights.length >= mostHolders) {
+		if (upstream === undefined || assessments.length >= maxHolders) {
 			continue;
 		}
 
-		const sight = see(search, upstream);
-		if (lengthClass(search.wanted, sight.prefill) === 'short') {
-			sights.push(sight);
+		const assessment = assessFor(search, upstream);
+		if (getModelLengthClass(search.requestedService, assessment.prefill) === 'short') {
+			assessments.push(assessment);
 		}
 	}
 
-	return sights;
+	return assessments;
 }
 
 /**
  * @param search - Request, service and upstreams.
- * @returns Engines worth scoring, none twice.
+ * @returns Assessed engines to score, without duplicates.
  */
-export function engineCandidates(search: EngineSearch): readonly Sight[] {
-	const {state, wanted, request, context} = search;
+export function findEngineCandidates(search: EngineSearch): readonly Assessment[] {
+	const {state, requestedService, request, context} = search;
 	const usableIds = new Map(search.usable.map(each => [each.id, each]));
-	const split = segments(state, wanted, search.all, context.now);
+	const engineSegments = segments(state, requestedService, search.all, context.now);
 	const {length} = search.prompt;
-	const inUse = (engines: readonly Upstream[]) => engines.filter(each => usableIds.has(each.id));
-	const kept = inUse(split[length]);
-	const own = kept.length === 0 ? search.usable : kept;
-	const drawn = own.length <= sampled ? own : [...home(request, own), ...draw(own, sampled, context)];
-	const longer = {short: [...split.middle, ...split.long], middle: split.long, long: []}[length];
-	const sights = [
-		...drawn.map(each => see(search, each)),
-		...holding(search, usableIds),
-		...borrow(search, inUse(longer)),
+	const filterUsable = (engines: readonly Upstream[]) => engines.filter(each => usableIds.has(each.id));
+	const dedicated = filterUsable(engineSegments[length]);
+	const eligible = dedicated.length === 0 ? search.usable : dedicated;
+	const sampled = eligible.length <= sampleSize ? eligible : [...findHomes(request, eligible), ...draw(eligible, sampleSize, context)];
+	const longer = {short: [...engineSegments.middle, ...engineSegments.long], middle: engineSegments.long, long: []}[length];
+	const assessments = [
+		...sampled.map(each => assessFor(search, each)),
+		...assessHolders(search, usableIds),
+		...sampleLongerSegments(search, filterUsable(longer)),
 	];
-	return [...new Map(sights.map(each => [each.upstream.id, each])).values()];
+	return [...new Map(assessments.map(each => [each.upstream.id, each])).values()];
 }
--- a/src/core/features/work/commands.ts
+++ b/src/core/features/work/commands.ts
@@ -1,86 +1,85 @@
-/** Learns speeds and answer lengths. */
+/** Updates the measured speeds and answer lengths. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {trim} from '../../utils/bounded.js';
 import {include} from '../../utils/rates.js';
-import {outputKey, type Speed, type WorkState} from './types.js';
+import {createOutputKey, type Speed, type WorkState} from './types.js';
 
-/** Samples after which older ones fade. */
-const memory = 40;
-/** Services and organisations whose answer lengths are kept. */
-const mostOutputs = 4096;
-/** Upstreams whose speeds are kept. */
-const mostSpeeds = 1024;
-/** Less prefill than this says more of the network than of the engine, in tokens. */
-const leastPrefill = 2048;
-/** Fewer tokens than this say little of the time between two. */
-const leastTokens = 8;
+/** Number of samples after which older ones fade. */
+const sampleWindow = 40;
+/** Answer lengths that are kept, each of a service or of an organisation at a service. */
+const maxOutputs = 4096;
+const maxSpeeds = 1024;
+/** With less prefill, the time measures the network more than the engine. */
+const minPrefillTokens = 2048;
+/** Shorter answers are too noisy a sample of the time between two tokens. */
+const minAnswerTokens = 8;
 
-function change(state: State, part: Partial<WorkState>): State {
+function updateWork(state: State, part: Partial<WorkState>): State {
 	return {...state, work: {...state.work, ...part}};
 }
 
-function lastUse(speed: Speed): number {
+function getLastUse(speed: Speed): number {
 	return Math.max(speed.prefill?.at ?? 0, speed.interval?.at ?? 0, speed.duration?.at ?? 0);
 }
 
-function learnSpeed(state: State, upstream: string, part: (before: Speed) => Speed): State {
-	const speeds = state.work.speeds.set(upstream, part(state.work.speeds.get(upstream) ?? {}));
-	return change(state, {speeds: trim(speeds, mostSpeeds, lastUse)});
+function updateSpeed(state: State, upstream: string, update: (before: Speed) => Speed): State {
+	const speeds = state.work.speeds.set(upstream, update(state.work.speeds.get(upstream) ?? {}));
+	return updateWork(state, {speeds: trim(speeds, maxSpeeds, getLastUse)});
 }
 
 /**
- * Learns from the first frame. The work that was before the attempt counts as well, so the rate is the one that makes
- * predictions of the wait come true.
+ * Updates an upstream's prefill rate when the first frame arrives. The prefill queued before the attempt counts as well, so the
+ * rate is the one with which predicted waits match the measured ones.
  *
  * @param state - Core state.
- * @param attempt - Attempt whose first frame came.
- * @param prefill - Tokens that were in fact worked on for it.
+ * @param attempt - Attempt whose first frame arrived.
+ * @param prefill - Tokens that the upstream actually processed for it.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function learnPrefill(state: State, attempt: Attempt, prefill: number, now: number): State {
+export function recordPrefill(state: State, attempt: Attempt, prefill: number, now: number): State {
 	const tokens = attempt.ahead + prefill;
-	if (tokens < leastPrefill || attempt.parts !== undefined) {
+	if (tokens < minPrefillTokens || attempt.parts !== undefined) {
 		return state;
 	}
 
 	const sample = tokens * 1000 / Math.max(now - attempt.began, 1);
-	return learnSpeed(state, attempt.upstream, before => ({...before, prefill: include(before.prefill, sample, now, memory)}));
+	return updateSpeed(state, attempt.upstream, before => ({...before, prefill: include(before.prefill, sample, now, sampleWindow)}));
 }
 
 /**
- * Learns from a whole answer.
+ * Updates speeds and answer lengths from a complete answer.
  *
  * @param state - Core state.
  * @param request - Request that was answered.
- * @param attempt - Attempt that brought the answer.
+ * @param attempt - Attempt that produced the answer.
  * @param tokens - Tokens of the answer.
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function learnAnswer(state: State, request: Request, attempt: Attempt, tokens: number, now: number): State {
+export function recordAnswer(state: State, request: Request, attempt: Attempt, tokens: number, now: number): State {
 	if (attempt.firstFrame === undefined) {
-		return learnSpeed(state, attempt.upstream, before =>
-			({...before, duration: include(before.duration, now - attempt.began, now, memory)}));
+		return updateSpeed(state, attempt.upstream, before =>
+			({...before, duration: include(before.duration, now - attempt.began, now, sampleWindow)}));
 	}
 
-	const withOutput = learnOutput(state, request, tokens, now);
-	if (tokens < leastTokens) {
+	const withOutput = recordOutput(state, request, tokens, now);
+	if (tokens < minAnswerTokens) {
 		return withOutput;
 	}
 
 	const interval = (now - attempt.firstFrame) / (tokens - 1);
-	return learnSpeed(withOutput, attempt.upstream, before =>
-		({...before, interval: include(before.interval, interval, now, memory)}));
+	return updateSpeed(withOutput, attempt.upstream, before =>
+		({...before, interval: include(before.interval, interval, now, sampleWindow)}));
 }
 
-function learnOutput(state: State, request: Request, tokens: number, now: number): State {
-	const keys = [outputKey(request.service), outputKey(request.service, request.organisation)];
+function recordOutput(state: State, request: Request, tokens: number, now: number): State {
+	const keys = [createOutputKey(request.service), createOutputKey(request.service, request.organisation)];
 	const outputs = state.work.outputs.withMutations(table => {
 		for (const key of keys) {
-			table.set(key, include(table.get(key), tokens, now, memory));
+			table.set(key, include(table.get(key), tokens, now, sampleWindow));
 		}
 	});
-	return change(state, {outputs: trim(outputs, mostOutputs, mean => mean.at)});
+	return updateWork(state, {outputs: trim(outputs, maxOutputs, mean => mean.at)});
 }
--- a/src/core/features/work/queries.ts
+++ b/src/core/features/work/queries.ts
@@ -1,32 +1,32 @@
-/** Estimates work in tokens and its time in milliseconds. */
+/** Estimates the work of requests in tokens, and its duration in milliseconds. */
 import {type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {service} from '../configuration/queries.js';
-import {outputKey, type Estimate} from './types.js';
+import {createOutputKey, type WorkEstimate} from './types.js';
 
-/** Samples of its own that an organisation needs to count as much as all others together. */
-const trust = 8;
+/** Samples at which an organisation's own mean counts as much as the mean of the service. */
+const priorSamples = 8;
 
-/** Spreads beyond the mean that an answer's length may well reach. */
-const caution = 2;
+/** Conservative estimates of an answer's length add this many mean deviations to the mean. */
+const conservativeSpreads = 2;
 
-/** Part of the learnt prefill rate that is counted on at least. */
-const slowest = 0.5;
+/** Conservative estimates never assume less than this share of the measured prefill rate. */
+const minRateShare = 0.5;
 
-/** Time assumed for a call of a plain service until one has been seen, in milliseconds. */
-const plainDuration = 50;
+/** Assumed duration of a call to a plain service until one has been measured. */
+const defaultPlainDurationMs = 50;
 
-/** Prefill rate of an upstream that has no prefill, in tokens per second. */
-const withoutPrefill = 1e9;
+/** Prefill rate of an upstream that has no prefill. */
+const unlimitedTokensPerSecond = 1e9;
 
-const defaultOutput = 256;
+const defaultOutputTokens = 256;
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns Prefill tokens per second; very high for a plain service, which has no prefill.
+ * @returns Prefill tokens per second, measured or configured; practically unlimited for an upstream that has no prefill.
  */
 export function prefillRate(state: State, upstream: Upstream): number {
 	switch (upstream.kind) {
@@ -36,7 +36,7 @@
 
 		case 'plain':
 		case 'legacy': {
-			return withoutPrefill;
+			return unlimitedTokensPerSecond;
 		}
 
 		default: {
@@ -49,7 +49,7 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Prefill tokens.
- * @returns Time to work on them, in milliseconds.
+ * @returns Expected duration of the prefill, in milliseconds.
  */
 export function prefillTime(state: State, upstream: Upstream, tokens: number): number {
 	return tokens * 1000 / prefillRate(state, upstream);
@@ -59,60 +59,60 @@
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Prefill tokens.
- * @returns Time that the work may well take, in milliseconds; other prompts slow it down at times.
+ * @returns Conservative duration of the prefill, in milliseconds, since other prompts slow it down at times.
  */
 export function cautiousPrefillTime(state: State, upstream: Upstream, tokens: number): number {
 	const rate = prefillRate(state, upstream);
 	const spread = state.work.speeds.get(upstream.id)?.prefill?.spread ?? 0;
-	return tokens * 1000 / Math.max(rate - spread, rate * slowest);
+	return tokens * 1000 / Math.max(rate - spread, rate * minRateShare);
 }
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
  * @param tokens - Tokens of an answer.
- * @returns Time from its first to its last token, or of the whole call at a plain service, in milliseconds.
+ * @returns Time from its first to its last token, or of the whole call at an upstream that is not an engine, in milliseconds.
  */
 export function decodeTime(state: State, upstream: Upstream, tokens: number): number {
 	const speed = state.work.speeds.get(upstream.id);
 	return upstream.kind === 'engine'
 		? tokens * (speed?.interval?.value ?? upstream.decodeInterval)
-		: speed?.duration?.value ?? plainDuration;
+		: speed?.duration?.value ?? defaultPlainDurationMs;
 }
 
 /**
- * Answer length from the organisation's own answers, drawn towards all answers of the service while they are few.
+ * Estimates the length of an answer from the organisation's own answers, weighted with all answers of the service while they are few.
  *
  * @param state - Core state.
  * @param request - Request.
  * @returns Expected tokens of its answer.
  */
-export function expectedOutput(state: State, request: Request): number {
-	const wanted = service(state, request.service);
-	if (wanted?.kind === 'plain') {
+export function estimateOutput(state: State, request: Request): number {
+	const requestedService = service(state, request.service);
+	if (requestedService?.kind === 'plain') {
 		return 1;
 	}
 
 	const {outputs} = state.work;
-	const common = outputs.get(outputKey(request.service))?.value ?? wanted?.expectedOutput ?? defaultOutput;
-	const own = outputs.get(outputKey(request.service, request.organisation));
+	const serviceMean = outputs.get(createOutputKey(request.service))?.value ?? requestedService?.expectedOutput ?? defaultOutputTokens;
+	const own = outputs.get(createOutputKey(request.service, request.organisation));
 	const count = own?.count ?? 0;
-	const expected = (((own?.value ?? 0) * count) + (common * trust)) / (count + trust);
+	const expected = (((own?.value ?? 0) * count) + (serviceMean * priorSamples)) / (count + priorSamples);
 	return Math.ceil(Math.min(expected, request.outputLimit ?? expected));
 }
 
 /**
- * What admission counts on: a request that is admitted should finish in time, not only on the average.
+ * Estimates the decode time for admission: an admitted request should finish in time, and not only on average.
  *
  * @param state - Core state.
  * @param request - Request.
  * @param upstream - Upstream.
- * @returns Time that its answer may well take from the first token to the last, in milliseconds.
+ * @returns Conservative time from the first to the last token of its answer, in milliseconds.
  */
 export function cautiousDecodeTime(state: State, request: Request, upstream: Upstream): number {
 	const {speeds, outputs} = state.work;
-	const expected = expectedOutput(state, request);
-	const longer = expected + (caution * (outputs.get(outputKey(request.service))?.spread ?? 0));
+	const expected = estimateOutput(state, request);
+	const longer = expected + (conservativeSpreads * (outputs.get(createOutputKey(request.service))?.spread ?? 0));
 	const tokens = Math.min(longer, request.outputLimit ?? longer);
 	const speed = speeds.get(upstream.id);
 	return decodeTime(state, upstream, tokens)
@@ -122,12 +122,12 @@
 /**
  * @param state - Core state.
  * @param request - Request.
- * @param cached - Prompt tokens that the upstream is believed to hold.
- * @returns Work at that upstream.
+ * @param cached - Prompt tokens that the upstream is believed to cache.
+ * @returns Expected work at that upstream.
  */
-export function estimate(state: State, request: Request, cached = 0): Estimate {
+export function estimate(state: State, request: Request, cached = 0): WorkEstimate {
 	return {
 		prefill: Math.max(request.promptTokens - cached, 1),
-		decode: expectedOutput(state, request),
+		decode: estimateOutput(state, request),
 	};
 }
