--- a/src/core/features/holds/commands.ts
+++ b/src/core/features/holds/commands.ts
@@ -6,27 +6,27 @@
 import {upstream as upstreamOf} from '../configuration/queries.js';
 import {isCertainlyGone} from '../membership/queries.js';
 import {
-	holdGrace, releaseLimit, type HoldsState, type Release,
+	holdGraceMs, releaseLimit, type HoldsState, type Release,
 } from './types.js';
 
 /** Time between two asks: doubled each time up to the longest, in milliseconds. */
-const shortestInterval = 200;
-const longestInterval = 5000;
+const minRetryIntervalMs = 200;
+const maxRetryIntervalMs = 5000;
 
-function update(state: State, releases: HoldsState['releases']): State {
+function updateReleases(state: State, releases: HoldsState['releases']): State {
 	return {...state, holds: {releases}};
 }
 
-function ask(state: State, hold: string, release: Release, now: number): Step {
+function sendRelease(state: State, hold: string, release: Release, now: number): Step {
 	const target = upstreamOf(state, release.upstream);
-	const interval = Math.min(longestInterval, shortestInterval * (2 ** release.asks));
+	const interval = Math.min(maxRetryIntervalMs, minRetryIntervalMs * (2 ** release.attempts));
 	const effects: readonly Effect[] = target === undefined
 		? []
 		: [{
 			type: 'release', hold, upstream: release.upstream, address: target.address,
 		}];
 	return {
-		state: update(state, state.holds.releases.set(hold, {...release, askAt: now + interval, asks: release.asks + 1})),
+		state: updateReleases(state, state.holds.releases.set(hold, {...release, retryAt: now + interval, attempts: release.attempts + 1})),
 		effects,
 	};
 }
@@ -38,39 +38,39 @@
  * @param context - Time and random source.
  * @returns The next state and the first ask.
  */
-export function release(state: State, hold: string, upstream: string, {now}: Context): Step {
+export function requestRelease(state: State, hold: string, upstream: string, {now}: Context): Step {
 	const {releases} = state.holds;
 	return releases.has(hold) || releases.size >= releaseLimit
 		? only(state)
-		: ask(state, hold, {upstream, askAt: now, asks: 0}, now);
+		: sendRelease(state, hold, {upstream, retryAt: now, attempts: 0}, now);
 }
 
 /** Never a live owner's: its deadline is over with grace, or a newer incarnation of its owner was seen. */
-function staleness(state: State, hold: Hold, wall: number): string | undefined {
+function findStaleReason(state: State, hold: Hold, wall: number): string | undefined {
 	if (isCertainlyGone(state, hold.owner)) {
 		return 'its owner is gone';
 	}
 
-	return wall > hold.deadline + holdGrace ? 'its deadline is over' : undefined;
+	return wall > hold.deadline + holdGraceMs ? 'its deadline is over' : undefined;
 }
 
-function review(state: State, hold: Hold, context: Context): Step {
-	const reason = staleness(state, hold, context.wall);
+function reviewHold(state: State, hold: Hold, context: Context): Step {
+	const reason = findStaleReason(state, hold, context.wall);
 	if (reason === undefined || state.holds.releases.has(hold.id)) {
 		return only(state);
 	}
 
 	const {id, upstream} = hold;
-	const asked = release(state, id, upstream, context);
+	const requested = requestRelease(state, id, upstream, context);
 	return {
-		state: asked.state,
+		state: requested.state,
 		effects: [
 			{
 				type: 'log', decision: {
 					type: 'hold', hold: id, upstream, change: 'cancelled', reason,
 				},
 			},
-			...asked.effects,
+			...requested.effects,
 		],
 	};
 }
@@ -84,12 +84,12 @@
  * @param context - Time and random source.
  * @returns The next state and the asks; what the engine no longer lists needs none.
  */
-export function reviewAll(state: State, upstream: string, holds: readonly Hold[], context: Context): Step {
+export function reviewHolds(state: State, upstream: string, holds: readonly Hold[], context: Context): Step {
 	const listed = new Set(holds.map(each => each.id));
 	const releases = state.holds.releases.filter((each, hold) => each.upstream !== upstream || listed.has(hold));
 	return chain(
-		releases.size === state.holds.releases.size ? state : update(state, releases),
-		...holds.map(hold => (current: State) => review(current, hold, context)),
+		releases.size === state.holds.releases.size ? state : updateReleases(state, releases),
+		...holds.map(hold => (current: State) => reviewHold(current, hold, context)),
 	);
 }
 
@@ -98,8 +98,8 @@
  * @param hold - Hold that an engine has given back.
  * @returns The state without the ask for it.
  */
-export function confirm(state: State, hold: string): State {
-	return state.holds.releases.has(hold) ? update(state, state.holds.releases.delete(hold)) : state;
+export function confirmRelease(state: State, hold: string): State {
+	return state.holds.releases.has(hold) ? updateReleases(state, state.holds.releases.delete(hold)) : state;
 }
 
 /**
@@ -107,8 +107,8 @@
  * @param upstream - Engine that restarted, with empty memory.
  * @returns The state without asks to it.
  */
-export function forget(state: State, upstream: string): State {
-	return update(state, state.holds.releases.filter(each => each.upstream !== upstream));
+export function dropReleases(state: State, upstream: string): State {
+	return updateReleases(state, state.holds.releases.filter(each => each.upstream !== upstream));
 }
 
 /**
@@ -116,12 +116,12 @@
  * @param context - Time and random source.
  * @returns The next state and the asks that are due again; those to engines that left the configuration end.
  */
-export function pressReleases(state: State, {now}: Context): Step {
+export function retryReleases(state: State, {now}: Context): Step {
 	if (state.holds.releases.isEmpty()) {
 		return only(state);
 	}
 
-	const known = state.holds.releases.filter(each => upstreamOf(state, each.upstream) !== undefined);
-	const due = [...known].filter(([, each]) => each.askAt <= now);
-	return chain(update(state, known), ...due.map(([hold, each]) => (current: State) => ask(current, hold, each, now)));
+	const remaining = state.holds.releases.filter(each => upstreamOf(state, each.upstream) !== undefined);
+	const due = [...remaining].filter(([, each]) => each.retryAt <= now);
+	return chain(updateReleases(state, remaining), ...due.map(([hold, each]) => (current: State) => sendRelease(current, hold, each, now)));
 }
--- a/src/core/features/holds/feature.ts
+++ b/src/core/features/holds/feature.ts
@@ -2,7 +2,7 @@
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {
-	confirm, forget, pressReleases, release, reviewAll,
+	confirmRelease, dropReleases, retryReleases, requestRelease, reviewHolds,
 } from './commands.js';
 
 export const holdsFeature: Feature = {
@@ -10,23 +10,23 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'release-wanted': {
-				return release(state, event.hold, event.upstream, context);
+				return requestRelease(state, event.hold, event.upstream, context);
 			}
 
 			case 'holds-listed': {
-				return reviewAll(state, event.upstream, event.holds, context);
+				return reviewHolds(state, event.upstream, event.holds, context);
 			}
 
 			case 'hold-released': {
-				return only(confirm(state, event.hold));
+				return only(confirmRelease(state, event.hold));
 			}
 
 			case 'upstream-restarted': {
-				return only(forget(state, event.upstream));
+				return only(dropReleases(state, event.upstream));
 			}
 
 			case 'tick': {
-				return pressReleases(state, context);
+				return retryReleases(state, context);
 			}
 
 			default: {
--- a/src/core/features/holds/types.ts
+++ b/src/core/features/holds/types.ts
@@ -5,7 +5,7 @@
  * Time after its deadline during which a hold is left to its owner, in milliseconds: hosts' clocks may be apart, and the
  * owner gives it back by itself.
  */
-export const holdGrace = 5000;
+export const holdGraceMs = 5000;
 
 /** Releases asked for at one time. */
 export const releaseLimit = 10_000;
@@ -13,8 +13,8 @@
 export type Release = {
 	readonly upstream: string;
 	/** When it is asked for again, on the core's clock. */
-	readonly askAt: number;
-	readonly asks: number;
+	readonly retryAt: number;
+	readonly attempts: number;
 };
 
 export type HoldsState = {
--- a/src/core/features/keys/commands/claims.ts
+++ b/src/core/features/keys/commands/claims.ts
@@ -7,22 +7,22 @@
 import {answerUnknown} from '../../tickets/commands/answers.js';
 import {forwardToKeeper} from '../../tickets/commands/forwards.js';
 import {sealRight, useRight} from '../../tickets/commands/rights.js';
-import {isSame} from '../../tickets/queries.js';
-import {canVouch, others, tell} from '../queries.js';
+import {isSameIncarnation} from '../../tickets/queries.js';
+import {canConfirmNotRun, listActivePeers, sendToHost} from '../queries.js';
 import {
-	claimLimit, keyLife, waitingLimit, type Claim, type ClaimProgress,
+	claimLimit, keyLifetimeMs, waitingPerClaimLimit, type Claim, type ClaimProgress,
 } from '../types.js';
-import {update} from './acquaintances.js';
+import {updateKeys} from './known-peers.js';
 
-const askInterval = 100;
+const retryIntervalMs = 100;
 
 /** Time a claim may take in milliseconds: long enough for a short pause of another host. */
-const claimTime = 1000;
+const claimTimeoutMs = 1000;
 
 type AnswerMessage = Extract<KeyMessage, {readonly type: 'key-answer'}>;
 
 /** A key as it arrives with a request. */
-export type ShownKey = {
+export type PresentedKey = {
 	readonly right: string;
 	/** From the key, wall-clock time in milliseconds since 1970. */
 	readonly minted: number;
@@ -39,7 +39,7 @@
  */
 export function putClaim(state: State, right: string, claim: Claim): State {
 	const rest = state.keys.claiming.filter(each => each !== right);
-	return update(state, {
+	return updateKeys(state, {
 		claims: state.keys.claims.set(right, claim),
 		claiming: claim.progress.type === 'claiming' ? [...rest, right] : rest,
 	});
@@ -49,21 +49,21 @@
  * @param state - Core state.
  * @returns Whether another claim or promise can be remembered.
  */
-export function hasRoom(state: State): boolean {
+export function hasClaimRoom(state: State): boolean {
 	return state.keys.claims.size < claimLimit;
 }
 
-function ask(state: State, right: string, minted: number, hosts: readonly string[]): Step {
+function sendClaim(state: State, right: string, minted: number, hosts: readonly string[]): Step {
 	return {
 		state,
-		effects: hosts.flatMap(host => tell(state, host, {
+		effects: hosts.flatMap(host => sendToHost(state, host, {
 			type: 'key-claim', id: right, minted, claimant: state.self,
 		})),
 	};
 }
 
-function shareOut(state: State, waiting: readonly Request[], give: (state: State, request: Request) => Step): Step {
-	return chain(state, ...waiting.map(request => (current: State) => give(current, request)));
+function forEachWaiting(state: State, waiting: readonly Request[], handleRequest: (state: State, request: Request) => Step): Step {
+	return chain(state, ...waiting.map(request => (current: State) => handleRequest(current, request)));
 }
 
 /**
@@ -78,31 +78,31 @@
 export function yieldClaim(state: State, right: string, claim: Claim, to: Member): Step {
 	const waiting = claim.progress.type === 'claiming' ? claim.progress.waiting : [];
 	const yielded = putClaim(state, right, {...claim, progress: {type: 'yielded', to}});
-	return shareOut(yielded, waiting, (current, request) => forwardToKeeper(current, request, right, to));
+	return forEachWaiting(yielded, waiting, (current, request) => forwardToKeeper(current, request, right, to));
 }
 
-function doubt(state: State, right: string, claim: Claim, progress: Claiming): Step {
-	const doubted = putClaim(state, right, {...claim, progress: {type: 'doubtful'}});
-	return shareOut(doubted, progress.waiting, (current, request) =>
+function markDoubtful(state: State, right: string, claim: Claim, progress: Claiming): Step {
+	const next = putClaim(state, right, {...claim, progress: {type: 'doubtful'}});
+	return forEachWaiting(next, progress.waiting, (current, request) =>
 		answerUnknown(current, request, 'outcomeUnknown', 'no host is sure that the key never ran'));
 }
 
 /** Everybody has promised, or somebody's promise is missing: then the key is sealed, which needs nobody's promise. */
-function settle(state: State, right: string, claim: Claim, progress: Claiming): Step {
-	if (!progress.vouched || (progress.refused && progress.pending.length > 0)) {
-		return doubt(state, right, claim, progress);
+function settleClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
+	if (!progress.isNotRunConfirmed || (progress.refused && progress.pending.length > 0)) {
+		return markDoubtful(state, right, claim, progress);
 	}
 
-	const expires = claim.minted + keyLife;
-	const isOurs = progress.pending.length === 0 && isServing(state);
+	const expires = claim.minted + keyLifetimeMs;
+	const canRun = progress.pending.length === 0 && isServing(state);
 	const kept = putClaim(state, right, {...claim, progress: {type: 'kept'}});
-	return shareOut(isOurs ? kept : sealRight(kept, right, expires), progress.waiting, (current, request) =>
+	return forEachWaiting(canRun ? kept : sealRight(kept, right, expires), progress.waiting, (current, request) =>
 		useRight(current, {right, request, expires}));
 }
 
-function advance(state: State, right: string, claim: Claim, progress: Claiming): Step {
+function advanceClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
 	return progress.pending.length === 0
-		? settle(state, right, claim, progress)
+		? settleClaim(state, right, claim, progress)
 		: only(putClaim(state, right, {...claim, progress}));
 }
 
@@ -112,21 +112,21 @@
  * @param context - Time and random source.
  * @returns The next state and the questions; the request is cleared at once if there is nobody to ask.
  */
-export function beginClaim(state: State, {right, minted, request}: ShownKey, {now}: Context): Step {
-	const pending = others(state).map(each => each.member.incarnation.host);
+export function beginClaim(state: State, {right, minted, request}: PresentedKey, {now}: Context): Step {
+	const pending = listActivePeers(state).map(each => each.member.incarnation.host);
 	const progress: Claiming = {
 		type: 'claiming',
 		waiting: [request],
 		pending,
-		vouched: canVouch(state, minted),
+		isNotRunConfirmed: canConfirmNotRun(state, minted),
 		refused: false,
-		askAt: now + askInterval,
-		until: Math.min(now + claimTime, request.deadline),
+		retryAt: now + retryIntervalMs,
+		timeoutAt: Math.min(now + claimTimeoutMs, request.deadline),
 	};
 	return chain(
 		state,
-		current => advance(current, right, {minted, progress}, progress),
-		current => ask(current, right, minted, pending),
+		current => advanceClaim(current, right, {minted, progress}, progress),
+		current => sendClaim(current, right, minted, pending),
 	);
 }
 
@@ -136,14 +136,14 @@
  * @param request - Another request with the same key.
  * @returns The next state, with the request waiting.
  */
-export function joinClaim(state: State, right: string, request: Request): Step {
+export function waitForClaim(state: State, right: string, request: Request): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return only(state);
 	}
 
 	const {progress} = claim;
-	return progress.waiting.length >= waitingLimit
+	return progress.waiting.length >= waitingPerClaimLimit
 		? answerUnknown(state, request, 'outcomeUnknown', 'too many requests wait for the key')
 		: only(putClaim(state, right, {...claim, progress: {...progress, waiting: [...progress.waiting, request]}}));
 }
@@ -152,20 +152,20 @@
  * A host that promised the key to a third one never runs it either; the third one then has to answer for itself. If it
  * is over, only it could have told what became of the key.
  */
-function takeKept(state: State, from: string, right: string, by: Member): Step {
+function handleKeptAnswer(state: State, from: string, right: string, keeper: Member): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return only(state);
 	}
 
-	const {host} = by.incarnation;
-	const third = others(state).find(each => isSame(each.member.incarnation, by.incarnation));
-	if (host === from || third === undefined) {
-		return yieldClaim(state, right, claim, by);
+	const {host} = keeper.incarnation;
+	const otherKeeper = listActivePeers(state).find(each => isSameIncarnation(each.member.incarnation, keeper.incarnation));
+	if (host === from || otherKeeper === undefined) {
+		return yieldClaim(state, right, claim, keeper);
 	}
 
 	const {progress} = claim;
-	return advance(state, right, claim, {...progress, pending: progress.pending.filter(each => each !== from)});
+	return advanceClaim(state, right, claim, {...progress, pending: progress.pending.filter(each => each !== from)});
 }
 
 /**
@@ -174,10 +174,10 @@
  * @param message - Its answer.
  * @returns The next state, with the requests cleared, passed on or answered if that was the last one missing.
  */
-export function takeAnswer(state: State, from: string, message: AnswerMessage): Step {
+export function handleKeyAnswer(state: State, from: string, message: AnswerMessage): Step {
 	const {id: right, claimant, answer} = message;
 	const claim = state.keys.claims.get(right);
-	if (claim?.progress.type !== 'claiming' || !isSame(claimant, state.self.incarnation)) {
+	if (claim?.progress.type !== 'claiming' || !isSameIncarnation(claimant, state.self.incarnation)) {
 		return only(state);
 	}
 
@@ -185,12 +185,12 @@
 	switch (answer.type) {
 		case 'yielded':
 		case 'unsure': {
-			const vouched = progress.vouched || answer.type === 'yielded';
-			return advance(state, right, claim, {...progress, vouched, pending: progress.pending.filter(each => each !== from)});
+			const isNotRunConfirmed = progress.isNotRunConfirmed || answer.type === 'yielded';
+			return advanceClaim(state, right, claim, {...progress, isNotRunConfirmed, pending: progress.pending.filter(each => each !== from)});
 		}
 
 		case 'kept': {
-			return takeKept(state, from, right, answer.by);
+			return handleKeptAnswer(state, from, right, answer.by);
 		}
 
 		// Some host does not count this one among those it asks.
@@ -204,24 +204,24 @@
 	}
 }
 
-function press(state: State, right: string, {now}: Context): Step {
+function retryClaim(state: State, right: string, {now}: Context): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return only(state);
 	}
 
 	const {progress} = claim;
-	const wanted = new Set(others(state).map(each => each.member.incarnation.host));
-	const pending = progress.pending.filter(each => wanted.has(each));
-	if (progress.until <= now || pending.length === 0) {
-		return settle(state, right, claim, {...progress, pending});
+	const activeHosts = new Set(listActivePeers(state).map(each => each.member.incarnation.host));
+	const pending = progress.pending.filter(each => activeHosts.has(each));
+	if (progress.timeoutAt <= now || pending.length === 0) {
+		return settleClaim(state, right, claim, {...progress, pending});
 	}
 
-	return progress.askAt > now
+	return progress.retryAt > now
 		? only(state)
 		: chain(
-			putClaim(state, right, {...claim, progress: {...progress, pending, askAt: now + askInterval}}),
-			current => ask(current, right, claim.minted, pending),
+			putClaim(state, right, {...claim, progress: {...progress, pending, retryAt: now + retryIntervalMs}}),
+			current => sendClaim(current, right, claim.minted, pending),
 		);
 }
 
@@ -232,6 +232,6 @@
  * @param context - Time and random source.
  * @returns The next state and the effects.
  */
-export function pressClaims(state: State, context: Context): Step {
-	return chain(state, ...state.keys.claiming.map(right => (current: State) => press(current, right, context)));
+export function retryClaims(state: State, context: Context): Step {
+	return chain(state, ...state.keys.claiming.map(right => (current: State) => retryClaim(current, right, context)));
 }
--- a/src/core/features/keys/commands/promises.ts
+++ b/src/core/features/keys/commands/promises.ts
@@ -2,34 +2,34 @@
 import {type KeyAnswer, type Member} from '../../../types/peer.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {assertNever, chain} from '../../../utils/common.js';
-import {isSame} from '../../tickets/queries.js';
-import {canVouch, tell} from '../queries.js';
-import {callerAhead, keyLife, type Claim} from '../types.js';
-import {meet} from './acquaintances.js';
-import {hasRoom, yieldClaim} from './claims.js';
+import {isSameIncarnation} from '../../tickets/queries.js';
+import {canConfirmNotRun, sendToHost} from '../queries.js';
+import {maxCallerClockLeadMs, keyLifetimeMs, type Claim} from '../types.js';
+import {addKnownPeer} from './known-peers.js';
+import {hasClaimRoom, yieldClaim} from './claims.js';
 
 /** A claim as it arrives. */
-export type Asked = {
+export type IncomingClaim = {
 	readonly right: string;
 	readonly minted: number;
 	readonly claimant: Member;
 };
 
-function reply(state: State, {right, claimant}: Asked, answer: KeyAnswer): Step {
+function sendReply(state: State, {right, claimant}: IncomingClaim, answer: KeyAnswer): Step {
 	return {
 		state,
-		effects: tell(state, claimant.incarnation.host, {
+		effects: sendToHost(state, claimant.incarnation.host, {
 			type: 'key-answer', id: right, claimant: claimant.incarnation, answer,
 		}),
 	};
 }
 
-function promise(state: State, asked: Asked, claim: Claim): Step {
-	const answer: KeyAnswer = {type: canVouch(state, asked.minted) ? 'yielded' : 'unsure'};
+function givePromise(state: State, incoming: IncomingClaim, claim: Claim): Step {
+	const answer: KeyAnswer = {type: canConfirmNotRun(state, incoming.minted) ? 'yielded' : 'unsure'};
 	return chain(
 		state,
-		current => yieldClaim(current, asked.right, claim, asked.claimant),
-		current => reply(current, asked, answer),
+		current => yieldClaim(current, incoming.right, claim, incoming.claimant),
+		current => sendReply(current, incoming, answer),
 	);
 }
 
@@ -39,34 +39,34 @@
 }
 
 /** Too old or from the future: nothing could be remembered, or another host's clock is wrong. */
-function isOutOfTime(minted: number, wall: number): boolean {
-	return minted <= wall - keyLife || minted > wall + callerAhead;
+function isOutsideTimeWindow(minted: number, wall: number): boolean {
+	return minted <= wall - keyLifetimeMs || minted > wall + maxCallerClockLeadMs;
 }
 
-function takeFirst(state: State, asked: Asked): Step {
-	return hasRoom(state)
-		? promise(state, asked, {minted: asked.minted, progress: {type: 'doubtful'}})
-		: reply(state, asked, {type: 'refused'});
+function handleFirstClaim(state: State, incoming: IncomingClaim): Step {
+	return hasClaimRoom(state)
+		? givePromise(state, incoming, {minted: incoming.minted, progress: {type: 'doubtful'}})
+		: sendReply(state, incoming, {type: 'refused'});
 }
 
-function takeKnown(state: State, asked: Asked, claim: Claim): Step {
-	const {claimant} = asked;
+function handleRepeatedClaim(state: State, incoming: IncomingClaim, claim: Claim): Step {
+	const {claimant} = incoming;
 	const {progress} = claim;
 	switch (progress.type) {
 		case 'claiming': {
 			// Of two that claim at once the one with the lower name goes on.
-			const goesOn = state.self.incarnation.host < claimant.incarnation.host;
-			return goesOn ? reply(state, asked, {type: 'kept', by: state.self}) : promise(state, asked, claim);
+			const isWinner = state.self.incarnation.host < claimant.incarnation.host;
+			return isWinner ? sendReply(state, incoming, {type: 'kept', by: state.self}) : givePromise(state, incoming, claim);
 		}
 
 		case 'kept':
 		case 'doubtful': {
-			return reply(state, asked, {type: 'kept', by: state.self});
+			return sendReply(state, incoming, {type: 'kept', by: state.self});
 		}
 
 		case 'yielded': {
-			const isRepeat = isSame(progress.to.incarnation, claimant.incarnation);
-			return isRepeat ? promise(state, asked, claim) : reply(state, asked, {type: 'kept', by: progress.to});
+			const isRepeat = isSameIncarnation(progress.to.incarnation, claimant.incarnation);
+			return isRepeat ? givePromise(state, incoming, claim) : sendReply(state, incoming, {type: 'kept', by: progress.to});
 		}
 
 		default: {
@@ -77,16 +77,16 @@
 
 /**
  * @param state - Core state.
- * @param asked - The claim.
+ * @param incoming - The claim.
  * @param context - Time and random source.
  * @returns The next state, with the promise recorded before it is given, and the answer.
  */
-export function takeClaim(state: State, asked: Asked, context: Context): Step {
-	const met = meet(state, asked.claimant);
-	const claim = met.keys.claims.get(asked.right);
-	if (isOutdated(met, asked.claimant) || isOutOfTime(asked.minted, context.wall)) {
-		return reply(met, asked, {type: 'refused'});
+export function handleClaim(state: State, incoming: IncomingClaim, context: Context): Step {
+	const next = addKnownPeer(state, incoming.claimant);
+	const claim = next.keys.claims.get(incoming.right);
+	if (isOutdated(next, incoming.claimant) || isOutsideTimeWindow(incoming.minted, context.wall)) {
+		return sendReply(next, incoming, {type: 'refused'});
 	}
 
-	return claim === undefined ? takeFirst(met, asked) : takeKnown(met, asked, claim);
+	return claim === undefined ? handleFirstClaim(next, incoming) : handleRepeatedClaim(next, incoming, claim);
 }
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -14,42 +14,42 @@
 } from '../tickets/commands/answers.js';
 import {forwardToKeeper} from '../tickets/commands/forwards.js';
 import {useRight} from '../tickets/commands/rights.js';
-import {entry, keyRight} from '../tickets/queries.js';
+import {getEntry, keyRight} from '../tickets/queries.js';
 import {
-	answered, attend, end, introduce, meet, stepBack, update,
-} from './commands/acquaintances.js';
+	markAnswered, runHandshakes, markEnded, handleHandshake, addKnownPeer, resetHandshakes, updateKeys,
+} from './commands/known-peers.js';
 import {
-	beginClaim, hasRoom, joinClaim, pressClaims, takeAnswer, type ShownKey,
+	beginClaim, hasClaimRoom, waitForClaim, retryClaims, handleKeyAnswer, type PresentedKey,
 } from './commands/claims.js';
-import {takeClaim} from './commands/promises.js';
+import {handleClaim} from './commands/promises.js';
 import {
-	canVouch, deliver, isLinked, mintedAt, others,
+	canConfirmNotRun, deliver, hasLink, mintedAt, listActivePeers,
 } from './queries.js';
 import {
-	callerAhead, clockError, keyLife, type Claim,
+	maxCallerClockLeadMs, maxHostClockSkewMs, keyLifetimeMs, type Claim,
 } from './types.js';
 
-const sweepInterval = 5000;
+const sweepIntervalMs = 5000;
 
 /** A host that cannot claim passes the request to one that may be able to. */
-function passOn(state: State, request: Request, right: string): Step {
-	const to = others(state).find(each => each.met && isLinked(state, each.member.incarnation.host));
-	return to === undefined
+function forwardToPeer(state: State, request: Request, right: string): Step {
+	const peer = listActivePeers(state).find(each => each.hasAnswered && hasLink(state, each.member.incarnation.host));
+	return peer === undefined
 		? answerUnknown(state, request, 'outcomeUnknown', 'this host cannot tell whether the key ran')
-		: forwardToKeeper(state, request, right, to.member);
+		: forwardToKeeper(state, request, right, peer.member);
 }
 
-function arriveKnown(state: State, request: Request, right: string, claim: Claim): Step {
+function handleKnownKey(state: State, request: Request, right: string, claim: Claim): Step {
 	const {progress} = claim;
 	switch (progress.type) {
 		case 'claiming': {
-			return joinClaim(state, right, request);
+			return waitForClaim(state, right, request);
 		}
 
 		case 'kept': {
-			return entry(state, right) === undefined
+			return getEntry(state, right) === undefined
 				? answerUnknown(state, request, 'outcomeUnknown', 'the key is too old to be remembered')
-				: useRight(state, {right, request, expires: claim.minted + keyLife});
+				: useRight(state, {right, request, expires: claim.minted + keyLifetimeMs});
 		}
 
 		case 'yielded': {
@@ -66,76 +66,76 @@
 	}
 }
 
-function arriveNew(state: State, shown: ShownKey, context: Context): Step {
-	const {request, right, minted} = shown;
+function handleNewKey(state: State, presented: PresentedKey, context: Context): Step {
+	const {request, right, minted} = presented;
 	const {wall} = context;
-	if (minted <= wall - keyLife) {
+	if (minted <= wall - keyLifetimeMs) {
 		return answerUnknown(state, request, 'outcomeUnknown', 'the key is too old to be remembered');
 	}
 
-	if (minted > wall + callerAhead) {
-		const isFar = minted > wall + callerAhead + clockError;
-		return isFar
+	if (minted > wall + maxCallerClockLeadMs) {
+		const isCertainlyAhead = minted > wall + maxCallerClockLeadMs + maxHostClockSkewMs;
+		return isCertainlyAhead
 			? answer(state, request, {type: 'not-run', code: codes.badHeader, detail: 'The key\'s time is in the future.'}, 'key from the future')
 			: answerUnknown(state, request, 'outcomeUnknown', 'key from the future');
 	}
 
 	if (!isServing(state) || !state.keys.joined) {
-		return passOn(state, request, right);
+		return forwardToPeer(state, request, right);
 	}
 
-	if (!hasRoom(state)) {
-		return canVouch(state, minted)
+	if (!hasClaimRoom(state)) {
+		return canConfirmNotRun(state, minted)
 			? answerNotRun(state, request, 'overloaded', 'too many keys in use')
 			: answerUnknown(state, request, 'outcomeUnknown', 'too many keys in use');
 	}
 
-	return beginClaim(state, shown, context);
+	return beginClaim(state, presented, context);
 }
 
-function arrive(state: State, request: Request, key: string, context: Context): Step {
+function handleArrival(state: State, request: Request, key: string, context: Context): Step {
 	const minted = mintedAt(key);
-	const wanted = service(state, request.service);
-	if (minted === undefined || wanted?.ticketRule === 'ticket') {
+	const requestedService = service(state, request.service);
+	if (minted === undefined || requestedService?.ticketRule === 'ticket') {
 		return requireTicket(state, request, context);
 	}
 
 	const right = keyRight(request.organisation, key);
 	const claim = state.keys.claims.get(right);
 	return claim === undefined
-		? arriveNew(state, {request, right, minted}, context)
-		: arriveKnown(state, request, right, claim);
+		? handleNewKey(state, {request, right, minted}, context)
+		: handleKnownKey(state, request, right, claim);
 }
 
-function hearJoined(state: State, message: Extract<KeyMessage, {readonly type: 'key-joined'}>): State {
-	let next = answered(state, message.member);
+function handleKeyJoined(state: State, message: Extract<KeyMessage, {readonly type: 'key-joined'}>): State {
+	let next = markAnswered(state, message.member);
 	for (const member of message.members) {
-		next = meet(next, member);
+		next = addKnownPeer(next, member);
 	}
 
 	for (const incarnation of message.ended) {
-		next = end(next, incarnation);
+		next = markEnded(next, incarnation);
 	}
 
 	return next;
 }
 
-function hearKeys(state: State, from: string, message: KeyMessage, context: Context): Step {
+function handleKeyMessage(state: State, from: string, message: KeyMessage, context: Context): Step {
 	switch (message.type) {
 		case 'key-join': {
-			return introduce(state, message.member, message.digest);
+			return handleHandshake(state, message.member, message.digest);
 		}
 
 		case 'key-joined': {
-			return only(hearJoined(state, message));
+			return only(handleKeyJoined(state, message));
 		}
 
 		case 'key-claim': {
-			return takeClaim(state, {right: message.id, minted: message.minted, claimant: message.claimant}, context);
+			return handleClaim(state, {right: message.id, minted: message.minted, claimant: message.claimant}, context);
 		}
 
 		case 'key-answer': {
-			return takeAnswer(state, from, message);
+			return handleKeyAnswer(state, from, message);
 		}
 
 		default: {
@@ -144,23 +144,23 @@
 	}
 }
 
-function meetAll(state: State, members: readonly Member[]): State {
+function addKnownPeers(state: State, members: readonly Member[]): State {
 	let next = state;
 	for (const member of members) {
-		next = meet(next, member);
+		next = addKnownPeer(next, member);
 	}
 
 	return next;
 }
 
-function hear(state: State, from: string, message: PeerMessage, context: Context): Step {
+function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
 	switch (message.type) {
 		case 'hello': {
-			return only(meet(state, message.member));
+			return only(addKnownPeer(state, message.member));
 		}
 
 		case 'heartbeat': {
-			return only(meetAll(state, message.members));
+			return only(addKnownPeers(state, message.members));
 		}
 
 		case 'relay': {
@@ -173,7 +173,7 @@
 		case 'key-joined':
 		case 'key-claim':
 		case 'key-answer': {
-			return hearKeys(state, from, message, context);
+			return handleKeyMessage(state, from, message, context);
 		}
 
 		default: {
@@ -182,17 +182,17 @@
 	}
 }
 
-function sweep(state: State, {now, wall}: Context): Step {
+function sweepClaims(state: State, {now, wall}: Context): Step {
 	if (now < state.keys.sweepAt) {
 		return only(state);
 	}
 
-	const claims = state.keys.claims.filter(claim => claim.progress.type === 'claiming' || claim.minted + keyLife + clockError > wall);
-	return only(update(state, {claims, sweepAt: now + sweepInterval}));
+	const claims = state.keys.claims.filter(claim => claim.progress.type === 'claiming' || claim.minted + keyLifetimeMs + maxHostClockSkewMs > wall);
+	return only(updateKeys(state, {claims, sweepAt: now + sweepIntervalMs}));
 }
 
-function list(state: State, event: EventOf<'hosts-listed'>): Step {
-	return only(update(meetAll(state, event.members), {listed: true}));
+function handleHostList(state: State, event: EventOf<'hosts-listed'>): Step {
+	return only(updateKeys(addKnownPeers(state, event.members), {hasHostList: true}));
 }
 
 export const keysFeature: Feature = {
@@ -201,27 +201,27 @@
 		switch (event.type) {
 			case 'request-arrived': {
 				const {request} = event;
-				return request.proof.type === 'key' ? arrive(state, request, request.proof.key, context) : only(state);
+				return request.proof.type === 'key' ? handleArrival(state, request, request.proof.key, context) : only(state);
 			}
 
 			case 'hosts-listed': {
-				return list(state, event);
+				return handleHostList(state, event);
 			}
 
 			case 'peer-message': {
-				return hear(state, event.from, event.message, context);
+				return handlePeerMessage(state, event.from, event.message, context);
 			}
 
 			case 'woken': {
-				return only(stepBack(state));
+				return only(resetHandshakes(state));
 			}
 
 			case 'tick': {
 				return chain(
 					state,
-					current => attend(current, context),
-					current => pressClaims(current, context),
-					current => sweep(current, context),
+					current => runHandshakes(current, context),
+					current => retryClaims(current, context),
+					current => sweepClaims(current, context),
 				);
 			}
 
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -3,17 +3,17 @@
 import {type RelayedMessage} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
 import {longestRoute, nextHop} from '../membership/routes.js';
-import {callerAhead, clockError, type Acquaintance} from './types.js';
+import {maxCallerClockLeadMs, maxHostClockSkewMs, type KnownPeer} from './types.js';
 
-const versionSeven = /^[\da-f]{8}-[\da-f]{4}-7[\da-f]{3}-[89ab][\da-f]{3}-[\da-f]{12}$/iv;
-const timeDigits = 12;
+const uuidVersionSeven = /^[\da-f]{8}-[\da-f]{4}-7[\da-f]{3}-[89ab][\da-f]{3}-[\da-f]{12}$/iv;
+const timestampDigits = 12;
 
 /**
  * @param key - Idempotency key.
  * @returns When it was minted, in milliseconds since 1970; undefined if it is not a UUID of version 7.
  */
 export function mintedAt(key: string): number | undefined {
-	return versionSeven.test(key) ? Number.parseInt(key.replaceAll('-', '').slice(0, timeDigits), 16) : undefined;
+	return uuidVersionSeven.test(key) ? Number.parseInt(key.replaceAll('-', '').slice(0, timestampDigits), 16) : undefined;
 }
 
 /**
@@ -24,16 +24,16 @@
  * @param minted - When the key was minted, in milliseconds since 1970.
  * @returns Whether this host would know if the key had run elsewhere.
  */
-export function canVouch(state: State, minted: number): boolean {
+export function canConfirmNotRun(state: State, minted: number): boolean {
 	const {joined, vouchFrom} = state.keys;
-	return joined && vouchFrom + callerAhead + clockError < minted;
+	return joined && vouchFrom + maxCallerClockLeadMs + maxHostClockSkewMs < minted;
 }
 
 /**
  * @param state - Core state.
  * @returns Hosts whose promise this host needs before it runs a key.
  */
-export function others(state: State): readonly Acquaintance[] {
+export function listActivePeers(state: State): readonly KnownPeer[] {
 	return [...state.keys.acquaintances.values()].filter(each => !each.ended);
 }
 
@@ -42,12 +42,12 @@
  * @param host - Host.
  * @returns Whether this host has a link to it.
  */
-export function isLinked(state: State, host: string): boolean {
+export function hasLink(state: State, host: string): boolean {
 	return state.membership.peers.get(host)?.connected === true;
 }
 
 /** A message that this host sends, or passes on for another. */
-export type Letter = {
+export type Envelope = {
 	readonly from: string;
 	readonly to: string;
 	/** Hosts that have passed it on. */
@@ -57,12 +57,12 @@
 
 /**
  * @param state - Core state.
- * @param letter - Message and whom it is for.
+ * @param envelope - Message and whom it is for.
  * @returns The sending over a link, or through a host that may have one; without either it is lost.
  */
-export function deliver(state: State, letter: Letter): readonly Effect[] {
-	const {from, to, hops, message} = letter;
-	const relay = isLinked(state, to) || hops >= longestRoute ? undefined : nextHop(state, to, from);
+export function deliver(state: State, envelope: Envelope): readonly Effect[] {
+	const {from, to, hops, message} = envelope;
+	const relay = hasLink(state, to) || hops >= longestRoute ? undefined : nextHop(state, to, from);
 	if (relay === undefined) {
 		return [{
 			type: 'peer-send', to, message: hops === 0
@@ -86,7 +86,7 @@
  * @param message - Message of this host.
  * @returns The sending, as {@link deliver} does it.
  */
-export function tell(state: State, to: string, message: RelayedMessage): readonly Effect[] {
+export function sendToHost(state: State, to: string, message: RelayedMessage): readonly Effect[] {
 	return deliver(state, {
 		from: state.self.incarnation.host, to, hops: 0, message,
 	});
--- a/src/core/features/keys/types.ts
+++ b/src/core/features/keys/types.ts
@@ -4,26 +4,26 @@
 import {type Request} from '../../types/request.js';
 
 /** Time after its minting in which a key may run, in milliseconds. */
-export const keyLife = 600_000;
+export const keyLifetimeMs = 600_000;
 
 /** How far a caller's clock may be ahead, and how far hosts' clocks may be apart, in milliseconds. */
-export const callerAhead = 2000;
-export const clockError = 1000;
+export const maxCallerClockLeadMs = 2000;
+export const maxHostClockSkewMs = 1000;
 
 /** Claims and promises remembered at one host. */
 export const claimLimit = 50_000;
 
 /** Requests that may wait for one claim. */
-export const waitingLimit = 16;
+export const waitingPerClaimLimit = 16;
 
 /** Hosts remembered. */
-export const acquaintanceLimit = 2048;
+export const knownPeerLimit = 2048;
 
 /** Another host that may run keys. */
-export type Acquaintance = {
+export type KnownPeer = {
 	readonly member: Member;
 	/** Whether it has answered this host's introduction, and so will ask it about each key. */
-	readonly met: boolean;
+	readonly hasAnswered: boolean;
 	/** Whether it is over for certain, or leaving: it runs no key from now on. */
 	readonly ended: boolean;
 };
@@ -36,12 +36,12 @@
 		/** Hosts whose promise is missing. */
 		readonly pending: readonly string[];
 		/** Whether somebody was certain that the key never ran. */
-		readonly vouched: boolean;
+		readonly isNotRunConfirmed: boolean;
 		/** Whether a host gave no promise, so that it may run the key without this host. */
 		readonly refused: boolean;
 		/** When to ask again and when to give up, on the core's clock. */
-		readonly askAt: number;
-		readonly until: number;
+		readonly retryAt: number;
+		readonly timeoutAt: number;
 	}
 	/** This host keeps it; the tickets feature has the entry. */
 	| {readonly type: 'kept'}
@@ -58,9 +58,9 @@
 
 export type KeysState = {
 	/** By host. */
-	readonly acquaintances: Table<string, Acquaintance>;
+	readonly acquaintances: Table<string, KnownPeer>;
 	/** Whether the platform's list was seen since the start. */
-	readonly listed: boolean;
+	readonly hasHostList: boolean;
 	/** Whether everyone known has answered this host's introduction. */
 	readonly joined: boolean;
 	/** Keys minted well after this wall-clock time cannot have run without this host knowing it. */
@@ -72,18 +72,18 @@
 	/** Rounds of introductions since somebody was last met. */
 	readonly rounds: number;
 	/** When to introduce itself again and when to forget old claims, on the core's clock. */
-	readonly joinAt: number;
+	readonly nextHandshakeAt: number;
 	readonly sweepAt: number;
 };
 
 export const initialKeys: KeysState = {
 	acquaintances: Table(),
-	listed: false,
+	hasHostList: false,
 	joined: false,
 	vouchFrom: Number.MAX_SAFE_INTEGER,
 	claims: Table(),
 	claiming: [],
 	rounds: 0,
-	joinAt: 0,
+	nextHandshakeAt: 0,
 	sweepAt: 0,
 };
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -10,35 +10,35 @@
 import {footprint, needsGroup} from '../../routing/queries.js';
 import {upstreamsFor} from '../../takeover/queries.js';
 import {predict, type Prediction} from '../prediction.js';
-import {lane, queueLength} from '../queries.js';
-import {type Admission, type LaneName} from '../types.js';
-import {refusalToSend} from './attempts.js';
-import {put, refuse, usualRetryAfter} from './conclude.js';
-import {enqueue} from './lanes.js';
+import {getQueue, queueLength} from '../queries.js';
+import {type Admission, type QueueName} from '../types.js';
+import {findSendRefusal} from './attempts.js';
+import {putAdmission, refuse, defaultRetryAfterMs} from './conclude.js';
+import {enqueue} from './queues.js';
 import {spillNew} from './spill.js';
 
 /** A queue may grow to this many times its limit while organisations that had more than their part work it off. */
-const overfull = 2;
+const overfillFactor = 2;
 
-function refuseWith(state: State, request: Request, code: CodeName, reason: string, retryAfter = usualRetryAfter): Step {
+function refuseWith(state: State, request: Request, code: CodeName, reason: string, retryAfter = defaultRetryAfterMs): Step {
 	return refuse(state, request, {type: 'not-run', code: codes[code], retryAfter: Math.ceil(retryAfter)}, reason);
 }
 
 /** Each organisation may fill the part of the queue that its weight gives it among those that wait. */
-function isQueueFull(state: State, request: Request, wanted: Service, name: LaneName): boolean {
+function isQueueFull(state: State, request: Request, requestedService: Service, name: QueueName): boolean {
 	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
 	let weights = ownWeight;
 	let own = 0;
-	for (const [id, waiting] of lane(state, request.service, name).waiting) {
+	for (const [id, backlog] of getQueue(state, request.service, name).waiting) {
 		if (id === request.organisation) {
-			own = waiting.ids.size;
+			own = backlog.ids.size;
 		} else {
-			weights += waiting.weight;
+			weights += backlog.weight;
 		}
 	}
 
-	return own >= Math.ceil(wanted.queueLimit * ownWeight / weights)
-		|| queueLength(state, request.service) >= wanted.queueLimit * overfull;
+	return own >= Math.ceil(requestedService.queueLimit * ownWeight / weights)
+		|| queueLength(state, request.service) >= requestedService.queueLimit * overfillFactor;
 }
 
 /** Whether all engines of the service here together are too small. */
@@ -55,25 +55,25 @@
 	return memory < footprint(state, request);
 }
 
-function admission(request: Request, prediction: Prediction, now: number): Admission {
+function createAdmission(request: Request, prediction: Prediction, now: number): Admission {
 	return {
 		request,
 		progress: {type: 'queued', since: now},
-		lane: prediction.lane,
+		queue: prediction.queue,
 		cost: prediction.cost,
 		attempts: 0,
-		avoided: [],
+		failedUpstreams: [],
 		due: Math.max(request.deadline - prediction.run, now),
 	};
 }
 
-const unpredicted: Prediction = {
-	lane: 'short', cost: 0, run: 0, wait: 0,
+const emptyPrediction: Prediction = {
+	queue: 'short', cost: 0, run: 0, wait: 0,
 };
 
 /** What becomes of a request that the own failure domain cannot serve in time. */
-function elsewhere(state: State, request: Request, prediction: Prediction | undefined, context: Context): Step {
-	const spilled = spillNew(state, admission(request, prediction ?? unpredicted, context.now), context);
+function spillOrRefuse(state: State, request: Request, prediction: Prediction | undefined, context: Context): Step {
+	const spilled = spillNew(state, createAdmission(request, prediction ?? emptyPrediction, context.now), context);
 	if (spilled !== undefined) {
 		return {...spilled, effects: [{type: 'raise', event: {type: 'request-admitted', request}}, ...spilled.effects]};
 	}
@@ -83,8 +83,8 @@
 	}
 
 	const {wait, run} = prediction;
-	const late = context.now + wait + run - request.deadline;
-	return refuseWith(state, request, 'deadlineUnreachable', `would finish ${Math.ceil(late)} ms late`, Math.max(Math.min(late, wait), 100));
+	const lateness = context.now + wait + run - request.deadline;
+	return refuseWith(state, request, 'deadlineUnreachable', `would finish ${Math.ceil(lateness)} ms late`, Math.max(Math.min(lateness, wait), 100));
 }
 
 /**
@@ -99,19 +99,19 @@
 		return refuseWith(state, request, 'leaving', 'not serving');
 	}
 
-	const wanted = service(state, request.service);
-	if (wanted === undefined) {
+	const requestedService = service(state, request.service);
+	if (requestedService === undefined) {
 		return refuseWith(state, request, 'noUpstream', 'no such service');
 	}
 
-	const refusal = refusalToSend(state, request, context);
+	const refusal = findSendRefusal(state, request, context);
 	if (refusal !== undefined) {
 		return refuseWith(state, request, refusal, 'no right to run');
 	}
 
-	const limited = limitedFor(state, request, now);
-	if (limited > 0) {
-		return refuseWith(state, request, 'organisationLimit', 'at its limit', limited);
+	const retryAfter = limitedFor(state, request, now);
+	if (retryAfter > 0) {
+		return refuseWith(state, request, 'organisationLimit', 'at its limit', retryAfter);
 	}
 
 	if (isTooLong(state, request)) {
@@ -120,16 +120,16 @@
 
 	const prediction = predict(state, request, now);
 	if (prediction === undefined || now + prediction.wait + prediction.run > request.deadline) {
-		return elsewhere(state, request, prediction, context);
+		return spillOrRefuse(state, request, prediction, context);
 	}
 
-	if (isQueueFull(state, request, wanted, prediction.lane)) {
-		return refuseWith(state, request, 'overloaded', 'queue full', prediction.wait + usualRetryAfter);
+	if (isQueueFull(state, request, requestedService, prediction.queue)) {
+		return refuseWith(state, request, 'overloaded', 'queue full', prediction.wait + defaultRetryAfterMs);
 	}
 
-	const admitted = admission(request, prediction, now);
+	const admitted = createAdmission(request, prediction, now);
 	return {
-		state: enqueue(put(state, admitted), admitted, false),
+		state: enqueue(putAdmission(state, admitted), admitted, false),
 		effects: [
 			{type: 'raise', event: {type: 'request-admitted', request}},
 			{type: 'raise', event: {type: 'dispatch-wanted', service: request.service}},
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -17,10 +17,10 @@
 import {estimate} from '../../work/queries.js';
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {conclude, outcomeOf, put} from './conclude.js';
-import {enqueue, take} from './lanes.js';
+import {conclude, toOutcome, putAdmission} from './conclude.js';
+import {enqueue, dequeue} from './queues.js';
 
-function lengthOf(state: State, request: Request): LengthClass {
+function lengthClassOf(state: State, request: Request): LengthClass {
 	return classOf(service(state, request.service), request.promptTokens);
 }
 
@@ -41,7 +41,7 @@
 	return (lengthRank[attempt.length] * priorityLevels) + request.priority;
 }
 
-function attemptFor(state: State, admission: Admission, choice: Choice, segments: readonly Segment[] | undefined, now: number): Attempt {
+function createAttempt(state: State, admission: Admission, choice: Choice, segments: readonly Segment[] | undefined, now: number): Attempt {
 	const {request} = admission;
 	return {
 		id: `${request.id}.${admission.attempts + 1}`,
@@ -51,7 +51,7 @@
 		upstreamIncarnation: view(state, choice.upstream.id).report?.incarnation,
 		...estimate(state, request, choice.cached),
 		ahead: choice.ahead,
-		length: lengthOf(state, request),
+		length: lengthClassOf(state, request),
 		parts: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
 		written: false,
 		received: 0,
@@ -64,7 +64,7 @@
  * @param context - Time.
  * @returns Why it must not run, if so.
  */
-export function refusalToSend(state: State, request: Request, context: Context): CodeName | undefined {
+export function findSendRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	return isConvicted(state, request.fingerprint, context)
 		? 'convicted'
 		: dispatchRefusal(state, request, context);
@@ -80,14 +80,14 @@
  */
 export function send(state: State, admission: Admission, choice: Choice, context: Context, segments?: readonly Segment[]): Step {
 	const {request} = admission;
-	const refusal = refusalToSend(state, request, context);
+	const refusal = findSendRefusal(state, request, context);
 	if (refusal !== undefined) {
-		return conclude(state, admission, admission.last ?? {type: 'not-run', code: codes[refusal]});
+		return conclude(state, admission, admission.lastOutcome ?? {type: 'not-run', code: codes[refusal]});
 	}
 
-	const attempt = attemptFor(state, admission, choice, segments, context.now);
-	const taken = admission.progress.type === 'queued' ? take(state, admission) : state;
-	const next = put(taken, {
+	const attempt = createAttempt(state, admission, choice, segments, context.now);
+	const dequeued = admission.progress.type === 'queued' ? dequeue(state, admission) : state;
+	const next = putAdmission(dequeued, {
 		...admission, attempts: admission.attempts + 1, progress: {type: 'running', attempt}, due: request.deadline,
 	});
 	return {
@@ -122,7 +122,7 @@
 	};
 }
 
-function endAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
+function removeAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
 	return {
 		state: {...state, requests: {...state.requests, attempts: state.requests.attempts.delete(attempt.id)}},
 		effects: [{
@@ -135,15 +135,15 @@
 
 function retry(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
 	const {request} = admission;
-	const ran = ending.type !== 'not-run';
+	const mayHaveRun = ending.type !== 'not-run';
 	const next: Admission = {
 		...admission,
 		progress: {type: 'queued', since: attempt.began},
-		avoided: [...admission.avoided, attempt.upstream],
-		last: ran ? outcomeOf(ending) : admission.last,
+		failedUpstreams: [...admission.failedUpstreams, attempt.upstream],
+		lastOutcome: mayHaveRun ? toOutcome(ending) : admission.lastOutcome,
 	};
 	return {
-		state: enqueue(put(state, next), next, true),
+		state: enqueue(putAdmission(state, next), next, true),
 		effects: [
 			{
 				type: 'log', decision: {
@@ -160,9 +160,9 @@
 }
 
 /** An earlier attempt that may have run outweighs a later one that did not. */
-function finalOutcome(admission: Admission, ending: Ending): Outcome {
-	const outcome = outcomeOf(ending);
-	return outcome.type === 'not-run' && admission.last !== undefined ? admission.last : outcome;
+function selectFinalOutcome(admission: Admission, ending: Ending): Outcome {
+	const outcome = toOutcome(ending);
+	return outcome.type === 'not-run' && admission.lastOutcome !== undefined ? admission.lastOutcome : outcome;
 }
 
 /**
@@ -172,20 +172,20 @@
  * @param now - Time in milliseconds.
  * @returns The next state: another attempt, or the final answer.
  */
-export function end(state: State, id: string, ending: Ending, now: number): Step {
+export function endAttempt(state: State, id: string, ending: Ending, now: number): Step {
 	const admission = admissionOf(state, id);
 	if (admission?.progress.type !== 'running') {
 		return only(state);
 	}
 
 	const {attempt} = admission.progress;
-	const isAgain = mayRetry(state, admission.request, attempt, ending, admission.attempts, now);
+	const isRetried = mayRetry(state, admission.request, attempt, ending, admission.attempts, now);
 	return chain(
 		state,
-		current => endAttempt(current, admission, attempt, ending),
-		current => isAgain
+		current => removeAttempt(current, admission, attempt, ending),
+		current => isRetried
 			? retry(current, admission, attempt, ending)
-			: conclude(current, admission, finalOutcome(admission, ending)),
+			: conclude(current, admission, selectFinalOutcome(admission, ending)),
 	);
 }
 
@@ -195,7 +195,7 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function progress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
+export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
 	const admission = admissionOf(state, event.attempt);
 	if (admission?.progress.type !== 'running') {
 		return only(state);
@@ -205,7 +205,7 @@
 	const next: Attempt = {
 		...attempt, written: true, firstFrame: attempt.firstFrame ?? now, received: attempt.received + event.tokens,
 	};
-	const changed = put(state, {...admission, progress: {type: 'running', attempt: next}});
+	const changed = putAdmission(state, {...admission, progress: {type: 'running', attempt: next}});
 	return attempt.firstFrame === undefined
 		? {state: changed, effects: [{type: 'raise', event: {type: 'dispatch-wanted', service: admission.request.service}}]}
 		: only(changed);
@@ -219,7 +219,7 @@
 export function markWritten(state: State, id: string): State {
 	const admission = admissionOf(state, id);
 	return admission?.progress.type === 'running'
-		? put(state, {...admission, progress: {type: 'running', attempt: {...admission.progress.attempt, written: true}}})
+		? putAdmission(state, {...admission, progress: {type: 'running', attempt: {...admission.progress.attempt, written: true}}})
 		: state;
 }
 
@@ -229,13 +229,13 @@
  *
  * @param state - Core state.
  * @param admission - Request.
- * @param ifRunning - What the caller is told if it may have run.
- * @param ifWaiting - What the caller is told if it has not.
+ * @param runningOutcome - What the caller is told if it may have run.
+ * @param waitingOutcome - What the caller is told if it has not.
  * @returns The next state, the cancellation and the final answer.
  */
-export function stop(state: State, admission: Admission, ifRunning: Outcome, ifWaiting: Outcome): Step {
+export function stopRequest(state: State, admission: Admission, runningOutcome: Outcome, waitingOutcome: Outcome): Step {
 	if (admission.progress.type !== 'running') {
-		return conclude(state, admission, admission.last ?? ifWaiting);
+		return conclude(state, admission, admission.lastOutcome ?? waitingOutcome);
 	}
 
 	const {attempt} = admission.progress;
@@ -250,13 +250,13 @@
 					type: 'cancel', attempt: attempt.id, upstream: attempt.upstream, address: target.address,
 				}],
 		}),
-		current => endAttempt(current, admission, attempt, {type: 'cancelled'}),
-		current => conclude(current, admission, ifRunning),
+		current => removeAttempt(current, admission, attempt, {type: 'cancelled'}),
+		current => conclude(current, admission, runningOutcome),
 	);
 }
 
 /** @returns What a caller is told whose request's time is over while it ran. */
-export function lateOutcome(admission: Admission): Outcome {
+export function deadlineOutcome(admission: Admission): Outcome {
 	return admission.request.proof.type === 'idempotent'
 		? {type: 'failed', code: codes.deadlinePassed}
 		: {type: 'unknown', code: codes.outcomeUnknown, detail: 'The time was over while it ran.'};
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -5,17 +5,17 @@
 import {assertNever} from '../../../utils/common.js';
 import {runningOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {remove} from './lanes.js';
+import {removeFromQueue} from './queues.js';
 
 /** Told to callers when nothing better is known, in milliseconds. */
-export const usualRetryAfter = 1000;
+export const defaultRetryAfterMs = 1000;
 
 /**
  * @param state - Core state.
  * @param admission - Admission, new or changed.
  * @returns The next state.
  */
-export function put(state: State, admission: Admission): State {
+export function putAdmission(state: State, admission: Admission): State {
 	const {request, due} = admission;
 	const {requests} = state;
 	const isNew = !requests.admissions.has(request.id);
@@ -32,17 +32,17 @@
 	};
 }
 
-function discard(state: State, admission: Admission): State {
+function removeAdmission(state: State, admission: Admission): State {
 	const {request} = admission;
-	const left = runningOf(state, request.organisation) - 1;
+	const remaining = runningOf(state, request.organisation) - 1;
 	const {requests} = state;
 	return {
 		...state,
 		requests: {
 			...requests,
 			admissions: requests.admissions.delete(request.id),
-			organisations: left > 0
-				? requests.organisations.set(request.organisation, left)
+			organisations: remaining > 0
+				? requests.organisations.set(request.organisation, remaining)
 				: requests.organisations.delete(request.organisation),
 		},
 	};
@@ -52,7 +52,7 @@
  * @param ending - How the last attempt ended.
  * @returns What the caller is told.
  */
-export function outcomeOf(ending: Ending): Outcome {
+export function toOutcome(ending: Ending): Outcome {
 	switch (ending.type) {
 		case 'done': {
 			return {type: 'done'};
@@ -64,7 +64,7 @@
 
 		case 'not-run': {
 			return {
-				type: 'not-run', code: ending.code, detail: ending.detail, retryAfter: usualRetryAfter,
+				type: 'not-run', code: ending.code, detail: ending.detail, retryAfter: defaultRetryAfterMs,
 			};
 		}
 
@@ -82,7 +82,7 @@
 	}
 }
 
-function answered(request: Request, outcome: Outcome): Step['effects'] {
+function answerEffects(request: Request, outcome: Outcome): Step['effects'] {
 	return [
 		{type: 'answer', request: request.id, outcome},
 		{type: 'raise', event: {type: 'request-concluded', request, outcome}},
@@ -97,12 +97,12 @@
  */
 export function conclude(state: State, admission: Admission, outcome: Outcome): Step {
 	const {request} = admission;
-	const taken = admission.progress.type === 'queued' ? remove(state, admission) : state;
+	const dequeued = admission.progress.type === 'queued' ? removeFromQueue(state, admission) : state;
 	return {
-		state: discard(taken, admission),
+		state: removeAdmission(dequeued, admission),
 		effects: [
 			{type: 'log', decision: {type: 'concluded', request: request.id, outcome}},
-			...answered(request, outcome),
+			...answerEffects(request, outcome),
 			{type: 'raise', event: {type: 'dispatch-wanted', service: request.service}},
 		],
 	};
@@ -128,7 +128,7 @@
 			{
 				type: 'count', name: 'refused', value: 1, tags: {service, code: String(outcome.code)},
 			},
-			...answered(request, outcome),
+			...answerEffects(request, outcome),
 		],
 	};
 }
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -5,64 +5,64 @@
 import {service} from '../../configuration/queries.js';
 import {mayFormGroup} from '../../groups/queries.js';
 import {route} from '../../routing/queries.js';
-import {lane, nextOf} from '../queries.js';
+import {getQueue, selectNext} from '../queries.js';
 import {
-	laneKey, laneNames, type Admission, type LaneName,
+	queueKey, queueNames, type Admission, type QueueName,
 } from '../types.js';
 import {send} from './attempts.js';
-import {put} from './conclude.js';
-import {take} from './lanes.js';
+import {putAdmission} from './conclude.js';
+import {dequeue} from './queues.js';
 import {spill} from './spill.js';
 
 /** Part of the service's usual deadline that, waited, is worth one priority. */
-const ageingPart = 0.05;
+const ageingFraction = 0.05;
 
 /** Part of the time it can wait after which a request may go to another failure domain. */
-const patience = 0.5;
+const spillWaitFraction = 0.5;
 
-function isImpatient(admission: Admission, now: number): boolean {
+function isSpillDue(admission: Admission, now: number): boolean {
 	if (admission.progress.type !== 'queued') {
 		return false;
 	}
 
 	const {since} = admission.progress;
-	return now - since > (admission.due - since) * patience;
+	return now - since > (admission.due - since) * spillWaitFraction;
 }
 
-function sendOne(state: State, wanted: Service, admission: Admission, context: Context): Step | undefined {
+function sendOrSpill(state: State, requestedService: Service, admission: Admission, context: Context): Step | undefined {
 	const found = route(state, {
-		request: admission.request, wanted, failureDomain: state.self.failureDomain, avoided: admission.avoided,
+		request: admission.request, wanted: requestedService, failureDomain: state.self.failureDomain, avoided: admission.failedUpstreams,
 	}, context);
 	if (found.type === 'send') {
 		return send(state, admission, found.choice, context);
 	}
 
-	return found.type === 'none' || isImpatient(admission, context.now)
+	return found.type === 'none' || isSpillDue(admission, context.now)
 		? spill(state, admission, context)
 		: undefined;
 }
 
-function formGroup(state: State, admission: Admission, {now}: Context): Step | undefined {
+function requestGroup(state: State, admission: Admission, {now}: Context): Step | undefined {
 	const {request} = admission;
 	return mayFormGroup(state, request.service, now)
 		? {
-			state: put(take(state, admission), {...admission, progress: {type: 'holding', since: now}}),
+			state: putAdmission(dequeue(state, admission), {...admission, progress: {type: 'holding', since: now}}),
 			effects: [{type: 'raise', event: {type: 'group-wanted', request}}],
 		}
 		: undefined;
 }
 
-function dispatchLane(state: State, wanted: Service, name: LaneName, context: Context): Step | undefined {
-	if (!state.requests.lanes.has(laneKey(wanted.id, name))) {
+function dispatchQueue(state: State, requestedService: Service, name: QueueName, context: Context): Step | undefined {
+	if (!state.requests.queues.has(queueKey(requestedService.id, name))) {
 		return undefined;
 	}
 
-	const next = nextOf(state, lane(state, wanted.id, name), context.now, wanted.deadline.default * ageingPart);
+	const next = selectNext(state, getQueue(state, requestedService.id, name), context.now, requestedService.deadline.default * ageingFraction);
 	if (next === undefined) {
 		return undefined;
 	}
 
-	return name === 'group' ? formGroup(state, next, context) : sendOne(state, wanted, next, context);
+	return name === 'group' ? requestGroup(state, next, context) : sendOrSpill(state, requestedService, next, context);
 }
 
 /**
@@ -74,13 +74,13 @@
  * @returns The next state and the effects.
  */
 export function dispatch(state: State, id: string, context: Context): Step {
-	const wanted = service(state, id);
-	if (wanted === undefined) {
+	const requestedService = service(state, id);
+	if (requestedService === undefined) {
 		return only(state);
 	}
 
-	for (const name of laneNames) {
-		const sent = dispatchLane(state, wanted, name, context);
+	for (const name of queueNames) {
+		const sent = dispatchQueue(state, requestedService, name, context);
 		if (sent !== undefined) {
 			return sent;
 		}
@@ -93,8 +93,8 @@
  * @param state - Core state.
  * @returns A wish to dispatch for each service that has something waiting.
  */
-export function wakeQueues(state: State): Step {
-	const services = new Set([...state.requests.lanes.keys()].map(key => key.slice(0, key.indexOf('/'))));
+export function requestDispatch(state: State): Step {
+	const services = new Set([...state.requests.queues.keys()].map(key => key.slice(0, key.indexOf('/'))));
 	return {
 		state,
 		effects: [...services].map(id => ({type: 'raise', event: {type: 'dispatch-wanted', service: id}}) as const),
--- a/src/core/features/requests/commands/expire.ts
+++ b/src/core/features/requests/commands/expire.ts
@@ -5,28 +5,28 @@
 import {chain, only} from '../../../utils/common.js';
 import {outlivesCaller} from '../../tickets/queries.js';
 import {type Admission} from '../types.js';
-import {lateOutcome, stop} from './attempts.js';
-import {usualRetryAfter} from './conclude.js';
+import {deadlineOutcome, stopRequest} from './attempts.js';
+import {defaultRetryAfterMs} from './conclude.js';
 
-const notStarted: Outcome = {type: 'not-run', code: codes.deadlineBeforeStart, retryAfter: usualRetryAfter};
+const notStartedOutcome: Outcome = {type: 'not-run', code: codes.deadlineBeforeStart, retryAfter: defaultRetryAfterMs};
 
-const abandoned: Outcome = {type: 'not-run', code: codes.abandoned};
+const abandonedOutcome: Outcome = {type: 'not-run', code: codes.abandoned};
 
 /**
  * @param state - Core state.
  * @param now - Time in milliseconds.
  * @returns The next state; most of the time nothing is due and nothing is searched.
  */
-export function expire(state: State, now: number): Step {
+export function expireRequests(state: State, now: number): Step {
 	if (now < state.requests.nextDue) {
 		return only(state);
 	}
 
-	const late: Admission[] = [];
+	const expired: Admission[] = [];
 	let nextDue = Number.POSITIVE_INFINITY;
 	for (const admission of state.requests.admissions.values()) {
 		if (admission.due <= now) {
-			late.push(admission);
+			expired.push(admission);
 		} else {
 			nextDue = Math.min(nextDue, admission.due);
 		}
@@ -34,7 +34,7 @@
 
 	return chain(
 		{...state, requests: {...state.requests, nextDue}},
-		...late.map(admission => (current: State) => stop(current, admission, lateOutcome(admission), notStarted)),
+		...expired.map(admission => (current: State) => stopRequest(current, admission, deadlineOutcome(admission), notStartedOutcome)),
 	);
 }
 
@@ -46,14 +46,14 @@
  * @param id - Request.
  * @returns The next state.
  */
-export function abandon(state: State, id: string): Step {
+export function abandonRequest(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	if (admission === undefined) {
 		return only(state);
 	}
 
-	const isKept = outlivesCaller(admission.request) && admission.progress.type === 'running';
-	return isKept ? only(state) : stop(state, admission, {type: 'failed', code: codes.callerGone}, abandoned);
+	const isContinued = outlivesCaller(admission.request) && admission.progress.type === 'running';
+	return isContinued ? only(state) : stopRequest(state, admission, {type: 'failed', code: codes.callerGone}, abandonedOutcome);
 }
 
 /**
@@ -61,9 +61,9 @@
  * @param id - Request whose right was withdrawn before it was used.
  * @returns The next state.
  */
-export function seal(state: State, id: string): Step {
+export function stopSealed(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	return admission === undefined
 		? only(state)
-		: stop(state, admission, lateOutcome(admission), {type: 'not-run', code: codes.sealed});
+		: stopRequest(state, admission, deadlineOutcome(admission), {type: 'not-run', code: codes.sealed});
 }
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -6,8 +6,8 @@
 import {outstanding, view} from '../../upstreams/queries.js';
 import {prefillRate} from '../../work/queries.js';
 import {send} from './attempts.js';
-import {put} from './conclude.js';
-import {enqueue} from './lanes.js';
+import {putAdmission} from './conclude.js';
+import {enqueue} from './queues.js';
 
 /**
  * @param state - Core state.
@@ -38,12 +38,12 @@
  * @param id - Request whose group came to nothing.
  * @returns The next state; it waits first in its lane again.
  */
-export function waitAgain(state: State, id: string): State {
+export function returnToQueue(state: State, id: string): State {
 	const admission = state.requests.admissions.get(id);
 	if (admission?.progress.type !== 'holding') {
 		return state;
 	}
 
-	const waiting = {...admission, progress: {type: 'queued', since: admission.progress.since}} as const;
-	return enqueue(put(state, waiting), waiting, true);
+	const requeued = {...admission, progress: {type: 'queued', since: admission.progress.since}} as const;
+	return enqueue(putAdmission(state, requeued), requeued, true);
 }
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -9,21 +9,21 @@
 import {send} from './attempts.js';
 
 /** This host's requests in flight for each upstream of another failure domain. */
-const mostPerUpstream = 0.5;
+const maxSpillsPerUpstream = 0.5;
 
 /** Other failure domains, those of the own region first. */
-function others(state: State, context: Context): readonly FailureDomain[] {
-	const all = state.configuration.inForce?.failureDomains ?? [];
-	const region = all.find(each => each.id === state.self.failureDomain)?.region;
-	const away = all.filter(each => each.id !== state.self.failureDomain);
-	return draw(away, away.length, context)
+function listOtherDomains(state: State, context: Context): readonly FailureDomain[] {
+	const domains = state.configuration.inForce?.failureDomains ?? [];
+	const region = domains.find(each => each.id === state.self.failureDomain)?.region;
+	const otherDomains = domains.filter(each => each.id !== state.self.failureDomain);
+	return draw(otherDomains, otherDomains.length, context)
 		.toSorted((a, b) => Number(b.region === region) - Number(a.region === region));
 }
 
 function hasSpillRoom(state: State, id: string, failureDomain: string): boolean {
 	const upstreams = domainUpstreams(state, id, failureDomain);
 	const running = upstreams.reduce((sum, each) => sum + view(state, each.id).requests, 0);
-	return running < Math.max(upstreams.length * mostPerUpstream, 1);
+	return running < Math.max(upstreams.length * maxSpillsPerUpstream, 1);
 }
 
 /**
@@ -36,25 +36,25 @@
  */
 export function spill(state: State, admission: Admission, context: Context): Step | undefined {
 	const {request} = admission;
-	const wanted = service(state, request.service);
-	if (wanted === undefined || admission.lane === 'group') {
+	const requestedService = service(state, request.service);
+	if (requestedService === undefined || admission.queue === 'group') {
 		return undefined;
 	}
 
-	for (const domain of others(state, context)) {
-		if (!hasSpillRoom(state, wanted.id, domain.id)) {
+	for (const domain of listOtherDomains(state, context)) {
+		if (!hasSpillRoom(state, requestedService.id, domain.id)) {
 			continue;
 		}
 
 		const found = route(state, {
-			request, wanted, failureDomain: domain.id, avoided: admission.avoided,
+			request, wanted: requestedService, failureDomain: domain.id, avoided: admission.failedUpstreams,
 		}, context);
 		if (found.type === 'send') {
 			const choice = {...found.choice, reason: `spilled to ${domain.id}: ${found.choice.reason}`};
 			const sent = send(state, admission, choice, context);
 			return {
 				...sent, effects: [...sent.effects, {
-					type: 'count', name: 'spilled', value: 1, tags: {service: wanted.id, to: domain.id},
+					type: 'count', name: 'spilled', value: 1, tags: {service: requestedService.id, to: domain.id},
 				}],
 			};
 		}
--- a/src/core/features/requests/feature.ts
+++ b/src/core/features/requests/feature.ts
@@ -2,10 +2,10 @@
 import {type Feature} from '../../types/state.js';
 import {chain, only} from '../../utils/common.js';
 import {admit} from './commands/admit.js';
-import {end, markWritten, progress} from './commands/attempts.js';
-import {dispatch, wakeQueues} from './commands/dispatch.js';
-import {abandon, expire, seal} from './commands/expire.js';
-import {sendToGroup, waitAgain} from './commands/group.js';
+import {endAttempt, markWritten, recordProgress} from './commands/attempts.js';
+import {dispatch, requestDispatch} from './commands/dispatch.js';
+import {abandonRequest, expireRequests, stopSealed} from './commands/expire.js';
+import {sendToGroup, returnToQueue} from './commands/group.js';
 
 export const requestsFeature: Feature = {
 	name: 'requests',
@@ -24,7 +24,7 @@
 			}
 
 			case 'group-failed': {
-				return only(waitAgain(state, event.request.id));
+				return only(returnToQueue(state, event.request.id));
 			}
 
 			case 'attempt-written': {
@@ -32,23 +32,23 @@
 			}
 
 			case 'attempt-progressed': {
-				return progress(state, event, context.now);
+				return recordProgress(state, event, context.now);
 			}
 
 			case 'attempt-ended': {
-				return end(state, event.attempt, event.ending, context.now);
+				return endAttempt(state, event.attempt, event.ending, context.now);
 			}
 
 			case 'request-sealed': {
-				return seal(state, event.request);
+				return stopSealed(state, event.request);
 			}
 
 			case 'request-abandoned': {
-				return abandon(state, event.request);
+				return abandonRequest(state, event.request);
 			}
 
 			case 'tick': {
-				return chain(state, current => expire(current, context.now), current => wakeQueues(current));
+				return chain(state, current => expireRequests(current, context.now), current => requestDispatch(current));
 			}
 
 			default: {
--- a/src/core/features/requests/prediction.ts
+++ b/src/core/features/requests/prediction.ts
@@ -14,16 +14,16 @@
 import {
 	cautiousDecodeTime, cautiousPrefillTime, decodeTime, estimate, prefillRate, prefillTime,
 } from '../work/queries.js';
-import {lane} from './queries.js';
-import {type Lane, type LaneName, type Waiting} from './types.js';
+import {getQueue} from './queries.js';
+import {type Queue, type QueueName, type OrganisationBacklog} from './types.js';
 
 /** Predictions are stretched by these, so that a request that is admitted also finishes in time. */
-const runCaution = 1.15;
-const waitCaution = 1.3;
+const runTimeMargin = 1.15;
+const waitTimeMargin = 1.3;
 
 /** What a request is expected to need, in milliseconds. */
 export type Prediction = {
-	readonly lane: LaneName;
+	readonly queue: QueueName;
 	/** Engine time that the request takes from others. */
 	readonly cost: number;
 	/** From sending to the end. */
@@ -33,36 +33,36 @@
 };
 
 /** @returns The lane of a request. */
-function laneOf(state: State, request: Request): LaneName {
+function queueNameOf(state: State, request: Request): QueueName {
 	return needsGroup(state, request) ? 'group' : classOf(service(state, request.service), request.promptTokens);
 }
 
 /** Upstreams that the lane's requests are sent to. */
-function laneUpstreams(state: State, request: Request, name: LaneName, now: number): readonly Upstream[] {
-	const wanted = service(state, request.service);
+function queueUpstreams(state: State, request: Request, name: QueueName, now: number): readonly Upstream[] {
+	const requestedService = service(state, request.service);
 	const all = upstreamsFor(state, request);
-	const isSplit = wanted?.kind === 'model' && wanted.policy === 'cost' && name !== 'group' && !isLegacy(state, request);
-	const kept = isSplit ? segments(state, wanted, all, now)[name] : all;
-	const open = kept.filter(each => isUsable(state, each, now));
-	return open.length === 0 ? all.filter(each => isUsable(state, each, now)) : open;
+	const isSplit = requestedService?.kind === 'model' && requestedService.policy === 'cost' && name !== 'group' && !isLegacy(state, request);
+	const assigned = isSplit ? segments(state, requestedService, all, now)[name] : all;
+	const usable = assigned.filter(each => isUsable(state, each, now));
+	return usable.length === 0 ? all.filter(each => isUsable(state, each, now)) : usable;
 }
 
 /** Engine time that waits before a new request of the organisation, under fair queueing, in milliseconds. */
-function backlog(state: State, from: Lane, request: Request): number {
+function queuedBefore(state: State, queue: Queue, request: Request): number {
 	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
 	let before = 0;
 	let weights = ownWeight;
 	let own = 0;
-	for (const [id, waiting] of from.waiting) {
-		if (!runsBefore(state, waiting, request)) {
+	for (const [id, backlog] of queue.waiting) {
+		if (!runsBefore(state, backlog, request)) {
 			continue;
 		}
 
-		before += waiting.cost;
+		before += backlog.cost;
 		if (id === request.organisation) {
-			own = waiting.cost;
+			own = backlog.cost;
 		} else {
-			weights += waiting.weight;
+			weights += backlog.weight;
 		}
 	}
 
@@ -70,33 +70,33 @@
 	return Math.min(before, own * weights / ownWeight);
 }
 
-function runsBefore(state: State, waiting: Waiting, request: Request): boolean {
-	const head = state.requests.admissions.get(waiting.ids.first() ?? '');
+function runsBefore(state: State, backlog: OrganisationBacklog, request: Request): boolean {
+	const head = state.requests.admissions.get(backlog.ids.first() ?? '');
 	return head !== undefined && head.request.priority <= request.priority;
 }
 
 /** Time until the first of them has worked off what it has, in milliseconds. */
-function firstFree(state: State, upstreams: readonly Upstream[], name: LaneName, now: number): number {
-	let least = Number.POSITIVE_INFINITY;
+function timeUntilFree(state: State, upstreams: readonly Upstream[], name: QueueName, now: number): number {
+	let earliest = Number.POSITIVE_INFINITY;
 	for (const each of upstreams) {
 		const work = outstanding(view(state, each.id), now, prefillRate(state, each));
-		least = Math.min(least, prefillTime(state, each, name === 'short' ? work.urgent : work.prefill));
+		earliest = Math.min(earliest, prefillTime(state, each, name === 'short' ? work.urgent : work.prefill));
 	}
 
-	return Number.isFinite(least) ? least : 0;
+	return Number.isFinite(earliest) ? earliest : 0;
 }
 
-function batchOf(upstream: Upstream): number {
+function batchSizeOf(upstream: Upstream): number {
 	return upstream.kind === 'engine' ? upstream.batch : upstream.concurrent;
 }
 
 /** Engines that work on the segments of a prompt at the same time. */
-function enginesFor(typical: Upstream, prefill: number): number {
+function countEngines(typical: Upstream, prefill: number): number {
 	return typical.kind === 'engine' ? Math.max(Math.floor(prefill / (typical.memory * fill)), 1) : 1;
 }
 
 /** Share of the lane's upstreams that this host may count on: peers of the domain use them as well. */
-function capacity(state: State, upstreams: readonly Upstream[]): number {
+function capacityPerHost(state: State, upstreams: readonly Upstream[]): number {
 	return Math.max(upstreams.length, 1) / Math.max(servingHosts(state, state.self.failureDomain).length, 1);
 }
 
@@ -107,8 +107,8 @@
  * @returns What it needs, or undefined if nothing here can run it.
  */
 export function predict(state: State, request: Request, now: number): Prediction | undefined {
-	const name = laneOf(state, request);
-	const upstreams = laneUpstreams(state, request, name, now);
+	const name = queueNameOf(state, request);
+	const upstreams = queueUpstreams(state, request, name, now);
 	const typical = upstreams[0];
 	if (typical === undefined) {
 		return undefined;
@@ -116,16 +116,16 @@
 
 	const cached = Math.max(0, ...cachedTokens(state, request).values());
 	const {prefill, decode} = estimate(state, request, cached);
-	const engines = name === 'group' ? enginesFor(typical, prefill) : 1;
+	const engines = name === 'group' ? countEngines(typical, prefill) : 1;
 	const prefilling = prefillTime(state, typical, prefill) / engines;
-	const longest = cautiousPrefillTime(state, typical, prefill) / engines;
+	const cautiousPrefilling = cautiousPrefillTime(state, typical, prefill) / engines;
 	const decoding = decodeTime(state, typical, decode);
-	const cost = prefilling + (decoding / batchOf(typical));
-	const queued = backlog(state, lane(state, request.service, name), request);
+	const cost = prefilling + (decoding / batchSizeOf(typical));
+	const queued = queuedBefore(state, getQueue(state, request.service, name), request);
 	return {
-		lane: name,
+		queue: name,
 		cost,
-		run: (longest + cautiousDecodeTime(state, request, typical)) * runCaution,
-		wait: (firstFree(state, upstreams, name, now) + (queued / capacity(state, upstreams))) * waitCaution,
+		run: (cautiousPrefilling + cautiousDecodeTime(state, request, typical)) * runTimeMargin,
+		wait: (timeUntilFree(state, upstreams, name, now) + (queued / capacityPerHost(state, upstreams))) * waitTimeMargin,
 	};
 }
--- a/src/core/features/requests/queries.ts
+++ b/src/core/features/requests/queries.ts
@@ -1,7 +1,7 @@
 /** Reads requests and the lanes they wait in. */
 import {type State} from '../../types/state.js';
 import {
-	emptyLane, laneKey, laneNames, type Admission, type Lane, type LaneName,
+	emptyQueue, queueKey, queueNames, type Admission, type Queue, type QueueName,
 } from './types.js';
 
 /**
@@ -37,8 +37,8 @@
  * @param name - Lane name.
  * @returns The lane, an empty one if nothing waits.
  */
-export function lane(state: State, service: string, name: LaneName): Lane {
-	return state.requests.lanes.get(laneKey(service, name)) ?? emptyLane;
+export function getQueue(state: State, service: string, name: QueueName): Queue {
+	return state.requests.queues.get(queueKey(service, name)) ?? emptyQueue;
 }
 
 /**
@@ -48,9 +48,9 @@
  */
 export function queueLength(state: State, service: string): number {
 	let length = 0;
-	for (const name of laneNames) {
-		for (const waiting of lane(state, service, name).waiting.values()) {
-			length += waiting.ids.size;
+	for (const name of queueNames) {
+		for (const backlog of getQueue(state, service, name).waiting.values()) {
+			length += backlog.ids.size;
 		}
 	}
 
@@ -62,26 +62,26 @@
  * request gains one priority for every `ageing` milliseconds that it waits, so that none waits for ever.
  *
  * @param state - Core state.
- * @param from - Lane.
+ * @param queue - Lane.
  * @param now - Time in milliseconds.
- * @param ageing - Wait that is worth one priority, in milliseconds.
+ * @param ageingInterval - Wait that is worth one priority, in milliseconds.
  * @returns The request that is next, if any waits.
  */
-export function nextOf(state: State, from: Lane, now: number, ageing: number): Admission | undefined {
+export function selectNext(state: State, queue: Queue, now: number, ageingInterval: number): Admission | undefined {
 	let best: Admission | undefined;
 	let bestRank = Number.POSITIVE_INFINITY;
 	let bestStart = Number.POSITIVE_INFINITY;
-	for (const waiting of from.waiting.values()) {
-		const head = state.requests.admissions.get(waiting.ids.first() ?? '');
+	for (const backlog of queue.waiting.values()) {
+		const head = state.requests.admissions.get(backlog.ids.first() ?? '');
 		if (head?.progress.type !== 'queued') {
 			continue;
 		}
 
-		const rank = Math.max(head.request.priority - Math.floor((now - head.progress.since) / ageing), 0);
-		if (rank < bestRank || (rank === bestRank && waiting.start < bestStart)) {
+		const rank = Math.max(head.request.priority - Math.floor((now - head.progress.since) / ageingInterval), 0);
+		if (rank < bestRank || (rank === bestRank && backlog.start < bestStart)) {
 			best = head;
 			bestRank = rank;
-			bestStart = waiting.start;
+			bestStart = backlog.start;
 		}
 	}
 
--- a/src/core/features/requests/types.ts
+++ b/src/core/features/requests/types.ts
@@ -5,11 +5,11 @@
 } from '../../types/request.js';
 
 /** Requests of one kind that wait in one order. Prompts that need several engines have a lane to themselves. */
-export type LaneName = LengthClass | 'group';
+export type QueueName = LengthClass | 'group';
 
-export const laneNames: readonly LaneName[] = ['short', 'middle', 'long', 'group'];
+export const queueNames: readonly QueueName[] = ['short', 'middle', 'long', 'group'];
 
-export type Progress
+export type AdmissionProgress
 	= | {readonly type: 'queued'; readonly since: number}
 	/** Waits for memory at several engines. */
 		| {readonly type: 'holding'; readonly since: number}
@@ -17,22 +17,22 @@
 
 export type Admission = {
 	readonly request: Request;
-	readonly progress: Progress;
-	readonly lane: LaneName;
+	readonly progress: AdmissionProgress;
+	readonly queue: QueueName;
 	/** Engine time that the request takes, in milliseconds; what fairness counts. */
 	readonly cost: number;
 	/** Attempts made, the running one included. */
 	readonly attempts: number;
 	/** Upstreams where it failed. */
-	readonly avoided: readonly string[];
+	readonly failedUpstreams: readonly string[];
 	/** How the last attempt ended, if it may have run: what its caller is told if there is no other. */
-	readonly last?: Outcome;
+	readonly lastOutcome?: Outcome;
 	/** Time to look at it again, in milliseconds: a waiting one's latest start, a running one's deadline. */
 	readonly due: number;
 };
 
 /** Requests of one organisation in a lane. */
-export type Waiting = {
+export type OrganisationBacklog = {
 	readonly ids: List<string>;
 	/** Virtual time at which the first of them may start. */
 	readonly start: number;
@@ -41,18 +41,18 @@
 	readonly cost: number;
 };
 
-export type Lane = {
+export type Queue = {
 	/** Virtual start of the request that was taken last. */
-	readonly virtual: number;
+	readonly virtualTime: number;
 	/** By organisation; those with nothing waiting are absent. */
-	readonly waiting: Table<string, Waiting>;
+	readonly waiting: Table<string, OrganisationBacklog>;
 	/** Virtual time at which an organisation's next request may start, while that is ahead of `virtual`. */
 	readonly next: Table<string, number>;
 };
 
-export const emptyLane: Lane = {virtual: 0, waiting: Table(), next: Table()};
+export const emptyQueue: Queue = {virtualTime: 0, waiting: Table(), next: Table()};
 
-export const noneWaiting: Waiting = {
+export const emptyBacklog: OrganisationBacklog = {
 	ids: List(), start: 0, weight: 1, cost: 0,
 };
 
@@ -62,7 +62,7 @@
 	/** Request of each running attempt. */
 	readonly attempts: Table<string, string>;
 	/** By service and lane name. */
-	readonly lanes: Table<string, Lane>;
+	readonly queues: Table<string, Queue>;
 	/** Requests admitted and not answered, by organisation. */
 	readonly organisations: Table<string, number>;
 	/** No admission is due before this time, in milliseconds. */
@@ -72,7 +72,7 @@
 export const initialRequests: RequestsState = {
 	admissions: Table(),
 	attempts: Table(),
-	lanes: Table(),
+	queues: Table(),
 	organisations: Table(),
 	nextDue: Number.POSITIVE_INFINITY,
 };
@@ -82,6 +82,6 @@
  * @param name - Lane.
  * @returns The key of the lane.
  */
-export function laneKey(service: string, name: LaneName): string {
+export function queueKey(service: string, name: QueueName): string {
 	return `${service}/${name}`;
 }
--- a/src/core/features/takeover/queries.ts
+++ b/src/core/features/takeover/queries.ts
@@ -4,10 +4,10 @@
 import {type State} from '../../types/state.js';
 import {ownUpstreams} from '../configuration/queries.js';
 
-export type Server = Takeover['servedBy'];
+export type ServingSystem = Takeover['servedBy'];
 
 /** An organisation weighs more than a failure domain, both more than one of them. */
-function weight(rule: Takeover): number {
+function specificity(rule: Takeover): number {
 	return (rule.organisation === undefined ? 0 : 2) + (rule.failureDomain === undefined ? 0 : 1);
 }
 
@@ -18,14 +18,14 @@
  * @param request - Request.
  * @returns Who serves it here. The host that decides for a non-idempotent request is its ticket's or key's keeper.
  */
-export function servedBy(state: State, request: Pick<Request, 'service' | 'organisation'>): Server {
+export function servedBy(state: State, request: Pick<Request, 'service' | 'organisation'>): ServingSystem {
 	const {failureDomain} = state.self;
 	const rules = (state.configuration.inForce?.takeovers ?? []).filter(rule =>
 		rule.service === request.service
 		&& (rule.failureDomain === undefined || rule.failureDomain === failureDomain)
 		&& (rule.organisation === undefined || rule.organisation === request.organisation));
-	const narrowest = Math.max(...rules.map(rule => weight(rule)));
-	return rules.findLast(rule => weight(rule) === narrowest)?.servedBy ?? 'cranberrytide';
+	const highest = Math.max(...rules.map(rule => specificity(rule)));
+	return rules.findLast(rule => specificity(rule) === highest)?.servedBy ?? 'cranberrytide';
 }
 
 /**
--- a/src/core/features/tickets/commands/answers.ts
+++ b/src/core/features/tickets/commands/answers.ts
@@ -5,7 +5,7 @@
 import {ticketLife} from '../types.js';
 
 /** Wait that a caller is told after a refusal, in milliseconds. */
-const retryAfter = 1000;
+const retryAfterMs = 1000;
 
 /**
  * @param state - Core state.
@@ -37,7 +37,7 @@
  * @returns The state as it was and the answer.
  */
 export function answerNotRun(state: State, request: Request, code: CodeName, reason: string): Step {
-	return answer(state, request, {type: 'not-run', code: codes[code], retryAfter}, reason);
+	return answer(state, request, {type: 'not-run', code: codes[code], retryAfter: retryAfterMs}, reason);
 }
 
 /**
@@ -52,7 +52,7 @@
 }
 
 /** Takes the next sequence number; nothing else is kept of a ticket until it is used. */
-function issue(state: State, organisation: string, {wall}: Context): {readonly state: State; readonly ticket: Ticket} {
+function createTicket(state: State, organisation: string, {wall}: Context): {readonly state: State; readonly ticket: Ticket} {
 	const {self, tickets} = state;
 	return {
 		state: {...state, tickets: {...tickets, nextSequence: tickets.nextSequence + 1}},
@@ -75,7 +75,7 @@
  * @returns The state with the sequence number taken, and the ticket.
  */
 export function issueTicket(state: State, request: string, organisation: string, context: Context): Step {
-	const issued = issue(state, organisation, context);
+	const issued = createTicket(state, organisation, context);
 	return {state: issued.state, effects: [{type: 'issue-ticket', request, ticket: issued.ticket}]};
 }
 
@@ -88,7 +88,7 @@
  * @returns The state with a sequence number taken, and the answer with a ticket.
  */
 export function requireTicket(state: State, request: Request, context: Context): Step {
-	const issued = issue(state, request.organisation, context);
+	const issued = createTicket(state, request.organisation, context);
 	const outcome: Outcome = {type: 'not-run', code: codes.ticketRequired};
 	const refused = answer(issued.state, request, outcome, 'no ticket');
 	return {
--- a/src/core/features/tickets/commands/forwards.ts
+++ b/src/core/features/tickets/commands/forwards.ts
@@ -9,29 +9,29 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {assertNever, chain, only} from '../../../utils/common.js';
-import {tell} from '../../keys/queries.js';
+import {sendToHost} from '../../keys/queries.js';
 import {type Forward} from '../types.js';
 import {answerUnknown} from './answers.js';
 
 /** Hosts that may pass one request on, one after another. */
-const mostHops = 3;
-const mostTries = 2;
+const maxHops = 3;
+const maxAttempts = 2;
 
 /** Time between two asks for a seal, and for all of them, in milliseconds. */
-const sealInterval = 200;
-const sealTime = 1000;
+const sealRetryIntervalMs = 200;
+const sealTimeoutMs = 1000;
 
-function put(state: State, forward: Forward): State {
+function putForward(state: State, forward: Forward): State {
 	return {...state, tickets: {...state.tickets, forwards: state.tickets.forwards.set(forward.request.id, forward)}};
 }
 
-function drop(state: State, request: string): State {
+function removeForward(state: State, request: string): State {
 	return {...state, tickets: {...state.tickets, forwards: state.tickets.forwards.delete(request)}};
 }
 
-function finish(state: State, forward: Forward, outcome: Outcome): Step {
+function finishForward(state: State, forward: Forward, outcome: Outcome): Step {
 	return {
-		state: drop(state, forward.request.id),
+		state: removeForward(state, forward.request.id),
 		effects: [
 			{type: 'log', decision: {type: 'concluded', request: forward.request.id, outcome}},
 			{type: 'answer', request: forward.request.id, outcome},
@@ -39,15 +39,15 @@
 	};
 }
 
-function giveUp(state: State, forward: Forward): Step {
-	return finish(state, forward, {type: 'unknown', code: codes.keeperUnreachable});
+function finishUnreachable(state: State, forward: Forward): Step {
+	return finishForward(state, forward, {type: 'unknown', code: codes.keeperUnreachable});
 }
 
-function send(state: State, forward: Forward): Step {
+function sendForward(state: State, forward: Forward): Step {
 	const {request, keeper} = forward;
 	const to = keeper.incarnation.host;
 	return {
-		state: put(state, forward),
+		state: putForward(state, forward),
 		effects: [
 			{
 				type: 'log', decision: {
@@ -72,17 +72,17 @@
  */
 export function forwardToKeeper(state: State, request: Request, right: string, keeper: Member): Step {
 	const {incarnation} = keeper;
-	const successor = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
-	if (successor) {
+	const isKeeperGone = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
+	if (isKeeperGone) {
 		return answerUnknown(state, request, 'keeperGone', `${incarnation.host} was restarted`);
 	}
 
-	if ((request.hops ?? 0) >= mostHops) {
+	if ((request.hops ?? 0) >= maxHops) {
 		return answerUnknown(state, request, 'keeperUnreachable', 'passed on too often');
 	}
 
-	return send(state, {
-		request, right, keeper, tries: 1,
+	return sendForward(state, {
+		request, right, keeper, attempts: 1,
 	});
 }
 
@@ -91,22 +91,22 @@
 	return peer !== undefined && peer.member.incarnation.started > keeper.incarnation.started;
 }
 
-function askSeal(state: State, {request, right, keeper}: Forward): readonly Effect[] {
+function sendSealRequest(state: State, {request, right, keeper}: Forward): readonly Effect[] {
 	const expires = request.proof.type === 'ticket' ? request.proof.ticket.expires : 0;
-	return tell(state, keeper.incarnation.host, {
+	return sendToHost(state, keeper.incarnation.host, {
 		type: 'seal', id: request.id, right, expires, keeper: keeper.incarnation,
 	});
 }
 
-function seal(state: State, forward: Forward, {now}: Context): Step {
+function beginSeal(state: State, forward: Forward, {now}: Context): Step {
 	if (isReplaced(state, forward.keeper)) {
-		return finish(state, forward, {type: 'unknown', code: codes.keeperGone});
+		return finishForward(state, forward, {type: 'unknown', code: codes.keeperGone});
 	}
 
-	const until = Math.min(now + sealTime, forward.request.deadline);
+	const timeoutAt = Math.min(now + sealTimeoutMs, forward.request.deadline);
 	return {
-		state: put(state, {...forward, seal: {askAt: now + sealInterval, until}}),
-		effects: askSeal(state, forward),
+		state: putForward(state, {...forward, seal: {retryAt: now + sealRetryIntervalMs, timeoutAt}}),
+		effects: sendSealRequest(state, forward),
 	};
 }
 
@@ -130,13 +130,13 @@
 
 	// Whatever the keeper answered in full went to the caller as it was.
 	if (ending.type === 'done') {
-		return finish(state, forward, {type: 'done'});
+		return finishForward(state, forward, {type: 'done'});
 	}
 
 	// Without that nothing is known: the right may have been used before, through any host.
 	return isRelayed(ending)
-		? finish(state, forward, {type: 'unknown', code: ending.code, detail: ending.detail})
-		: seal(state, forward, context);
+		? finishForward(state, forward, {type: 'unknown', code: ending.code, detail: ending.detail})
+		: beginSeal(state, forward, context);
 }
 
 /**
@@ -146,7 +146,7 @@
  * @param sealAnswer - Its answer.
  * @returns The next state, with the request answered, or passed on once more if it was used.
  */
-export function takeSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
+export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
 	const forward = state.tickets.forwards.get(id);
 	if (forward?.seal === undefined || forward.keeper.incarnation.host !== from) {
 		return only(state);
@@ -154,14 +154,14 @@
 
 	switch (sealAnswer.type) {
 		case 'sealed': {
-			return finish(state, forward, {type: 'not-run', code: codes.sealed});
+			return finishForward(state, forward, {type: 'not-run', code: codes.sealed});
 		}
 
 		case 'used': {
-			const {seal: asked, ...again} = forward;
-			return forward.tries < mostTries
-				? send(state, {...again, tries: forward.tries + 1})
-				: giveUp(state, forward);
+			const {seal: pendingSeal, ...rest} = forward;
+			return forward.attempts < maxAttempts
+				? sendForward(state, {...rest, attempts: forward.attempts + 1})
+				: finishUnreachable(state, forward);
 		}
 
 		default: {
@@ -170,18 +170,18 @@
 	}
 }
 
-function press(state: State, forward: Forward, now: number): Step {
-	if (forward.request.deadline <= now || (forward.seal !== undefined && forward.seal.until <= now)) {
-		return giveUp(state, forward);
+function retryForward(state: State, forward: Forward, now: number): Step {
+	if (forward.request.deadline <= now || (forward.seal !== undefined && forward.seal.timeoutAt <= now)) {
+		return finishUnreachable(state, forward);
 	}
 
-	if (forward.seal === undefined || forward.seal.askAt > now) {
+	if (forward.seal === undefined || forward.seal.retryAt > now) {
 		return only(state);
 	}
 
 	return {
-		state: put(state, {...forward, seal: {...forward.seal, askAt: now + sealInterval}}),
-		effects: askSeal(state, forward),
+		state: putForward(state, {...forward, seal: {...forward.seal, retryAt: now + sealRetryIntervalMs}}),
+		effects: sendSealRequest(state, forward),
 	};
 }
 
@@ -192,9 +192,9 @@
  * @param context - Time and random source.
  * @returns The next state and the effects.
  */
-export function pressForwards(state: State, {now}: Context): Step {
+export function retryForwards(state: State, {now}: Context): Step {
 	const all = [...state.tickets.forwards.values()];
-	return chain(state, ...all.map(forward => (current: State) => press(current, forward, now)));
+	return chain(state, ...all.map(forward => (current: State) => retryForward(current, forward, now)));
 }
 
 /**
@@ -204,9 +204,9 @@
  * @param state - Core state.
  * @returns The next state and the answers.
  */
-export function doubtForwards(state: State): Step {
-	const doubtful = [...state.tickets.forwards.values()].filter(({request}) => request.proof.type === 'key');
-	return chain(state, ...doubtful.map(forward => (current: State) => finish(current, forward, {
+export function answerKeyForwardsUnknown(state: State): Step {
+	const keyForwards = [...state.tickets.forwards.values()].filter(({request}) => request.proof.type === 'key');
+	return chain(state, ...keyForwards.map(forward => (current: State) => finishForward(current, forward, {
 		type: 'unknown', code: codes.outcomeUnknown, detail: 'this host stood still while the keeper of the key was asked',
 	})));
 }
@@ -217,5 +217,5 @@
  * @returns The state without it.
  */
 export function abandonForward(state: State, request: string): State {
-	return state.tickets.forwards.has(request) ? drop(state, request) : state;
+	return state.tickets.forwards.has(request) ? removeForward(state, request) : state;
 }
--- a/src/core/features/tickets/commands/rights.ts
+++ b/src/core/features/tickets/commands/rights.ts
@@ -3,16 +3,16 @@
 import {type Outcome, type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {assertNever, only} from '../../../utils/common.js';
-import {entry} from '../queries.js';
+import {getEntry} from '../queries.js';
 import {
-	entryLimit, followerLimit, type Entry, type Progress, type TicketsState,
+	entryLimit, followerLimit, type RightEntry, type RightProgress, type TicketsState,
 } from '../types.js';
 import {answer, answerNotRun, answerUnknown} from './answers.js';
 
-const sweepInterval = 5000;
+const sweepIntervalMs = 5000;
 
 /** Refusals for load: the key may be sent again, and is the same right then. */
-const openCodes: ReadonlySet<number> = new Set([
+const reopeningCodes: ReadonlySet<number> = new Set([
 	codes.overloaded,
 	codes.deadlineUnreachable,
 	codes.organisationLimit,
@@ -26,90 +26,90 @@
 ]);
 
 /** A right as it is shown with a request. */
-export type Shown = {
+export type PresentedRight = {
 	readonly right: string;
 	readonly request: Request;
 	/** Wall-clock time after which it never runs, in milliseconds since 1970. */
 	readonly expires: number;
 };
 
-function update(state: State, part: Partial<TicketsState>): State {
+function updateTickets(state: State, part: Partial<TicketsState>): State {
 	return {...state, tickets: {...state.tickets, ...part}};
 }
 
-function put(state: State, right: string, value: Entry): State {
-	return update(state, {entries: state.tickets.entries.set(right, value)});
+function putEntry(state: State, right: string, value: RightEntry): State {
+	return updateTickets(state, {entries: state.tickets.entries.set(right, value)});
 }
 
-function run(state: State, {right, request, expires}: Shown): Step {
-	const recorded = put(state, right, {
+function clearRequest(state: State, {right, request, expires}: PresentedRight): Step {
+	const recorded = putEntry(state, right, {
 		fingerprint: request.fingerprint, expires, progress: {type: 'running', request: request.id},
 	});
 	return {
-		state: update(recorded, {running: recorded.tickets.running.set(request.id, right)}),
+		state: updateTickets(recorded, {running: recorded.tickets.running.set(request.id, right)}),
 		effects: [{type: 'raise', event: {type: 'request-cleared', request}}],
 	};
 }
 
-function follow(state: State, {right, request}: Shown, original: string): Step {
+function attachFollower(state: State, {right, request}: PresentedRight, original: string): Step {
 	if (state.tickets.followers.size >= followerLimit) {
 		return answerUnknown(state, request, 'outcomeUnknown', 'too many requests wait for others');
 	}
 
 	return {
-		state: update(state, {followers: state.tickets.followers.set(request.id, {right, deadline: request.deadline})}),
+		state: updateTickets(state, {followers: state.tickets.followers.set(request.id, {right, deadline: request.deadline})}),
 		effects: [{type: 'replay', request: request.id, original}],
 	};
 }
 
-function replay(state: State, request: Request, original: string, outcome: Outcome): Step {
+function replayOutcome(state: State, request: Request, original: string, outcome: Outcome): Step {
 	return outcome.type === 'done'
 		? {state, effects: [{type: 'replay', request: request.id, original}]}
 		: answer(state, request, outcome, 'recorded end');
 }
 
-function runFirst(state: State, shown: Shown): Step {
+function clearUnused(state: State, presented: PresentedRight): Step {
 	return state.tickets.entries.size < entryLimit
-		? run(state, shown)
-		: answerNotRun(raiseFloor(state), shown.request, 'overloaded', 'too many rights in use');
+		? clearRequest(state, presented)
+		: answerNotRun(raiseFloor(state), presented.request, 'overloaded', 'too many rights in use');
 }
 
 /**
  * Seals every unused ticket at once: when no entry can be written, "not run" would else be a promise nobody keeps.
  */
 function raiseFloor(state: State): State {
-	return update(state, {floor: state.tickets.nextSequence});
+	return updateTickets(state, {sequenceFloor: state.tickets.nextSequence});
 }
 
 /**
  * Runs a request under its right if that is unused; else tells what became of it.
  *
  * @param state - Core state.
- * @param shown - The right, which this host keeps and which has not expired.
+ * @param presented - The right, which this host keeps and which has not expired.
  * @returns The next state, with the request cleared, attached or answered.
  */
-export function useRight(state: State, shown: Shown): Step {
-	const held = entry(state, shown.right);
-	if (held === undefined) {
-		return runFirst(state, shown);
+export function useRight(state: State, presented: PresentedRight): Step {
+	const existing = getEntry(state, presented.right);
+	if (existing === undefined) {
+		return clearUnused(state, presented);
 	}
 
-	const {request} = shown;
-	if (held.fingerprint !== '' && held.fingerprint !== request.fingerprint) {
+	const {request} = presented;
+	if (existing.fingerprint !== '' && existing.fingerprint !== request.fingerprint) {
 		return answerNotRun(state, request, 'keyReused', 'the right belongs to another request');
 	}
 
-	switch (held.progress.type) {
+	switch (existing.progress.type) {
 		case 'running': {
-			return follow(state, shown, held.progress.request);
+			return attachFollower(state, presented, existing.progress.request);
 		}
 
 		case 'ended': {
-			return replay(state, request, held.progress.request, held.progress.outcome);
+			return replayOutcome(state, request, existing.progress.request, existing.progress.outcome);
 		}
 
 		case 'open': {
-			return run(state, shown);
+			return clearRequest(state, presented);
 		}
 
 		case 'sealed': {
@@ -117,7 +117,7 @@
 		}
 
 		default: {
-			return assertNever(held.progress);
+			return assertNever(existing.progress);
 		}
 	}
 }
@@ -131,16 +131,16 @@
  * @returns The next state.
  */
 export function sealRight(state: State, right: string, expires: number): State {
-	const held = entry(state, right);
-	const fingerprint = held?.fingerprint ?? '';
-	return held !== undefined || state.tickets.entries.size < entryLimit
-		? put(state, right, {fingerprint, expires, progress: {type: 'sealed'}})
+	const existing = getEntry(state, right);
+	const fingerprint = existing?.fingerprint ?? '';
+	return existing !== undefined || state.tickets.entries.size < entryLimit
+		? putEntry(state, right, {fingerprint, expires, progress: {type: 'sealed'}})
 		: raiseFloor(state);
 }
 
-function ended(request: Request, outcome: Outcome): Progress {
-	const reopens = request.proof.type === 'key' && outcome.type === 'not-run' && openCodes.has(outcome.code);
-	return reopens ? {type: 'open'} : {type: 'ended', request: request.id, outcome};
+function progressAfter(request: Request, outcome: Outcome): RightProgress {
+	const isReopened = request.proof.type === 'key' && outcome.type === 'not-run' && reopeningCodes.has(outcome.code);
+	return isReopened ? {type: 'open'} : {type: 'ended', request: request.id, outcome};
 }
 
 /**
@@ -151,19 +151,19 @@
  * @param outcome - What its caller was told.
  * @returns The next state, with nobody waiting for the request any longer.
  */
-export function recordEnd(state: State, request: Request, outcome: Outcome): State {
+export function recordOutcome(state: State, request: Request, outcome: Outcome): State {
 	const right = state.tickets.running.get(request.id);
-	const held = right === undefined ? undefined : entry(state, right);
-	if (right === undefined || held === undefined) {
+	const existing = right === undefined ? undefined : getEntry(state, right);
+	if (right === undefined || existing === undefined) {
 		return state;
 	}
 
-	const cleared = update(state, {
+	const cleared = updateTickets(state, {
 		running: state.tickets.running.delete(request.id),
 		followers: state.tickets.followers.filter(each => each.right !== right),
 	});
-	return held.progress.type === 'running'
-		? put(cleared, right, {...held, progress: ended(request, outcome)})
+	return existing.progress.type === 'running'
+		? putEntry(cleared, right, {...existing, progress: progressAfter(request, outcome)})
 		: cleared;
 }
 
@@ -175,15 +175,15 @@
  * @returns The next state and the answers.
  */
 export function expireFollowers(state: State, {now}: Context): Step {
-	const late = state.tickets.followers.filter(each => each.deadline <= now);
-	if (late.isEmpty()) {
+	const expired = state.tickets.followers.filter(each => each.deadline <= now);
+	if (expired.isEmpty()) {
 		return only(state);
 	}
 
 	const outcome: Outcome = {type: 'unknown', code: codes.outcomeUnknown, detail: 'The first sending still runs.'};
 	return {
-		state: update(state, {followers: state.tickets.followers.deleteAll(late.keys())}),
-		effects: [...late.keys()].map(request => ({type: 'answer', request, outcome})),
+		state: updateTickets(state, {followers: state.tickets.followers.deleteAll(expired.keys())}),
+		effects: [...expired.keys()].map(request => ({type: 'answer', request, outcome})),
 	};
 }
 
@@ -194,15 +194,15 @@
  * @param context - Time and random source.
  * @returns The next state and which recorded answers are wanted no longer.
  */
-export function sweep(state: State, {now, wall}: Context): Step {
+export function sweepEntries(state: State, {now, wall}: Context): Step {
 	if (now < state.tickets.sweepAt) {
 		return only(state);
 	}
 
-	const over = state.tickets.entries.filter(each => each.expires <= wall && each.progress.type !== 'running');
-	const requests = [...over.values()].flatMap(each => each.progress.type === 'ended' ? [each.progress.request] : []);
+	const expired = state.tickets.entries.filter(each => each.expires <= wall && each.progress.type !== 'running');
+	const requests = [...expired.values()].flatMap(each => each.progress.type === 'ended' ? [each.progress.request] : []);
 	return {
-		state: update(state, {entries: state.tickets.entries.deleteAll(over.keys()), sweepAt: now + sweepInterval}),
+		state: updateTickets(state, {entries: state.tickets.entries.deleteAll(expired.keys()), sweepAt: now + sweepIntervalMs}),
 		effects: requests.map(request => ({type: 'forget', request})),
 	};
 }
--- a/src/core/features/tickets/commands/seals.ts
+++ b/src/core/features/tickets/commands/seals.ts
@@ -7,12 +7,12 @@
 import {type SealAnswer} from '../../../types/peer.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {chain} from '../../../utils/common.js';
-import {tell} from '../../keys/queries.js';
-import {entry, isSame, isTicketRight} from '../queries.js';
+import {sendToHost} from '../../keys/queries.js';
+import {getEntry, isSameIncarnation, isTicketRight} from '../queries.js';
 import {sealRight} from './rights.js';
 
 /** What a host asks the keeper of a right. */
-export type SealAsk = {
+export type SealRequest = {
 	readonly id: string;
 	readonly right: string;
 	/** Wall-clock time after which the right never runs, in milliseconds since 1970. */
@@ -20,67 +20,67 @@
 	readonly keeper: Incarnation;
 };
 
-type Sealing = {
+type SealResult = {
 	readonly state: State;
 	readonly answer: SealAnswer;
 	/** A request that waits under the right and now must not be sent. */
 	readonly request?: string;
 };
 
-const used: SealAnswer = {type: 'used'};
-const sealed: SealAnswer = {type: 'sealed'};
+const usedAnswer: SealAnswer = {type: 'used'};
+const sealedAnswer: SealAnswer = {type: 'sealed'};
 
 /** A used right is remembered until it expires; one without an entry after that may have been used. */
-function mayBeForgotten(right: string, expires: number, wall: number): boolean {
+function canBeForgotten(right: string, expires: number, wall: number): boolean {
 	return !isTicketRight(right) || expires <= wall;
 }
 
-function sealEntry(state: State, {right, expires}: SealAsk, {wall}: Context): Sealing {
-	const held = entry(state, right);
-	if (held === undefined && mayBeForgotten(right, expires, wall)) {
-		return {state, answer: used};
+function sealEntry(state: State, {right, expires}: SealRequest, {wall}: Context): SealResult {
+	const existing = getEntry(state, right);
+	if (existing === undefined && canBeForgotten(right, expires, wall)) {
+		return {state, answer: usedAnswer};
 	}
 
-	const {progress} = held ?? {progress: {type: 'open'} as const};
+	const {progress} = existing ?? {progress: {type: 'open'} as const};
 	if (progress.type === 'sealed' || (progress.type === 'ended' && progress.outcome.type === 'not-run')) {
-		return {state, answer: sealed};
+		return {state, answer: sealedAnswer};
 	}
 
 	if (progress.type === 'open') {
-		return {state: sealRight(state, right, expires), answer: sealed};
+		return {state: sealRight(state, right, expires), answer: sealedAnswer};
 	}
 
-	const waits = progress.type === 'running' && state.requests.admissions.get(progress.request)?.progress.type === 'queued';
-	return waits
-		? {state: sealRight(state, right, expires), answer: sealed, request: progress.request}
-		: {state, answer: used};
+	const isQueued = progress.type === 'running' && state.requests.admissions.get(progress.request)?.progress.type === 'queued';
+	return isQueued
+		? {state: sealRight(state, right, expires), answer: sealedAnswer, request: progress.request}
+		: {state, answer: usedAnswer};
 }
 
 /**
  * @param state - Core state.
  * @param from - Host that asks.
- * @param ask - What it wants sealed, and at which incarnation of this host.
+ * @param sealRequest - What it wants sealed, and at which incarnation of this host.
  * @param context - Time and random source.
  * @returns The next state and the answer.
  */
-export function takeSeal(
+export function handleSealRequest(
 	state: State,
 	from: string,
-	ask: SealAsk,
+	sealRequest: SealRequest,
 	context: Context,
 ): Step {
-	const isKeeper = isSame(ask.keeper, state.self.incarnation);
-	const sealing: Sealing = isKeeper ? sealEntry(state, ask, context) : {state, answer: used};
-	const {request} = sealing;
+	const isKeeper = isSameIncarnation(sealRequest.keeper, state.self.incarnation);
+	const result: SealResult = isKeeper ? sealEntry(state, sealRequest, context) : {state, answer: usedAnswer};
+	const {request} = result;
 	return chain(
-		sealing.state,
+		result.state,
 		current => ({
 			state: current,
 			effects: request === undefined ? [] : [{type: 'raise', event: {type: 'request-sealed', request}}],
 		}),
 		current => ({
 			state: current,
-			effects: tell(current, from, {type: 'sealed', id: ask.id, answer: sealing.answer}),
+			effects: sendToHost(current, from, {type: 'sealed', id: sealRequest.id, answer: result.answer}),
 		}),
 	);
 }
--- a/src/core/features/tickets/feature.ts
+++ b/src/core/features/tickets/feature.ts
@@ -13,13 +13,13 @@
 	answerNotRun, answerUnknown, issueTicket, requireTicket,
 } from './commands/answers.js';
 import {
-	abandonForward, doubtForwards, endForward, forwardToKeeper, pressForwards, takeSealAnswer,
+	abandonForward, answerKeyForwardsUnknown, endForward, forwardToKeeper, retryForwards, handleSealAnswer,
 } from './commands/forwards.js';
 import {
-	expireFollowers, recordEnd, sweep, useRight,
+	expireFollowers, recordOutcome, sweepEntries, useRight,
 } from './commands/rights.js';
-import {takeSeal} from './commands/seals.js';
-import {entry, isSame, ticketRight} from './queries.js';
+import {handleSealRequest} from './commands/seals.js';
+import {getEntry, isSameIncarnation, ticketRight} from './queries.js';
 
 function keeperOf(ticket: Ticket): Member {
 	return {
@@ -27,28 +27,28 @@
 	};
 }
 
-function arriveWithTicket(state: State, request: Request, ticket: Ticket, {wall}: Context): Step {
+function handleTicketArrival(state: State, request: Request, ticket: Ticket, {wall}: Context): Step {
 	if (ticket.organisation !== request.organisation) {
 		return answerNotRun(state, request, 'badTicket', 'another organisation\'s ticket');
 	}
 
 	const right = ticketRight(ticket.sequence);
-	if (!isSame(ticket.keeper, state.self.incarnation)) {
+	if (!isSameIncarnation(ticket.keeper, state.self.incarnation)) {
 		return forwardToKeeper(state, request, right, keeperOf(ticket));
 	}
 
-	if (ticket.expires <= wall && entry(state, right) === undefined) {
+	if (ticket.expires <= wall && getEntry(state, right) === undefined) {
 		return answerUnknown(state, request, 'expiredTicket', 'too old to be remembered');
 	}
 
-	if (ticket.sequence < state.tickets.floor && entry(state, right) === undefined) {
+	if (ticket.sequence < state.tickets.sequenceFloor && getEntry(state, right) === undefined) {
 		return answerNotRun(state, request, 'sealed', 'sealed while the table of rights was full');
 	}
 
 	return useRight(state, {right, request, expires: ticket.expires});
 }
 
-function arrive(state: State, request: Request, context: Context): Step {
+function handleArrival(state: State, request: Request, context: Context): Step {
 	switch (request.proof.type) {
 		case 'idempotent': {
 			return {state, effects: [{type: 'raise', event: {type: 'request-cleared', request}}]};
@@ -59,7 +59,7 @@
 		}
 
 		case 'ticket': {
-			return arriveWithTicket(state, request, request.proof.ticket, context);
+			return handleTicketArrival(state, request, request.proof.ticket, context);
 		}
 
 		// The keys feature takes these.
@@ -73,20 +73,20 @@
 	}
 }
 
-function abandon(state: State, {request}: EventOf<'request-abandoned'>): Step {
-	const left = abandonForward(state, request);
-	const followers = left.tickets.followers.delete(request);
-	return only({...left, tickets: {...left.tickets, followers}});
+function handleAbandonedRequest(state: State, {request}: EventOf<'request-abandoned'>): Step {
+	const next = abandonForward(state, request);
+	const followers = next.tickets.followers.delete(request);
+	return only({...next, tickets: {...next.tickets, followers}});
 }
 
-function hear(state: State, from: string, message: PeerMessage, context: Context): Step {
+function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
 	switch (message.type) {
 		case 'seal': {
-			return takeSeal(state, from, message, context);
+			return handleSealRequest(state, from, message, context);
 		}
 
 		case 'sealed': {
-			return takeSealAnswer(state, from, message.id, message.answer);
+			return handleSealAnswer(state, from, message.id, message.answer);
 		}
 
 		default: {
@@ -100,7 +100,7 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'request-arrived': {
-				return arrive(state, event.request, context);
+				return handleArrival(state, event.request, context);
 			}
 
 			case 'ticket-wanted': {
@@ -108,11 +108,11 @@
 			}
 
 			case 'request-concluded': {
-				return only(recordEnd(state, event.request, event.outcome));
+				return only(recordOutcome(state, event.request, event.outcome));
 			}
 
 			case 'request-abandoned': {
-				return abandon(state, event);
+				return handleAbandonedRequest(state, event);
 			}
 
 			case 'forward-ended': {
@@ -120,19 +120,19 @@
 			}
 
 			case 'woken': {
-				return doubtForwards(state);
+				return answerKeyForwardsUnknown(state);
 			}
 
 			case 'peer-message': {
-				return hear(state, event.from, event.message, context);
+				return handlePeerMessage(state, event.from, event.message, context);
 			}
 
 			case 'tick': {
 				return chain(
 					state,
 					current => expireFollowers(current, context),
-					current => pressForwards(current, context),
-					current => sweep(current, context),
+					current => retryForwards(current, context),
+					current => sweepEntries(current, context),
 				);
 			}
 
--- a/src/core/features/tickets/queries.ts
+++ b/src/core/features/tickets/queries.ts
@@ -3,14 +3,14 @@
 import {type Incarnation, type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
-import {type Entry} from './types.js';
+import {type RightEntry} from './types.js';
 
 /**
  * @param a - An incarnation.
  * @param b - Another.
  * @returns Whether both are the same run of the same host.
  */
-export function isSame(a: Incarnation, b: Incarnation): boolean {
+export function isSameIncarnation(a: Incarnation, b: Incarnation): boolean {
 	return a.host === b.host && a.started === b.started;
 }
 
@@ -44,7 +44,7 @@
  * @param right - Name of a right.
  * @returns What this host knows of it.
  */
-export function entry(state: State, right: string): Entry | undefined {
+export function getEntry(state: State, right: string): RightEntry | undefined {
 	return state.tickets.entries.get(right);
 }
 
@@ -76,7 +76,7 @@
 }
 
 function isEndedBy(state: State, right: string, {id}: Request): boolean {
-	const progress = entry(state, right)?.progress;
+	const progress = getEntry(state, right)?.progress;
 	return progress?.type === 'ended' && progress.request === id;
 }
 
@@ -95,12 +95,12 @@
 	}
 
 	const right = state.tickets.running.get(request.id);
-	const held = right === undefined ? undefined : entry(state, right);
-	if (held?.progress.type !== 'running' || held.progress.request !== request.id) {
+	const existing = right === undefined ? undefined : getEntry(state, right);
+	if (existing?.progress.type !== 'running' || existing.progress.request !== request.id) {
 		return 'sealed';
 	}
 
-	return held.expires <= context.wall ? 'expiredTicket' : undefined;
+	return existing.expires <= context.wall ? 'expiredTicket' : undefined;
 }
 
 /**
--- a/src/core/features/tickets/types.ts
+++ b/src/core/features/tickets/types.ts
@@ -13,7 +13,7 @@
 export const followerLimit = 10_000;
 
 /** What became of a right that was shown here. */
-export type Progress
+export type RightProgress
 	/** Given to the requests feature, which may send it. */
 	= | {readonly type: 'running'; readonly request: string}
 		| {readonly type: 'ended'; readonly request: string; readonly outcome: Outcome}
@@ -22,11 +22,11 @@
 	/** Never to run. */
 		| {readonly type: 'sealed'};
 
-export type Entry = {
+export type RightEntry = {
 	readonly fingerprint: string;
 	/** Wall-clock time after which the right never runs, in milliseconds since 1970. */
 	readonly expires: number;
-	readonly progress: Progress;
+	readonly progress: RightProgress;
 };
 
 /** A request that waits for the end of another with the same right. */
@@ -41,17 +41,17 @@
 	readonly right: string;
 	readonly keeper: Member;
 	/** Times it was passed on. */
-	readonly tries: number;
+	readonly attempts: number;
 	/** Present while the keeper is asked to seal it: when to ask again and when to give up, on the core's clock. */
-	readonly seal?: {readonly askAt: number; readonly until: number};
+	readonly seal?: {readonly retryAt: number; readonly timeoutAt: number};
 };
 
 export type TicketsState = {
 	readonly nextSequence: number;
 	/** Tickets below this sequence that have no entry never run. */
-	readonly floor: number;
+	readonly sequenceFloor: number;
 	/** By right; see `rightOf`. */
-	readonly entries: Table<string, Entry>;
+	readonly entries: Table<string, RightEntry>;
 	/** Right of each request that runs under one. */
 	readonly running: Table<string, string>;
 	/** By request. */
@@ -63,7 +63,7 @@
 
 export const initialTickets: TicketsState = {
 	nextSequence: 1,
-	floor: 1,
+	sequenceFloor: 1,
 	entries: Table(),
 	running: Table(),
 	followers: Table(),
