--- a/src/core/features/holds/commands.ts
+++ b/src/core/features/holds/commands.ts
@@ -1,4 +1,4 @@
-/** Asks engines for memory back, again until they confirm. */
+/** Releases holds at engines and retries until the engine confirms. */
 import {type Effect} from '../../types/effect.js';
 import {type Hold} from '../../types/upstream.js';
 import {type Context, type State, type Step} from '../../types/state.js';
@@ -9,7 +9,7 @@
 	holdGraceMs, releaseLimit, type HoldsState, type Release,
 } from './types.js';
 
-/** Time between two asks: doubled each time up to the longest, in milliseconds. */
+/** The interval between two release requests doubles from the minimum to the maximum. */
 const minRetryIntervalMs = 200;
 const maxRetryIntervalMs = 5000;
 
@@ -32,11 +32,11 @@
 }
 
 /**
- * @param state - Core state.
- * @param hold - Hold that is needed no longer.
+ * Starts the release of a hold, unless it is in progress already or too many releases are.
+ *
+ * @param hold - Hold that is no longer needed.
  * @param upstream - Engine that has it.
- * @param context - Time and random source.
- * @returns The next state and the first ask.
+ * @returns The next state and the first release request.
  */
 export function requestRelease(state: State, hold: string, upstream: string, {now}: Context): Step {
 	const {releases} = state.holds;
@@ -45,7 +45,10 @@
 		: sendRelease(state, hold, {upstream, retryAt: now, attempts: 0}, now);
 }
 
-/** Never a live owner's: its deadline is over with grace, or a newer incarnation of its owner was seen. */
+/**
+ * Returns why a hold can be cancelled, or undefined if it can't. A live owner's hold never is: either a newer incarnation
+ * of the owner was seen, or the deadline and a grace period have passed.
+ */
 function findStaleReason(state: State, hold: Hold, wall: number): string | undefined {
 	if (isCertainlyGone(state, hold.owner)) {
 		return 'its owner is gone';
@@ -76,13 +79,12 @@
 }
 
 /**
- * Compares an engine's own list with what should be there.
+ * Compares an engine's list of holds with the releases in progress: cancels stale holds and drops releases of holds that
+ * the engine no longer lists.
  *
- * @param state - Core state.
  * @param upstream - Engine.
- * @param holds - All of its holds.
- * @param context - Time and random source.
- * @returns The next state and the asks; what the engine no longer lists needs none.
+ * @param holds - All holds of the engine.
+ * @returns The next state and the release requests.
  */
 export function reviewHolds(state: State, upstream: string, holds: readonly Hold[], context: Context): Step {
 	const listed = new Set(holds.map(each => each.id));
@@ -94,27 +96,29 @@
 }
 
 /**
- * @param state - Core state.
- * @param hold - Hold that an engine has given back.
- * @returns The state without the ask for it.
+ * Ends the retries for a hold.
+ *
+ * @param hold - Hold that an engine has released.
+ * @returns The next state.
  */
 export function confirmRelease(state: State, hold: string): State {
 	return state.holds.releases.has(hold) ? updateReleases(state, state.holds.releases.delete(hold)) : state;
 }
 
 /**
- * @param state - Core state.
- * @param upstream - Engine that restarted, with empty memory.
- * @returns The state without asks to it.
+ * Drops the releases at an engine that restarted: its memory is empty.
+ *
+ * @param upstream - Engine.
+ * @returns The next state.
  */
 export function dropReleases(state: State, upstream: string): State {
 	return updateReleases(state, state.holds.releases.filter(each => each.upstream !== upstream));
 }
 
 /**
- * @param state - Core state.
- * @param context - Time and random source.
- * @returns The next state and the asks that are due again; those to engines that left the configuration end.
+ * Sends the release requests that are due again and drops those to engines that left the configuration.
+ *
+ * @returns The next state and the release requests.
  */
 export function retryReleases(state: State, {now}: Context): Step {
 	if (state.holds.releases.isEmpty()) {
--- a/src/core/features/holds/feature.ts
+++ b/src/core/features/holds/feature.ts
@@ -1,8 +1,8 @@
-/** Gives engines their memory back: what a request needs no longer, and what dead owners have left. */
+/** Releases KV memory that is reserved at engines: holds that a request no longer needs and those of dead owners. */
 import {type Feature} from '../../types/state.js';
 import {only} from '../../utils/common.js';
 import {
-	confirmRelease, dropReleases, retryReleases, requestRelease, reviewHolds,
+	confirmRelease, dropReleases, requestRelease, retryReleases, reviewHolds,
 } from './commands.js';
 
 export const holdsFeature: Feature = {
--- a/src/core/features/holds/types.ts
+++ b/src/core/features/holds/types.ts
@@ -1,24 +1,24 @@
-/** KV memory at engines that nobody needs any more, and is asked back until the engine confirms. */
+/** Holds (reservations of KV memory at engines) that are no longer needed and are being released. */
 import {Map as Table} from 'immutable';
 
 /**
- * Time after its deadline during which a hold is left to its owner, in milliseconds: hosts' clocks may be apart, and the
- * owner gives it back by itself.
+ * Time after its deadline during which a hold is left to its owner. Host clocks may differ, and the owner releases the hold
+ * itself.
  */
 export const holdGraceMs = 5000;
 
-/** Releases asked for at one time. */
+/** Releases in progress at one time. */
 export const releaseLimit = 10_000;
 
 export type Release = {
 	readonly upstream: string;
-	/** When it is asked for again, on the core's clock. */
+	/** When the release request is sent again, on the core's clock. */
 	readonly retryAt: number;
 	readonly attempts: number;
 };
 
 export type HoldsState = {
-	/** By hold. */
+	/** Keyed by hold. */
 	readonly releases: Table<string, Release>;
 };
 
--- a/src/core/features/keys/commands/claims.ts
+++ b/src/core/features/keys/commands/claims.ts
@@ -1,4 +1,4 @@
-/** Claims: a host that wants to run a key asks everyone else for a promise never to run it. */
+/** Claims: before a host runs a key, it asks every other host to promise never to run it. */
 import {type KeyMessage, type Member} from '../../../types/peer.js';
 import {type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
@@ -16,15 +16,15 @@
 
 const retryIntervalMs = 100;
 
-/** Time a claim may take in milliseconds: long enough for a short pause of another host. */
+/** Long enough for a short pause of another host. */
 const claimTimeoutMs = 1000;
 
 type AnswerMessage = Extract<KeyMessage, {readonly type: 'key-answer'}>;
 
-/** A key as it arrives with a request. */
+/** A key as presented with a request. */
 export type PresentedKey = {
 	readonly right: string;
-	/** From the key, wall-clock time in milliseconds since 1970. */
+	/** Taken from the key, in milliseconds of wall-clock time since 1970. */
 	readonly minted: number;
 	readonly request: Request;
 };
@@ -32,9 +32,9 @@
 type Claiming = Extract<ClaimProgress, {readonly type: 'claiming'}>;
 
 /**
- * @param state - Core state.
+ * Stores a claim and keeps the list of open claims in step.
+ *
  * @param right - Name of the key's right.
- * @param claim - What is known of it from now on.
  * @returns The next state.
  */
 export function putClaim(state: State, right: string, claim: Claim): State {
@@ -45,10 +45,7 @@
 	});
 }
 
-/**
- * @param state - Core state.
- * @returns Whether another claim or promise can be remembered.
- */
+/** @returns Whether another claim or promise can be stored. */
 export function hasClaimRoom(state: State): boolean {
 	return state.keys.claims.size < claimLimit;
 }
@@ -67,13 +64,12 @@
 }
 
 /**
- * Gives up a claim in favour of another host, and passes on what waited for it.
+ * Gives up a claim in favour of another host, and forwards the requests that waited for it.
  *
- * @param state - Core state.
  * @param right - Name of the key's right.
  * @param claim - The claim.
- * @param to - Host that keeps the key.
- * @returns The next state and the forwarding.
+ * @param to - The key's keeper.
+ * @returns The next state and the forwards.
  */
 export function yieldClaim(state: State, right: string, claim: Claim, to: Member): Step {
 	const waiting = claim.progress.type === 'claiming' ? claim.progress.waiting : [];
@@ -87,7 +83,10 @@
 		answerUnknown(current, request, 'outcomeUnknown', 'no host is sure that the key never ran'));
 }
 
-/** Everybody has promised, or somebody's promise is missing: then the key is sealed, which needs nobody's promise. */
+/**
+ * Ends a claim. This host runs the key if every host has promised. If promises are missing, it seals the key, which needs no
+ * promise. If a host refused to promise, or none confirmed that the key has never run, the outcome is unknown.
+ */
 function settleClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
 	if (!progress.isNotRunConfirmed || (progress.refused && progress.pending.length > 0)) {
 		return markDoubtful(state, right, claim, progress);
@@ -107,10 +106,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param shown - A key of which nothing is known here.
- * @param context - Time and random source.
- * @returns The next state and the questions; the request is cleared at once if there is nobody to ask.
+ * @param key - A key that this host has no claim for.
+ * @returns The next state and the claims sent; the request is cleared at once if there is no other host.
  */
 export function beginClaim(state: State, {right, minted, request}: PresentedKey, {now}: Context): Step {
 	const pending = listActivePeers(state).map(each => each.member.incarnation.host);
@@ -131,10 +128,9 @@
 }
 
 /**
- * @param state - Core state.
  * @param right - Name of the right of a key that this host is claiming.
  * @param request - Another request with the same key.
- * @returns The next state, with the request waiting.
+ * @returns The next state, with the request waiting, or answered if too many wait already.
  */
 export function waitForClaim(state: State, right: string, request: Request): Step {
 	const claim = state.keys.claims.get(right);
@@ -149,8 +145,8 @@
 }
 
 /**
- * A host that promised the key to a third one never runs it either; the third one then has to answer for itself. If it
- * is over, only it could have told what became of the key.
+ * Handles the answer of a host that has promised the key to another one. The answering host never runs it either, so it counts
+ * as promised, and the other host has to answer itself. If that host has ended, only it could have known the key's outcome.
  */
 function handleKeptAnswer(state: State, from: string, right: string, keeper: Member): Step {
 	const claim = state.keys.claims.get(right);
@@ -169,10 +165,9 @@
 }
 
 /**
- * @param state - Core state.
  * @param from - Host that answered.
  * @param message - Its answer.
- * @returns The next state, with the requests cleared, passed on or answered if that was the last one missing.
+ * @returns The next state. If it was the last missing answer, the waiting requests are cleared, forwarded or answered.
  */
 export function handleKeyAnswer(state: State, from: string, message: AnswerMessage): Step {
 	const {id: right, claimant, answer} = message;
@@ -193,7 +188,7 @@
 			return handleKeptAnswer(state, from, right, answer.by);
 		}
 
-		// Some host does not count this one among those it asks.
+		// The answering host may not know this host as a peer, so it may run the key without asking.
 		case 'refused': {
 			return only(putClaim(state, right, {...claim, progress: {...progress, refused: true}}));
 		}
@@ -226,10 +221,8 @@
 }
 
 /**
- * Asks again for promises that are missing, and gives up on what took too long.
+ * Sends the claims again to hosts that have not answered, and settles claims that timed out.
  *
- * @param state - Core state.
- * @param context - Time and random source.
  * @returns The next state and the effects.
  */
 export function retryClaims(state: State, context: Context): Step {
--- a/src/core/features/keys/commands/known-peers.ts
+++ b/src/core/features/keys/commands/known-peers.ts
@@ -1,6 +1,6 @@
 /**
- * Who else may run keys. A host runs keys only after everyone it knows has answered its introduction, so that of two
- * hosts that run keys each asks the other.
+ * Tracks the hosts that may run keys. A host runs keys only after every peer it knows has answered its handshake, so that of
+ * two hosts that run keys, each asks the other.
  */
 import {type Member} from '../../../types/peer.js';
 import {type Incarnation} from '../../../types/request.js';
@@ -12,18 +12,16 @@
 import {
 	listActivePeers, sendToHost,
 } from '../queries.js';
-import {knownPeerLimit, type KnownPeer, type KeysState} from '../types.js';
+import {knownPeerLimit, type KeysState, type KnownPeer} from '../types.js';
 
-/** Time between two rounds of introductions, doubled each time that nobody new was met, in milliseconds. */
+/** The interval between two rounds of handshakes doubles with each round in which no new peer answers. */
 const minRoundIntervalMs = 200;
 const maxRoundIntervalMs = 10_000;
 
-/** Introductions in one round. */
 const handshakesPerRound = 8;
 
 /**
- * @param state - Core state.
- * @param part - What changes of the keys.
+ * @param part - Members of the keys state that change.
  * @returns The next state.
  */
 export function updateKeys(state: State, part: Partial<KeysState>): State {
@@ -36,9 +34,10 @@
 }
 
 /**
- * @param state - Core state.
- * @param member - A host, as it or another names it.
- * @returns The state with it known; a newer incarnation ends the one before.
+ * Adds a peer. A newer incarnation replaces an older one.
+ *
+ * @param member - Peer, as reported by itself or by another host.
+ * @returns The next state; unchanged if the peer is known already or the limit is reached.
  */
 export function addKnownPeer(state: State, member: Member): State {
 	const {host, started} = member.incarnation;
@@ -52,9 +51,10 @@
 }
 
 /**
- * @param state - Core state.
- * @param incarnation - Run of a host that is over, or leaving by its own word.
- * @returns The state in which it is not asked any more.
+ * Excludes a peer from claims and handshakes.
+ *
+ * @param incarnation - Incarnation that has ended, or that announced that it is leaving.
+ * @returns The next state.
  */
 export function markEnded(state: State, incarnation: Incarnation): State {
 	const known = state.keys.acquaintances.get(incarnation.host);
@@ -64,9 +64,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param member - Host that answered this host's introduction.
- * @returns The state in which it has been met.
+ * @param member - Peer that answered this host's handshake.
+ * @returns The next state.
  */
 export function markAnswered(state: State, member: Member): State {
 	const next = addKnownPeer(state, member);
@@ -76,17 +75,19 @@
 		: updateKeys(putKnownPeer(next, {...known, hasAnswered: true}), {rounds: 0});
 }
 
-/** Equal where two hosts know the same hosts, themselves included. */
+/** Equal at two hosts if both know the same hosts, themselves included. */
 function digestKnownPeers(state: State): number {
-	const names = [state.self, ...listActivePeers(state).map(each => each.member)].map(({incarnation: {host, started}}) => `${host}/${started}`);
+	const names = [state.self, ...listActivePeers(state).map(each => each.member)]
+		.map(({incarnation: {host, started}}) => `${host}/${started}`);
 	return hashText(names.toSorted().join(' '));
 }
 
 /**
- * @param state - Core state.
- * @param member - Host that introduced itself.
- * @param peerDigest - Digest of whom it knows.
- * @returns The state with it known, and the answer; none if it cannot be remembered or is over.
+ * Adds the sender and answers with the known peers, unless the digests show that it knows the same ones.
+ *
+ * @param member - Sender.
+ * @param peerDigest - Digest of the sender's known peers.
+ * @returns The next state and the answer. There is no answer if the sender can't be added or has ended.
  */
 export function handleHandshake(state: State, member: Member, peerDigest: number): Step {
 	const next = addKnownPeer(state, member);
@@ -107,11 +108,10 @@
 }
 
 /**
- * A process that was paused may have been replaced meanwhile, and others may run keys without it: it has to introduce
- * itself anew before it says anything of a key that it does not keep.
+ * Makes this host repeat its handshakes after a pause: it may have been replaced, and other hosts may run keys without it.
+ * Until every peer has answered again, it must not confirm anything about a key that it doesn't keep.
  *
- * @param state - Core state.
- * @returns The state of a host that nobody has met.
+ * @returns The next state.
  */
 export function resetHandshakes(state: State): State {
 	const claims = state.keys.claims.map(claim => claim.progress.type === 'claiming'
@@ -120,7 +120,7 @@
 	return updateKeys(state, {
 		joined: false,
 		vouchFrom: Number.MAX_SAFE_INTEGER,
-		acquaintances: state.keys.acquaintances.map(each => ({...each, met: false})),
+		acquaintances: state.keys.acquaintances.map(each => ({...each, hasAnswered: false})),
 		claims,
 		rounds: 0,
 		nextHandshakeAt: 0,
@@ -138,11 +138,9 @@
 }
 
 /**
- * Introduces this host to those it has not met, and looks who is over.
+ * Sends handshakes to peers that have not answered, and marks those that are leaving as ended.
  *
- * @param state - Core state.
- * @param context - Time and random source.
- * @returns The next state and the introductions.
+ * @returns The next state and the handshakes.
  */
 export function runHandshakes(state: State, context: Context): Step {
 	if (context.now < state.keys.nextHandshakeAt) {
@@ -162,6 +160,8 @@
 	const ownDigest = digestKnownPeers(next);
 	return {
 		state: joinIfReady(unanswered.length > 0 ? updateKeys(next, {rounds: rounds + 1}) : next, context),
-		effects: targets.flatMap(each => sendToHost(next, each.member.incarnation.host, {type: 'key-join', member: next.self, digest: ownDigest})),
+		effects: targets.flatMap(each => sendToHost(next, each.member.incarnation.host, {
+			type: 'key-join', member: next.self, digest: ownDigest,
+		})),
 	};
 }
--- a/src/core/features/keys/commands/promises.ts
+++ b/src/core/features/keys/commands/promises.ts
@@ -1,14 +1,14 @@
-/** Promises: what a host answers to another that claims a key. */
+/** Promises: answers to hosts that claim a key. */
 import {type KeyAnswer, type Member} from '../../../types/peer.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {assertNever, chain} from '../../../utils/common.js';
 import {isSameIncarnation} from '../../tickets/queries.js';
 import {canConfirmNotRun, sendToHost} from '../queries.js';
-import {maxCallerClockLeadMs, keyLifetimeMs, type Claim} from '../types.js';
+import {keyLifetimeMs, maxCallerClockLeadMs, type Claim} from '../types.js';
 import {addKnownPeer} from './known-peers.js';
 import {hasClaimRoom, yieldClaim} from './claims.js';
 
-/** A claim as it arrives. */
+/** A claim as received from another host. */
 export type IncomingClaim = {
 	readonly right: string;
 	readonly minted: number;
@@ -38,23 +38,23 @@
 	return known !== undefined && known.member.incarnation.started > claimant.incarnation.started;
 }
 
-/** Too old or from the future: nothing could be remembered, or another host's clock is wrong. */
+/** A key that is too old may be forgotten already; one from the future means that a clock is wrong. */
 function isOutsideTimeWindow(minted: number, wall: number): boolean {
 	return minted <= wall - keyLifetimeMs || minted > wall + maxCallerClockLeadMs;
 }
 
-function handleFirstClaim(state: State, incoming: IncomingClaim): Step {
+function handleClaimOfNewKey(state: State, incoming: IncomingClaim): Step {
 	return hasClaimRoom(state)
 		? givePromise(state, incoming, {minted: incoming.minted, progress: {type: 'doubtful'}})
 		: sendReply(state, incoming, {type: 'refused'});
 }
 
-function handleRepeatedClaim(state: State, incoming: IncomingClaim, claim: Claim): Step {
+function handleClaimOfKnownKey(state: State, incoming: IncomingClaim, claim: Claim): Step {
 	const {claimant} = incoming;
 	const {progress} = claim;
 	switch (progress.type) {
 		case 'claiming': {
-			// Of two that claim at once the one with the lower name goes on.
+			// Of two hosts that claim a key at the same time, the one with the lower name wins.
 			const isWinner = state.self.incarnation.host < claimant.incarnation.host;
 			return isWinner ? sendReply(state, incoming, {type: 'kept', by: state.self}) : givePromise(state, incoming, claim);
 		}
@@ -76,10 +76,8 @@
 }
 
 /**
- * @param state - Core state.
  * @param incoming - The claim.
- * @param context - Time and random source.
- * @returns The next state, with the promise recorded before it is given, and the answer.
+ * @returns The next state, in which a promise is recorded before it is sent, and the answer.
  */
 export function handleClaim(state: State, incoming: IncomingClaim, context: Context): Step {
 	const next = addKnownPeer(state, incoming.claimant);
@@ -88,5 +86,5 @@
 		return sendReply(next, incoming, {type: 'refused'});
 	}
 
-	return claim === undefined ? handleFirstClaim(next, incoming) : handleRepeatedClaim(next, incoming, claim);
+	return claim === undefined ? handleClaimOfNewKey(next, incoming) : handleClaimOfKnownKey(next, incoming, claim);
 }
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -1,4 +1,4 @@
-/** Decides who runs a request that shows a bare idempotency key. */
+/** Decides which host runs a request that presents a bare idempotency key. */
 import {codes} from '../../errors.js';
 import {type EventOf} from '../../types/event.js';
 import {type KeyMessage, type Member, type PeerMessage} from '../../types/peer.js';
@@ -16,22 +16,22 @@
 import {useRight} from '../tickets/commands/rights.js';
 import {getEntry, keyRight} from '../tickets/queries.js';
 import {
-	markAnswered, runHandshakes, markEnded, handleHandshake, addKnownPeer, resetHandshakes, updateKeys,
+	addKnownPeer, handleHandshake, markAnswered, markEnded, resetHandshakes, runHandshakes, updateKeys,
 } from './commands/known-peers.js';
 import {
-	beginClaim, hasClaimRoom, waitForClaim, retryClaims, handleKeyAnswer, type PresentedKey,
+	beginClaim, handleKeyAnswer, hasClaimRoom, retryClaims, waitForClaim, type PresentedKey,
 } from './commands/claims.js';
 import {handleClaim} from './commands/promises.js';
 import {
-	canConfirmNotRun, deliver, hasLink, mintedAt, listActivePeers,
+	canConfirmNotRun, deliver, hasLink, listActivePeers, mintedAt,
 } from './queries.js';
 import {
-	maxCallerClockLeadMs, maxHostClockSkewMs, keyLifetimeMs, type Claim,
+	keyLifetimeMs, maxCallerClockLeadMs, maxHostClockSkewMs, type Claim,
 } from './types.js';
 
 const sweepIntervalMs = 5000;
 
-/** A host that cannot claim passes the request to one that may be able to. */
+/** Forwards a request to a peer that may be able to claim the key, since this host can't. */
 function forwardToPeer(state: State, request: Request, right: string): Step {
 	const peer = listActivePeers(state).find(each => each.hasAnswered && hasLink(state, each.member.incarnation.host));
 	return peer === undefined
@@ -187,7 +187,8 @@
 		return only(state);
 	}
 
-	const claims = state.keys.claims.filter(claim => claim.progress.type === 'claiming' || claim.minted + keyLifetimeMs + maxHostClockSkewMs > wall);
+	const claims = state.keys.claims.filter(claim =>
+		claim.progress.type === 'claiming' || claim.minted + keyLifetimeMs + maxHostClockSkewMs > wall);
 	return only(updateKeys(state, {claims, sweepAt: now + sweepIntervalMs}));
 }
 
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -1,4 +1,4 @@
-/** Reads what this host knows of idempotency keys and of the hosts that may run them. */
+/** Reads idempotency keys and the known peers that may run them. */
 import {type Effect} from '../../types/effect.js';
 import {type RelayedMessage} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
@@ -10,55 +10,48 @@
 
 /**
  * @param key - Idempotency key.
- * @returns When it was minted, in milliseconds since 1970; undefined if it is not a UUID of version 7.
+ * @returns When the key was minted, in milliseconds since 1970; undefined if it isn't a version 7 UUID.
  */
 export function mintedAt(key: string): number | undefined {
 	return uuidVersionSeven.test(key) ? Number.parseInt(key.replaceAll('-', '').slice(0, timestampDigits), 16) : undefined;
 }
 
 /**
- * A key runs nowhere before its minting, less what a caller's clock may be ahead; whoever has known all runners since
- * before then knows whether it ran.
+ * A key can't run earlier than its minting time minus the maximum lead of the caller's clock. A host that has known every host
+ * that runs keys since then knows whether the key has run.
  *
- * @param state - Core state.
  * @param minted - When the key was minted, in milliseconds since 1970.
- * @returns Whether this host would know if the key had run elsewhere.
+ * @returns Whether this host would know if the key had run at another host.
  */
 export function canConfirmNotRun(state: State, minted: number): boolean {
 	const {joined, vouchFrom} = state.keys;
 	return joined && vouchFrom + maxCallerClockLeadMs + maxHostClockSkewMs < minted;
 }
 
-/**
- * @param state - Core state.
- * @returns Hosts whose promise this host needs before it runs a key.
- */
+/** @returns Peers whose promise this host needs before it runs a key. */
 export function listActivePeers(state: State): readonly KnownPeer[] {
 	return [...state.keys.acquaintances.values()].filter(each => !each.ended);
 }
 
-/**
- * @param state - Core state.
- * @param host - Host.
- * @returns Whether this host has a link to it.
- */
+/** @returns Whether this host has a link to the other host. */
 export function hasLink(state: State, host: string): boolean {
 	return state.membership.peers.get(host)?.connected === true;
 }
 
-/** A message that this host sends, or passes on for another. */
+/** A message that this host sends, or relays for another host. */
 export type Envelope = {
 	readonly from: string;
 	readonly to: string;
-	/** Hosts that have passed it on. */
+	/** Number of hosts that have relayed it. */
 	readonly hops: number;
 	readonly message: RelayedMessage;
 };
 
 /**
- * @param state - Core state.
- * @param envelope - Message and whom it is for.
- * @returns The sending over a link, or through a host that may have one; without either it is lost.
+ * Sends a message over a direct link, or relays it through a host that is closer to the recipient. Without either, the
+ * message is sent directly and is lost if there is no link.
+ *
+ * @returns The effect that sends it.
  */
 export function deliver(state: State, envelope: Envelope): readonly Effect[] {
 	const {from, to, hops, message} = envelope;
@@ -81,10 +74,9 @@
 }
 
 /**
- * @param state - Core state.
- * @param to - Host that the message is for.
- * @param message - Message of this host.
- * @returns The sending, as {@link deliver} does it.
+ * Sends a message of this host as {@link deliver} does.
+ *
+ * @param to - Recipient.
  */
 export function sendToHost(state: State, to: string, message: RelayedMessage): readonly Effect[] {
 	return deliver(state, {
--- a/src/core/features/keys/types.ts
+++ b/src/core/features/keys/types.ts
@@ -1,78 +1,81 @@
-/** Bare idempotency keys: who may run each, agreed by unanimous claims. docs/design/idempotency-keys.md gives the reasons. */
+/** State of bare idempotency keys. Hosts agree on who runs a key by unanimous claims; see docs/design/idempotency-keys.md. */
 import {Map as Table} from 'immutable';
 import {type Member} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
 
-/** Time after its minting in which a key may run, in milliseconds. */
+/** Time after minting in which a key may run. */
 export const keyLifetimeMs = 600_000;
 
-/** How far a caller's clock may be ahead, and how far hosts' clocks may be apart, in milliseconds. */
+/** How far a caller's clock may be ahead of a host's. */
 export const maxCallerClockLeadMs = 2000;
+
+/** How far the clocks of two hosts may differ. */
 export const maxHostClockSkewMs = 1000;
 
-/** Claims and promises remembered at one host. */
+/** Claims and promises stored at one host. */
 export const claimLimit = 50_000;
 
 /** Requests that may wait for one claim. */
 export const waitingPerClaimLimit = 16;
 
-/** Hosts remembered. */
+/** Peers stored at one host. */
 export const knownPeerLimit = 2048;
 
 /** Another host that may run keys. */
 export type KnownPeer = {
 	readonly member: Member;
-	/** Whether it has answered this host's introduction, and so will ask it about each key. */
+	/** Whether it has answered this host's handshake; from then on it asks this host before it runs a key. */
 	readonly hasAnswered: boolean;
-	/** Whether it is over for certain, or leaving: it runs no key from now on. */
+	/** Whether this incarnation has certainly ended or is leaving, so that it runs no more keys. */
 	readonly ended: boolean;
 };
 
 export type ClaimProgress
-	/** This host asks the others. */
+	/** This host is asking the others for their promises. */
 	= | {
 		readonly type: 'claiming';
 		readonly waiting: readonly Request[];
-		/** Hosts whose promise is missing. */
+		/** Hosts that have not promised yet. */
 		readonly pending: readonly string[];
-		/** Whether somebody was certain that the key never ran. */
+		/** Whether a host, this one included, confirmed that the key has never run. */
 		readonly isNotRunConfirmed: boolean;
-		/** Whether a host gave no promise, so that it may run the key without this host. */
+		/** Whether a host refused to promise; it may run the key without asking this host. */
 		readonly refused: boolean;
-		/** When to ask again and when to give up, on the core's clock. */
+		/** When to send the claim again and when to give up, on the core's clock. */
 		readonly retryAt: number;
 		readonly timeoutAt: number;
 	}
-	/** This host keeps it; the tickets feature has the entry. */
+	/** This host is the key's keeper; the tickets feature has the entry. */
 	| {readonly type: 'kept'}
-	/** Promised to another host. */
+	/** Promised to another host, which may run the key. */
 	| {readonly type: 'yielded'; readonly to: Member}
-	/** Nobody could tell whether it ran. */
+	/** No host could confirm that the key has never run. */
 	| {readonly type: 'doubtful'};
 
 export type Claim = {
-	/** From the key, wall-clock time in milliseconds since 1970. */
+	/** Taken from the key, in milliseconds of wall-clock time since 1970. */
 	readonly minted: number;
 	readonly progress: ClaimProgress;
 };
 
 export type KeysState = {
-	/** By host. */
+	/** Keyed by host name. */
 	readonly acquaintances: Table<string, KnownPeer>;
-	/** Whether the platform's list was seen since the start. */
+	/** Whether the platform's host list was received since the start. */
 	readonly hasHostList: boolean;
-	/** Whether everyone known has answered this host's introduction. */
+	/** Whether every known peer has answered this host's handshake. Only then does this host run keys. */
 	readonly joined: boolean;
-	/** Keys minted well after this wall-clock time cannot have run without this host knowing it. */
+	/** This host knows of every run of a key minted well after this wall-clock time. */
 	readonly vouchFrom: number;
-	/** By right. */
+	/** Keyed by right. */
 	readonly claims: Table<string, Claim>;
-	/** Rights that this host is claiming now. */
+	/** Rights that this host is claiming. */
 	readonly claiming: readonly string[];
-	/** Rounds of introductions since somebody was last met. */
+	/** Rounds of handshakes since a peer last answered for the first time. */
 	readonly rounds: number;
-	/** When to introduce itself again and when to forget old claims, on the core's clock. */
+	/** When to send handshakes again, on the core's clock. */
 	readonly nextHandshakeAt: number;
+	/** When to remove expired claims, on the core's clock. */
 	readonly sweepAt: number;
 };
 
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -1,4 +1,4 @@
-/** Admits a request or refuses it at once. */
+/** Admits requests, or refuses them at once. */
 import {codes, type CodeName} from '../../../errors.js';
 import {type Service} from '../../../types/configuration.js';
 import {type Request} from '../../../types/request.js';
@@ -13,18 +13,21 @@
 import {getQueue, queueLength} from '../queries.js';
 import {type Admission, type QueueName} from '../types.js';
 import {findSendRefusal} from './attempts.js';
-import {putAdmission, refuse, defaultRetryAfterMs} from './conclude.js';
+import {defaultRetryAfterMs, putAdmission, refuse} from './conclude.js';
 import {enqueue} from './queues.js';
 import {spillNew} from './spill.js';
 
-/** A queue may grow to this many times its limit while organisations that had more than their part work it off. */
+/**
+ * A queue may exceed its limit by this factor, so that organisations below their share are still admitted while others work off
+ * more than theirs.
+ */
 const overfillFactor = 2;
 
 function refuseWith(state: State, request: Request, code: CodeName, reason: string, retryAfter = defaultRetryAfterMs): Step {
 	return refuse(state, request, {type: 'not-run', code: codes[code], retryAfter: Math.ceil(retryAfter)}, reason);
 }
 
-/** Each organisation may fill the part of the queue that its weight gives it among those that wait. */
+/** Each organisation may fill the share of the queue that its weight gives it among the organisations that wait. */
 function isQueueFull(state: State, request: Request, requestedService: Service, name: QueueName): boolean {
 	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
 	let weights = ownWeight;
@@ -41,7 +44,7 @@
 		|| queueLength(state, request.service) >= requestedService.queueLimit * overfillFactor;
 }
 
-/** Whether all engines of the service here together are too small. */
+/** Returns whether the request exceeds the memory of all engines of the service together. */
 function isTooLong(state: State, request: Request): boolean {
 	if (!needsGroup(state, request)) {
 		return false;
@@ -71,7 +74,7 @@
 	queue: 'short', cost: 0, run: 0, wait: 0,
 };
 
-/** What becomes of a request that the own failure domain cannot serve in time. */
+/** Handles a request that this failure domain can't serve in time. */
 function spillOrRefuse(state: State, request: Request, prediction: Prediction | undefined, context: Context): Step {
 	const spilled = spillNew(state, createAdmission(request, prediction ?? emptyPrediction, context.now), context);
 	if (spilled !== undefined) {
@@ -88,10 +91,8 @@
 }
 
 /**
- * @param state - Core state.
  * @param request - Request that may run here.
- * @param context - Time and random source.
- * @returns The request in its lane, or its refusal.
+ * @returns The next state, with the request queued, sent to another failure domain or refused.
  */
 export function admit(state: State, request: Request, context: Context): Step {
 	const {now} = context;
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -1,4 +1,4 @@
-/** Sends requests to upstreams and takes what comes back. */
+/** Sends requests to upstreams, and handles the progress and end of each attempt. */
 import {codes, type CodeName} from '../../../errors.js';
 import {type EventOf} from '../../../types/event.js';
 import {type Segment} from '../../../types/effect.js';
@@ -17,8 +17,8 @@
 import {estimate} from '../../work/queries.js';
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {conclude, toOutcome, putAdmission} from './conclude.js';
-import {enqueue, dequeue} from './queues.js';
+import {conclude, putAdmission, toOutcome} from './conclude.js';
+import {dequeue, enqueue} from './queues.js';
 
 function lengthClassOf(state: State, request: Request): LengthClass {
 	return classOf(service(state, request.service), request.promptTokens);
@@ -26,12 +26,12 @@
 
 const lengthRank: Readonly<Record<LengthClass, number>> = {short: 0, middle: 1, long: 2};
 
-/** Levels that organisations' priorities take up. */
+/** Number of priority levels of organisations. */
 const priorityLevels = 10;
 
 /**
- * At the upstream a shorter prompt goes first, whoever sends it; organisations' priorities order prompts of one length.
- * The baselines leave lengths alone.
+ * At engines, shorter prompts go first whichever organisation sends them; the organisations' priorities order prompts of the
+ * same length class. The baseline policies ignore lengths.
  */
 function enginePriority(state: State, request: Request, attempt: Attempt): number {
 	if (service(state, request.service)?.policy !== 'cost') {
@@ -58,12 +58,7 @@
 	};
 }
 
-/**
- * @param state - Core state.
- * @param request - Request about to be admitted or sent.
- * @param context - Time.
- * @returns Why it must not run, if so.
- */
+/** @returns Code of the reason why the request must not be admitted or sent, if there is one. */
 export function findSendRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	return isConvicted(state, request.fingerprint, context)
 		? 'convicted'
@@ -71,11 +66,9 @@
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request to send; taken from its lane if it waits in one.
+ * @param admission - Request to send; it is removed from its queue if it waits in one.
  * @param choice - Upstream.
- * @param context - Time.
- * @param segments - Parts of the prompt, where several engines hold it.
+ * @param segments - Segments of the prompt, if several engines share it.
  * @returns The next state and the effects.
  */
 export function send(state: State, admission: Admission, choice: Choice, context: Context, segments?: readonly Segment[]): Step {
@@ -135,12 +128,12 @@
 
 function retry(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
 	const {request} = admission;
-	const mayHaveRun = ending.type !== 'not-run';
+	const hasPossiblyRun = ending.type !== 'not-run';
 	const next: Admission = {
 		...admission,
 		progress: {type: 'queued', since: attempt.began},
 		failedUpstreams: [...admission.failedUpstreams, attempt.upstream],
-		lastOutcome: mayHaveRun ? toOutcome(ending) : admission.lastOutcome,
+		lastOutcome: hasPossiblyRun ? toOutcome(ending) : admission.lastOutcome,
 	};
 	return {
 		state: enqueue(putAdmission(state, next), next, true),
@@ -159,18 +152,17 @@
 	};
 }
 
-/** An earlier attempt that may have run outweighs a later one that did not. */
+/** An earlier attempt that may have run takes precedence over a later one that did not. */
 function selectFinalOutcome(admission: Admission, ending: Ending): Outcome {
 	const outcome = toOutcome(ending);
 	return outcome.type === 'not-run' && admission.lastOutcome !== undefined ? admission.lastOutcome : outcome;
 }
 
 /**
- * @param state - Core state.
  * @param id - Attempt.
  * @param ending - How it ended.
- * @param now - Time in milliseconds.
- * @returns The next state: another attempt, or the final answer.
+ * @param now - Core clock, in milliseconds.
+ * @returns The next state, with the request queued for a retry or answered.
  */
 export function endAttempt(state: State, id: string, ending: Ending, now: number): Step {
 	const admission = admissionOf(state, id);
@@ -190,9 +182,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param event - Tokens that came.
- * @param now - Time in milliseconds.
+ * @param event - Tokens received from the upstream.
+ * @param now - Core clock, in milliseconds.
  * @returns The next state.
  */
 export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
@@ -212,8 +203,7 @@
 }
 
 /**
- * @param state - Core state.
- * @param id - Attempt of which a byte was sent.
+ * @param id - Attempt of which at least one byte was sent.
  * @returns The next state.
  */
 export function markWritten(state: State, id: string): State {
@@ -224,14 +214,12 @@
 }
 
 /**
- * Stops a request wherever it is. One that waits has not run. One that was sent may have, even if no byte is known to
- * have left; it is cancelled at its upstream.
+ * Stops a request. One that waits has not run. One that was sent may have run, even if no byte is known to have been written;
+ * it is cancelled at its upstream.
  *
- * @param state - Core state.
- * @param admission - Request.
- * @param runningOutcome - What the caller is told if it may have run.
- * @param waitingOutcome - What the caller is told if it has not.
- * @returns The next state, the cancellation and the final answer.
+ * @param runningOutcome - Outcome for a request that may have run.
+ * @param waitingOutcome - Outcome for a request that has not run.
+ * @returns The next state, the cancellation and the answer.
  */
 export function stopRequest(state: State, admission: Admission, runningOutcome: Outcome, waitingOutcome: Outcome): Step {
 	if (admission.progress.type !== 'running') {
@@ -255,7 +243,7 @@
 	);
 }
 
-/** @returns What a caller is told whose request's time is over while it ran. */
+/** @returns The outcome of a request whose deadline passed while it ran. */
 export function deadlineOutcome(admission: Admission): Outcome {
 	return admission.request.proof.type === 'idempotent'
 		? {type: 'failed', code: codes.deadlinePassed}
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -1,4 +1,4 @@
-/** Keeps admissions and gives the final answer. */
+/** Stores admissions and gives requests their final answer. */
 import {codes} from '../../../errors.js';
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -7,14 +7,10 @@
 import {type Admission} from '../types.js';
 import {removeFromQueue} from './queues.js';
 
-/** Told to callers when nothing better is known, in milliseconds. */
+/** Retry delay for callers when no better estimate is known. */
 export const defaultRetryAfterMs = 1000;
 
-/**
- * @param state - Core state.
- * @param admission - Admission, new or changed.
- * @returns The next state.
- */
+/** Stores a new or changed admission. */
 export function putAdmission(state: State, admission: Admission): State {
 	const {request, due} = admission;
 	const {requests} = state;
@@ -50,7 +46,7 @@
 
 /**
  * @param ending - How the last attempt ended.
- * @returns What the caller is told.
+ * @returns The outcome for the caller.
  */
 export function toOutcome(ending: Ending): Outcome {
 	switch (ending.type) {
@@ -90,9 +86,9 @@
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request that is over.
- * @param outcome - What its caller is told.
+ * Answers an admitted request and removes it.
+ *
+ * @param outcome - Outcome for the caller.
  * @returns The next state and the answer.
  */
 export function conclude(state: State, admission: Admission, outcome: Outcome): Step {
@@ -109,11 +105,11 @@
 }
 
 /**
- * @param state - Core state.
- * @param request - Request that is not admitted.
- * @param outcome - Why, and when to try again.
- * @param reason - The same for the log.
- * @returns The answer.
+ * Answers a request that is not admitted.
+ *
+ * @param outcome - Why, and when to retry.
+ * @param reason - Reason for the log.
+ * @returns The unchanged state and the answer.
  */
 export function refuse(state: State, request: Request, outcome: Extract<Outcome, {readonly type: 'not-run'}>, reason: string): Step {
 	const {organisation, service} = request;
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -1,4 +1,4 @@
-/** Sends what waits as soon as an upstream has room for it. */
+/** Sends queued requests when an upstream has room for them. */
 import {type Service} from '../../../types/configuration.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {only} from '../../../utils/common.js';
@@ -14,10 +14,10 @@
 import {dequeue} from './queues.js';
 import {spill} from './spill.js';
 
-/** Part of the service's usual deadline that, waited, is worth one priority. */
+/** Waiting for this fraction of the service's default deadline raises a request by one priority level. */
 const ageingFraction = 0.05;
 
-/** Part of the time it can wait after which a request may go to another failure domain. */
+/** A request may be sent to another failure domain after waiting for this fraction of the time it can wait. */
 const spillWaitFraction = 0.5;
 
 function isSpillDue(admission: Admission, now: number): boolean {
@@ -66,11 +66,9 @@
 }
 
 /**
- * Sends one request; each sending asks for the next once everyone's views count it.
+ * Sends at most one request of a service. Each send requests another dispatch, which runs after the load views include it.
  *
- * @param state - Core state.
  * @param id - Service.
- * @param context - Time and random source.
  * @returns The next state and the effects.
  */
 export function dispatch(state: State, id: string, context: Context): Step {
@@ -89,10 +87,7 @@
 	return only(state);
 }
 
-/**
- * @param state - Core state.
- * @returns A wish to dispatch for each service that has something waiting.
- */
+/** @returns The unchanged state and a dispatch event for each service with queued requests. */
 export function requestDispatch(state: State): Step {
 	const services = new Set([...state.requests.queues.keys()].map(key => key.slice(0, key.indexOf('/'))));
 	return {
--- a/src/core/features/requests/commands/expire.ts
+++ b/src/core/features/requests/commands/expire.ts
@@ -1,4 +1,4 @@
-/** Gives requests up whose time is over, or can no longer be enough. */
+/** Stops requests that are past their deadline or can no longer meet it, and those that were abandoned or sealed. */
 import {codes} from '../../../errors.js';
 import {type Outcome} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -13,9 +13,10 @@
 const abandonedOutcome: Outcome = {type: 'not-run', code: codes.abandoned};
 
 /**
- * @param state - Core state.
- * @param now - Time in milliseconds.
- * @returns The next state; most of the time nothing is due and nothing is searched.
+ * Stops the requests that are due. Searches for them only if the earliest due time has passed.
+ *
+ * @param now - Core clock, in milliseconds.
+ * @returns The next state, the cancellations and the answers.
  */
 export function expireRequests(state: State, now: number): Step {
 	if (now < state.requests.nextDue) {
@@ -39,12 +40,11 @@
 }
 
 /**
- * The caller has gone. A request that may not be repeated runs on once it was sent: its caller may come back for the
- * recorded answer.
+ * Handles a caller that has disconnected. A non-idempotent request that was sent keeps running, since its caller may come back
+ * for the recorded answer; any other is stopped.
  *
- * @param state - Core state.
  * @param id - Request.
- * @returns The next state.
+ * @returns The next state and the effects.
  */
 export function abandonRequest(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
@@ -57,9 +57,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param id - Request whose right was withdrawn before it was used.
- * @returns The next state.
+ * @param id - Request whose right was sealed before it was used.
+ * @returns The next state and the effects.
  */
 export function stopSealed(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -1,4 +1,4 @@
-/** Sends requests that several engines hold together, or lets them wait again. */
+/** Sends requests that several engines hold together, or returns them to their queue. */
 import {type EventOf} from '../../../types/event.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {only} from '../../../utils/common.js';
@@ -10,10 +10,10 @@
 import {enqueue} from './queues.js';
 
 /**
- * @param state - Core state.
+ * Sends a request to a group of engines; the last one decodes.
+ *
  * @param event - Request and the engines that hold memory for it.
- * @param context - Time.
- * @returns The next state; the last engine decodes.
+ * @returns The next state and the effects.
  */
 export function sendToGroup(state: State, event: EventOf<'group-held'>, context: Context): Step {
 	const admission = state.requests.admissions.get(event.request.id);
@@ -34,9 +34,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param id - Request whose group came to nothing.
- * @returns The next state; it waits first in its lane again.
+ * @param id - Request whose group could not be formed.
+ * @returns The next state, with the request at the front of its organisation's backlog.
  */
 export function returnToQueue(state: State, id: string): State {
 	const admission = state.requests.admissions.get(id);
--- a/src/core/features/requests/commands/queues.ts
+++ b/src/core/features/requests/commands/queues.ts
@@ -1,9 +1,9 @@
-/** Puts requests into lanes and takes them out. */
+/** Adds requests to queues and removes them. */
 import {type State} from '../../../types/state.js';
 import {organisation} from '../../configuration/queries.js';
 import {getQueue} from '../queries.js';
 import {
-	queueKey, emptyBacklog, type Admission, type Queue, type OrganisationBacklog,
+	emptyBacklog, queueKey, type Admission, type OrganisationBacklog, type Queue,
 } from '../types.js';
 
 function putQueue(state: State, admission: Admission, changed: Queue): State {
@@ -15,24 +15,23 @@
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request that is to wait.
- * @param isFirst - Whether it goes before the others of its organisation, as one that is tried again.
+ * @param admission - Request to queue.
+ * @param isFirst - Whether it goes before the organisation's other requests, as a retry does.
  * @returns The next state.
  */
 export function enqueue(state: State, admission: Admission, isFirst: boolean): State {
 	const {request, cost} = admission;
 	const queue = getQueue(state, request.service, admission.queue);
 	const existing = queue.waiting.get(request.organisation);
-	const waiting = existing ?? {
+	const backlog = existing ?? {
 		...emptyBacklog,
 		start: Math.max(queue.virtualTime, queue.next.get(request.organisation) ?? 0),
 		weight: organisation(state, request.organisation)?.weight ?? 1,
 	};
-	const ids = isFirst ? waiting.ids.unshift(request.id) : waiting.ids.push(request.id);
+	const ids = isFirst ? backlog.ids.unshift(request.id) : backlog.ids.push(request.id);
 	return putQueue(state, admission, {
 		...queue,
-		waiting: queue.waiting.set(request.organisation, {...waiting, ids, cost: waiting.cost + cost}),
+		waiting: queue.waiting.set(request.organisation, {...backlog, ids, cost: backlog.cost + cost}),
 	});
 }
 
@@ -43,18 +42,16 @@
 		: {...backlog, ids: backlog.ids.delete(index), cost: Math.max(backlog.cost - admission.cost, 0)};
 }
 
-function putBacklog(queue: Queue, id: string, waiting: OrganisationBacklog): Queue {
+function putBacklog(queue: Queue, id: string, backlog: OrganisationBacklog): Queue {
 	return {
 		...queue,
-		waiting: waiting.ids.isEmpty() ? queue.waiting.delete(id) : queue.waiting.set(id, waiting),
+		waiting: backlog.ids.isEmpty() ? queue.waiting.delete(id) : queue.waiting.set(id, backlog),
 	};
 }
 
 /**
- * Takes out a request that is sent: its organisation pays for it.
+ * Removes a request that is being sent, and charges its cost to its organisation.
  *
- * @param state - Core state.
- * @param admission - Request.
  * @returns The next state.
  */
 export function dequeue(state: State, admission: Admission): State {
@@ -73,10 +70,8 @@
 }
 
 /**
- * Takes out a request that is given up: nothing is paid for it.
+ * Removes a request that is not sent; its organisation is charged nothing.
  *
- * @param state - Core state.
- * @param admission - Request.
  * @returns The next state.
  */
 export function removeFromQueue(state: State, admission: Admission): State {
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -1,4 +1,4 @@
-/** Sends requests to upstreams of other failure domains when the own ones are full or gone. */
+/** Spills requests to upstreams of other failure domains when those of the own domain are full or unavailable. */
 import {type FailureDomain} from '../../../types/configuration.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {domainUpstreams, service} from '../../configuration/queries.js';
@@ -8,10 +8,10 @@
 import {type Admission} from '../types.js';
 import {send} from './attempts.js';
 
-/** This host's requests in flight for each upstream of another failure domain. */
+/** Requests that this host may have in flight for each upstream of another failure domain. */
 const maxSpillsPerUpstream = 0.5;
 
-/** Other failure domains, those of the own region first. */
+/** Returns the other failure domains in random order, those of the own region first. */
 function listOtherDomains(state: State, context: Context): readonly FailureDomain[] {
 	const domains = state.configuration.inForce?.failureDomains ?? [];
 	const region = domains.find(each => each.id === state.self.failureDomain)?.region;
@@ -27,12 +27,11 @@
 }
 
 /**
- * Straight to the upstream: the attempt stays this host's own, and so does what is provable of it.
+ * Sends a request to an upstream of another failure domain. It goes directly to the upstream, so the attempt and the proof of
+ * what became of it stay with this host.
  *
- * @param state - Core state.
- * @param admission - Request that waits in its lane or is new.
- * @param context - Time and random source.
- * @returns The step that sends it, or undefined if no other failure domain has room.
+ * @param admission - Request that is new or waits in its queue.
+ * @returns The next state and the effects, or undefined if no other failure domain has room.
  */
 export function spill(state: State, admission: Admission, context: Context): Step | undefined {
 	const {request} = admission;
@@ -64,10 +63,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request that is not in a lane.
- * @param context - Time and random source.
- * @returns The step that sends it, or undefined if no other failure domain has room.
+ * @param admission - Request that is not in a queue.
+ * @returns The next state and the effects, or undefined if no other failure domain has room.
  */
 export function spillNew(state: State, admission: Admission, context: Context): Step | undefined {
 	return spill(state, {...admission, progress: {type: 'holding', since: context.now}}, context);
--- a/src/core/features/requests/feature.ts
+++ b/src/core/features/requests/feature.ts
@@ -5,7 +5,7 @@
 import {endAttempt, markWritten, recordProgress} from './commands/attempts.js';
 import {dispatch, requestDispatch} from './commands/dispatch.js';
 import {abandonRequest, expireRequests, stopSealed} from './commands/expire.js';
-import {sendToGroup, returnToQueue} from './commands/group.js';
+import {returnToQueue, sendToGroup} from './commands/group.js';
 
 export const requestsFeature: Feature = {
 	name: 'requests',
--- a/src/core/features/requests/prediction.ts
+++ b/src/core/features/requests/prediction.ts
@@ -15,29 +15,28 @@
 	cautiousDecodeTime, cautiousPrefillTime, decodeTime, estimate, prefillRate, prefillTime,
 } from '../work/queries.js';
 import {getQueue} from './queries.js';
-import {type Queue, type QueueName, type OrganisationBacklog} from './types.js';
+import {type OrganisationBacklog, type Queue, type QueueName} from './types.js';
 
-/** Predictions are stretched by these, so that a request that is admitted also finishes in time. */
+/** Predictions are multiplied by these factors, so that admitted requests finish in time. */
 const runTimeMargin = 1.15;
 const waitTimeMargin = 1.3;
 
-/** What a request is expected to need, in milliseconds. */
+/** Predicted needs of a request, in milliseconds. */
 export type Prediction = {
 	readonly queue: QueueName;
-	/** Engine time that the request takes from others. */
+	/** Engine time that the request takes away from others. */
 	readonly cost: number;
-	/** From sending to the end. */
+	/** Time from sending to the end. */
 	readonly run: number;
-	/** Until it is sent. */
+	/** Time until it is sent. */
 	readonly wait: number;
 };
 
-/** @returns The lane of a request. */
 function queueNameOf(state: State, request: Request): QueueName {
 	return needsGroup(state, request) ? 'group' : classOf(service(state, request.service), request.promptTokens);
 }
 
-/** Upstreams that the lane's requests are sent to. */
+/** Returns the upstreams that serve the requests of a queue. */
 function queueUpstreams(state: State, request: Request, name: QueueName, now: number): readonly Upstream[] {
 	const requestedService = service(state, request.service);
 	const all = upstreamsFor(state, request);
@@ -47,7 +46,7 @@
 	return usable.length === 0 ? all.filter(each => isUsable(state, each, now)) : usable;
 }
 
-/** Engine time that waits before a new request of the organisation, under fair queueing, in milliseconds. */
+/** Returns the queued work that fair queueing puts before a new request of the organisation, in milliseconds of engine time. */
 function queuedBefore(state: State, queue: Queue, request: Request): number {
 	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
 	let before = 0;
@@ -66,7 +65,7 @@
 		}
 	}
 
-	// By the time an organisation's own backlog is done, each other one has had no more than its share.
+	// While an organisation's own backlog is served, the others get no more than their shares.
 	return Math.min(before, own * weights / ownWeight);
 }
 
@@ -75,7 +74,7 @@
 	return head !== undefined && head.request.priority <= request.priority;
 }
 
-/** Time until the first of them has worked off what it has, in milliseconds. */
+/** Returns the time until the first of the upstreams has finished its outstanding prefill, in milliseconds. */
 function timeUntilFree(state: State, upstreams: readonly Upstream[], name: QueueName, now: number): number {
 	let earliest = Number.POSITIVE_INFINITY;
 	for (const each of upstreams) {
@@ -90,21 +89,20 @@
 	return upstream.kind === 'engine' ? upstream.batch : upstream.concurrent;
 }
 
-/** Engines that work on the segments of a prompt at the same time. */
+/** Returns how many engines prefill segments of the prompt in parallel. */
 function countEngines(typical: Upstream, prefill: number): number {
 	return typical.kind === 'engine' ? Math.max(Math.floor(prefill / (typical.memory * fill)), 1) : 1;
 }
 
-/** Share of the lane's upstreams that this host may count on: peers of the domain use them as well. */
+/** Returns the number of upstreams that each serving host of the failure domain can count on, since they share them. */
 function capacityPerHost(state: State, upstreams: readonly Upstream[]): number {
 	return Math.max(upstreams.length, 1) / Math.max(servingHosts(state, state.self.failureDomain).length, 1);
 }
 
 /**
- * @param state - Core state.
  * @param request - Request that arrived.
- * @param now - Time in milliseconds.
- * @returns What it needs, or undefined if nothing here can run it.
+ * @param now - Core clock, in milliseconds.
+ * @returns The prediction, or undefined if no upstream here can run the request.
  */
 export function predict(state: State, request: Request, now: number): Prediction | undefined {
 	const name = queueNameOf(state, request);
--- a/src/core/features/requests/types.ts
+++ b/src/core/features/requests/types.ts
@@ -4,14 +4,14 @@
 	type Attempt, type LengthClass, type Outcome, type Request,
 } from '../../types/request.js';
 
-/** Requests of one kind that wait in one order. Prompts that need several engines have a lane to themselves. */
+/** Queues by prompt length. Prompts that need several engines have a queue of their own. */
 export type QueueName = LengthClass | 'group';
 
 export const queueNames: readonly QueueName[] = ['short', 'middle', 'long', 'group'];
 
 export type AdmissionProgress
 	= | {readonly type: 'queued'; readonly since: number}
-	/** Waits for memory at several engines. */
+	/** Waits until several engines have reserved memory. */
 		| {readonly type: 'holding'; readonly since: number}
 		| {readonly type: 'running'; readonly attempt: Attempt};
 
@@ -19,34 +19,34 @@
 	readonly request: Request;
 	readonly progress: AdmissionProgress;
 	readonly queue: QueueName;
-	/** Engine time that the request takes, in milliseconds; what fairness counts. */
+	/** Engine time that the request takes, in milliseconds, as charged by fair queueing. */
 	readonly cost: number;
-	/** Attempts made, the running one included. */
+	/** Attempts made, including the running one. */
 	readonly attempts: number;
-	/** Upstreams where it failed. */
+	/** Upstreams where an attempt failed; a retry avoids them. */
 	readonly failedUpstreams: readonly string[];
-	/** How the last attempt ended, if it may have run: what its caller is told if there is no other. */
+	/** Outcome of the last attempt that may have run; the final one if no later attempt runs. */
 	readonly lastOutcome?: Outcome;
-	/** Time to look at it again, in milliseconds: a waiting one's latest start, a running one's deadline. */
+	/** When it expires, in milliseconds of the core's clock: the latest start while it waits, the deadline while it runs. */
 	readonly due: number;
 };
 
-/** Requests of one organisation in a lane. */
+/** Waiting requests of one organisation in a queue. */
 export type OrganisationBacklog = {
 	readonly ids: List<string>;
 	/** Virtual time at which the first of them may start. */
 	readonly start: number;
 	readonly weight: number;
-	/** Sum of the costs, in milliseconds of engine time. */
+	/** Total cost, in milliseconds of engine time. */
 	readonly cost: number;
 };
 
 export type Queue = {
-	/** Virtual start of the request that was taken last. */
+	/** Virtual start time of the request that was dequeued last. */
 	readonly virtualTime: number;
-	/** By organisation; those with nothing waiting are absent. */
+	/** Keyed by organisation; organisations without waiting requests are absent. */
 	readonly waiting: Table<string, OrganisationBacklog>;
-	/** Virtual time at which an organisation's next request may start, while that is ahead of `virtual`. */
+	/** Virtual time at which an organisation's next request may start, while that is ahead of `virtualTime`. */
 	readonly next: Table<string, number>;
 };
 
@@ -57,15 +57,15 @@
 };
 
 export type RequestsState = {
-	/** By request. */
+	/** Keyed by request. */
 	readonly admissions: Table<string, Admission>;
 	/** Request of each running attempt. */
 	readonly attempts: Table<string, string>;
-	/** By service and lane name. */
+	/** Keyed by {@link queueKey}. */
 	readonly queues: Table<string, Queue>;
-	/** Requests admitted and not answered, by organisation. */
+	/** Number of requests that were admitted and not answered yet, keyed by organisation. */
 	readonly organisations: Table<string, number>;
-	/** No admission is due before this time, in milliseconds. */
+	/** Earliest time at which an admission may be due, in milliseconds of the core's clock. */
 	readonly nextDue: number;
 };
 
@@ -78,9 +78,9 @@
 };
 
 /**
- * @param service - Service; names have no slash.
- * @param name - Lane.
- * @returns The key of the lane.
+ * @param service - Service; its name has no slash.
+ * @param name - Queue name.
+ * @returns The key of the queue.
  */
 export function queueKey(service: string, name: QueueName): string {
 	return `${service}/${name}`;
--- a/src/core/features/takeover/queries.ts
+++ b/src/core/features/takeover/queries.ts
@@ -1,4 +1,4 @@
-/** Moving in: who serves a service, failure domain and organisation. */
+/** Decides whether Cranberrytide or the legacy scripts serve a service, failure domain and organisation during the migration. */
 import {type Takeover, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
@@ -6,17 +6,16 @@
 
 export type ServingSystem = Takeover['servedBy'];
 
-/** An organisation weighs more than a failure domain, both more than one of them. */
+/** A rule for an organisation is more specific than one for a failure domain; a rule for both is the most specific. */
 function specificity(rule: Takeover): number {
 	return (rule.organisation === undefined ? 0 : 2) + (rule.failureDomain === undefined ? 0 : 1);
 }
 
 /**
- * The narrowest rule of the document in force that fits; of two as narrow, the later one.
+ * Applies the most specific rule of the configuration in force that matches; of equally specific rules, the last one.
+ * For a non-idempotent request, the keeper of its ticket or key decides.
  *
- * @param state - Core state.
- * @param request - Request.
- * @returns Who serves it here. The host that decides for a non-idempotent request is its ticket's or key's keeper.
+ * @returns The system that serves the request at this host.
  */
 export function servedBy(state: State, request: Pick<Request, 'service' | 'organisation'>): ServingSystem {
 	const {failureDomain} = state.self;
@@ -28,31 +27,19 @@
 	return rules.findLast(rule => specificity(rule) === highest)?.servedBy ?? 'cranberrytide';
 }
 
-/**
- * @param state - Core state.
- * @param service - Service.
- * @returns Endpoints of the old scripts in this host's failure domain, those elsewhere if it has none.
- */
+/** Returns the legacy endpoints in this host's failure domain, or those elsewhere if it has none. */
 function legacyUpstreams(state: State, service: string): readonly Upstream[] {
 	const all = (state.configuration.inForce?.upstreams ?? []).filter(upstream => upstream.kind === 'legacy' && upstream.service === service);
 	const own = all.filter(upstream => upstream.failureDomain === state.self.failureDomain);
 	return own.length > 0 ? own : all;
 }
 
-/**
- * @param state - Core state.
- * @param request - Request.
- * @returns Whether the old scripts serve it.
- */
+/** @returns Whether the legacy scripts serve the request. */
 export function isLegacy(state: State, request: Pick<Request, 'service' | 'organisation'>): boolean {
 	return servedBy(state, request) === 'legacy';
 }
 
-/**
- * @param state - Core state.
- * @param request - Request.
- * @returns Upstreams in reach that may run it: those of the service, or the old scripts' endpoints.
- */
+/** @returns Upstreams in reach that may run the request: those of the service, or the legacy endpoints. */
 export function upstreamsFor(state: State, request: Pick<Request, 'service' | 'organisation'>): readonly Upstream[] {
 	return isLegacy(state, request) ? legacyUpstreams(state, request.service) : ownUpstreams(state, request.service);
 }
--- a/src/core/features/tickets/commands/answers.ts
+++ b/src/core/features/tickets/commands/answers.ts
@@ -1,18 +1,18 @@
-/** Answers that the gate gives by itself, without running anything. */
+/** Answers requests without running them. */
 import {codes, type CodeName} from '../../../errors.js';
 import {type Outcome, type Request, type Ticket} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {ticketLife} from '../types.js';
 
-/** Wait that a caller is told after a refusal, in milliseconds. */
+/** Retry delay that callers receive with a refusal. */
 const retryAfterMs = 1000;
 
 /**
- * @param state - Core state.
- * @param request - Request that was not taken.
- * @param outcome - What its caller is told.
- * @param reason - Why, for the log.
- * @returns The state as it was and the answer.
+ * Answers a request and logs it as refused.
+ *
+ * @param outcome - Outcome for the caller.
+ * @param reason - Reason for the log.
+ * @returns The unchanged state and the answer.
  */
 export function answer(state: State, request: Request, outcome: Outcome, reason: string): Step {
 	const code = outcome.type === 'done' ? codes.done : outcome.code;
@@ -30,28 +30,26 @@
 }
 
 /**
- * @param state - Core state.
- * @param request - Request that provably never ran and never will.
- * @param code - Why.
- * @param reason - Why, for the log.
- * @returns The state as it was and the answer.
+ * @param request - Request that provably has not run and never will.
+ * @param code - Result code.
+ * @param reason - Reason for the log.
+ * @returns The unchanged state and the answer.
  */
 export function answerNotRun(state: State, request: Request, code: CodeName, reason: string): Step {
 	return answer(state, request, {type: 'not-run', code: codes[code], retryAfter: retryAfterMs}, reason);
 }
 
 /**
- * @param state - Core state.
  * @param request - Request that may have run.
- * @param code - Why that is not known.
- * @param reason - Why, for the log.
- * @returns The state as it was and the answer.
+ * @param code - Result code.
+ * @param reason - Reason for the log.
+ * @returns The unchanged state and the answer.
  */
 export function answerUnknown(state: State, request: Request, code: CodeName, reason: string): Step {
 	return answer(state, request, {type: 'unknown', code: codes[code]}, reason);
 }
 
-/** Takes the next sequence number; nothing else is kept of a ticket until it is used. */
+/** Creates a ticket with the next sequence number. Nothing else is stored about a ticket until it is used. */
 function createTicket(state: State, organisation: string, {wall}: Context): {readonly state: State; readonly ticket: Ticket} {
 	const {self, tickets} = state;
 	return {
@@ -68,11 +66,9 @@
 }
 
 /**
- * @param state - Core state.
  * @param request - HTTP request that asked for a ticket.
  * @param organisation - Organisation that may use it.
- * @param context - Time and random source.
- * @returns The state with the sequence number taken, and the ticket.
+ * @returns The next state, with the sequence number taken, and the ticket.
  */
 export function issueTicket(state: State, request: string, organisation: string, context: Context): Step {
 	const issued = createTicket(state, organisation, context);
@@ -80,12 +76,10 @@
 }
 
 /**
- * Answers a non-idempotent request that showed nothing this host could prove anything by.
+ * Answers a non-idempotent request that presented neither a ticket nor a usable key.
  *
- * @param state - Core state.
  * @param request - The request, which has not run.
- * @param context - Time and random source.
- * @returns The state with a sequence number taken, and the answer with a ticket.
+ * @returns The next state, with a sequence number taken, and the answer with a new ticket.
  */
 export function requireTicket(state: State, request: Request, context: Context): Step {
 	const issued = createTicket(state, request.organisation, context);
--- a/src/core/features/tickets/commands/forwards.ts
+++ b/src/core/features/tickets/commands/forwards.ts
@@ -1,7 +1,6 @@
 /**
- * Requests whose right another host keeps: passed on whole, through the same HTTP endpoint that callers use.
- * If the keeper cannot be reached there, it is asked over its peer link to seal the right; only its promise makes
- * a "not run" true.
+ * Forwards requests whose right another host keeps, through the HTTP endpoint that callers use. If the keeper can't be reached
+ * there, this host asks it over the peer link to seal the right; only the keeper's promise proves that the request has not run.
  */
 import {codes} from '../../../errors.js';
 import {type Member, type SealAnswer} from '../../../types/peer.js';
@@ -13,11 +12,10 @@
 import {type Forward} from '../types.js';
 import {answerUnknown} from './answers.js';
 
-/** Hosts that may pass one request on, one after another. */
+/** Hosts that may forward one request, one after another. */
 const maxHops = 3;
 const maxAttempts = 2;
 
-/** Time between two asks for a seal, and for all of them, in milliseconds. */
 const sealRetryIntervalMs = 200;
 const sealTimeoutMs = 1000;
 
@@ -62,18 +60,14 @@
 }
 
 /**
- * Passes a request on to the host that keeps its right.
- *
- * @param state - Core state.
- * @param request - Request that arrived here.
- * @param right - Name of its right at the keeper.
- * @param keeper - The keeper; its address may by now be another incarnation's, which then says so.
- * @returns The next state and the forwarding, or the answer if the keeper is gone.
+ * @param right - Name of the request's right at the keeper.
+ * @param keeper - The keeper. Another incarnation may have its address by now; that one rejects the request.
+ * @returns The next state and the forward, or the answer if a newer incarnation has replaced the keeper.
  */
 export function forwardToKeeper(state: State, request: Request, right: string, keeper: Member): Step {
 	const {incarnation} = keeper;
-	const isKeeperGone = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
-	if (isKeeperGone) {
+	const isKeeperReplaced = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
+	if (isKeeperReplaced) {
 		return answerUnknown(state, request, 'keeperGone', `${incarnation.host} was restarted`);
 	}
 
@@ -110,17 +104,15 @@
 	};
 }
 
-/** An answer that began to reach the caller cannot be replaced by another one. */
+/** An answer that the caller has begun to receive can't be replaced by another one. */
 function isRelayed(ending: Ending): ending is Extract<Ending, {readonly type: 'unknown'}> {
 	return ending.type === 'unknown' && ending.relayed;
 }
 
 /**
- * @param state - Core state.
- * @param id - Request that was passed on.
- * @param ending - `done` if the keeper answered in full, whatever it said.
- * @param context - Time and random source.
- * @returns The next state and the answer, or the ask for a seal.
+ * @param id - Request that was forwarded.
+ * @param ending - `done` if the keeper sent a complete answer, whatever its outcome.
+ * @returns The next state, with the request answered, or the seal request.
  */
 export function endForward(state: State, id: string, ending: Ending, context: Context): Step {
 	const forward = state.tickets.forwards.get(id);
@@ -128,23 +120,22 @@
 		return only(state);
 	}
 
-	// Whatever the keeper answered in full went to the caller as it was.
+	// The caller has received the keeper's complete answer unchanged.
 	if (ending.type === 'done') {
 		return finishForward(state, forward, {type: 'done'});
 	}
 
-	// Without that nothing is known: the right may have been used before, through any host.
+	// Without a complete answer nothing is known: the right may have been used before, through any host.
 	return isRelayed(ending)
 		? finishForward(state, forward, {type: 'unknown', code: ending.code, detail: ending.detail})
 		: beginSeal(state, forward, context);
 }
 
 /**
- * @param state - Core state.
  * @param from - Host that sent the answer.
  * @param id - Request whose right it was asked to seal.
  * @param sealAnswer - Its answer.
- * @returns The next state, with the request answered, or passed on once more if it was used.
+ * @returns The next state, with the request answered, or forwarded once more if its right was used.
  */
 export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
 	const forward = state.tickets.forwards.get(id);
@@ -186,10 +177,8 @@
 }
 
 /**
- * Asks again for seals and gives up on what took too long.
+ * Sends seal requests again and answers the requests whose deadline or seal timeout has passed.
  *
- * @param state - Core state.
- * @param context - Time and random source.
  * @returns The next state and the effects.
  */
 export function retryForwards(state: State, {now}: Context): Step {
@@ -198,10 +187,9 @@
 }
 
 /**
- * Answers requests with a key that were passed on before this host stood still. A "not run" that waited here meanwhile may
- * have become false: with some codes a key may be sent again, to any host, and may have run since.
+ * Answers the forwarded requests with a key as unknown after this host was paused. A "not run" answer received before the pause
+ * may have become false: after some result codes a key may be sent again, to any host, and may have run since.
  *
- * @param state - Core state.
  * @returns The next state and the answers.
  */
 export function answerKeyForwardsUnknown(state: State): Step {
@@ -212,9 +200,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param request - Request whose caller has left.
- * @returns The state without it.
+ * @param request - Request whose caller has disconnected.
+ * @returns The next state, without the forward.
  */
 export function abandonForward(state: State, request: string): State {
 	return state.tickets.forwards.has(request) ? removeForward(state, request) : state;
--- a/src/core/features/tickets/commands/rights.ts
+++ b/src/core/features/tickets/commands/rights.ts
@@ -1,4 +1,4 @@
-/** The table of rights: each runs at most once, and what became of it is told to whoever shows it again. */
+/** The table of rights. Each right runs at most once; a request that presents it again gets the recorded outcome. */
 import {codes} from '../../../errors.js';
 import {type Outcome, type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
@@ -11,7 +11,7 @@
 
 const sweepIntervalMs = 5000;
 
-/** Refusals for load: the key may be sent again, and is the same right then. */
+/** Refusals for load. After them, a key may be sent again with the same right. */
 const reopeningCodes: ReadonlySet<number> = new Set([
 	codes.overloaded,
 	codes.deadlineUnreachable,
@@ -25,7 +25,7 @@
 	codes.abandoned,
 ]);
 
-/** A right as it is shown with a request. */
+/** A right as presented with a request. */
 export type PresentedRight = {
 	readonly right: string;
 	readonly request: Request;
@@ -75,16 +75,16 @@
 }
 
 /**
- * Seals every unused ticket at once: when no entry can be written, "not run" would else be a promise nobody keeps.
+ * Seals every unused ticket. When the table is full, no seal can be recorded, so a "not run" answer could not be kept without
+ * this.
  */
 function raiseFloor(state: State): State {
 	return updateTickets(state, {sequenceFloor: state.tickets.nextSequence});
 }
 
 /**
- * Runs a request under its right if that is unused; else tells what became of it.
+ * Runs a request if its right is unused; otherwise attaches it to the running request or answers with the recorded outcome.
  *
- * @param state - Core state.
  * @param presented - The right, which this host keeps and which has not expired.
  * @returns The next state, with the request cleared, attached or answered.
  */
@@ -123,9 +123,8 @@
 }
 
 /**
- * Marks an unused right as never to run.
+ * Marks an unused right so that it never runs.
  *
- * @param state - Core state.
  * @param right - Name of the right.
  * @param expires - Wall-clock time after which it never runs anyway, in milliseconds since 1970.
  * @returns The next state.
@@ -146,10 +145,9 @@
 /**
  * Records how a request that ran under a right ended.
  *
- * @param state - Core state.
  * @param request - Request that was concluded.
- * @param outcome - What its caller was told.
- * @returns The next state, with nobody waiting for the request any longer.
+ * @param outcome - Outcome that its caller received.
+ * @returns The next state, without followers of the request.
  */
 export function recordOutcome(state: State, request: Request, outcome: Outcome): State {
 	const right = state.tickets.running.get(request.id);
@@ -168,10 +166,8 @@
 }
 
 /**
- * Answers those who waited for another request longer than their own time.
+ * Answers requests that have waited for another request past their own deadline.
  *
- * @param state - Core state.
- * @param context - Time and random source.
  * @returns The next state and the answers.
  */
 export function expireFollowers(state: State, {now}: Context): Step {
@@ -188,11 +184,9 @@
 }
 
 /**
- * Forgets rights that have expired and whose requests are over, now and then.
+ * Periodically removes expired rights whose requests have ended.
  *
- * @param state - Core state.
- * @param context - Time and random source.
- * @returns The next state and which recorded answers are wanted no longer.
+ * @returns The next state and the recorded answers that can be forgotten.
  */
 export function sweepEntries(state: State, {now, wall}: Context): Step {
 	if (now < state.tickets.sweepAt) {
--- a/src/core/features/tickets/commands/seals.ts
+++ b/src/core/features/tickets/commands/seals.ts
@@ -1,7 +1,7 @@
 /**
- * Sealing at the keeper: a right that was not used is marked never to run, and only then the asker may say "not run".
- * The idea of sealing the old before answering for it is that of the write-ahead log described in
- * "P: verified log, part 4" (single producer guarantees), where log nodes are sealed before a takeover.
+ * Seals rights at their keeper. The keeper marks an unused right so that it never runs; only then may the requesting host answer
+ * "not run". This follows the write-ahead log in "P: verified log, part 4" (single producer guarantees), where log nodes are
+ * sealed before a takeover.
  */
 import {type Incarnation} from '../../../types/request.js';
 import {type SealAnswer} from '../../../types/peer.js';
@@ -11,7 +11,7 @@
 import {getEntry, isSameIncarnation, isTicketRight} from '../queries.js';
 import {sealRight} from './rights.js';
 
-/** What a host asks the keeper of a right. */
+/** Request to the keeper of a right to seal it. */
 export type SealRequest = {
 	readonly id: string;
 	readonly right: string;
@@ -23,14 +23,14 @@
 type SealResult = {
 	readonly state: State;
 	readonly answer: SealAnswer;
-	/** A request that waits under the right and now must not be sent. */
+	/** Request that waits under the right and must not be sent any more. */
 	readonly request?: string;
 };
 
 const usedAnswer: SealAnswer = {type: 'used'};
 const sealedAnswer: SealAnswer = {type: 'sealed'};
 
-/** A used right is remembered until it expires; one without an entry after that may have been used. */
+/** A used right is stored until it expires. After that, a right without an entry may have been used. */
 function canBeForgotten(right: string, expires: number, wall: number): boolean {
 	return !isTicketRight(right) || expires <= wall;
 }
@@ -57,10 +57,8 @@
 }
 
 /**
- * @param state - Core state.
- * @param from - Host that asks.
- * @param sealRequest - What it wants sealed, and at which incarnation of this host.
- * @param context - Time and random source.
+ * @param from - Host that sent the request.
+ * @param sealRequest - The right to seal, and the incarnation of this host that keeps it.
  * @returns The next state and the answer.
  */
 export function handleSealRequest(
--- a/src/core/features/tickets/feature.ts
+++ b/src/core/features/tickets/feature.ts
@@ -1,6 +1,6 @@
 /**
- * The gate that every arrived request passes: decides whether it may run here. Idempotent requests may; those with a
- * ticket only at the host that issued it; bare keys are the keys feature's.
+ * Decides whether an arrived request may run at this host. Idempotent requests may; those with a ticket may only at the host that
+ * issued it; the keys feature handles bare keys.
  */
 import {type EventOf} from '../../types/event.js';
 import {type Member, type PeerMessage} from '../../types/peer.js';
@@ -13,7 +13,7 @@
 	answerNotRun, answerUnknown, issueTicket, requireTicket,
 } from './commands/answers.js';
 import {
-	abandonForward, answerKeyForwardsUnknown, endForward, forwardToKeeper, retryForwards, handleSealAnswer,
+	abandonForward, answerKeyForwardsUnknown, endForward, forwardToKeeper, handleSealAnswer, retryForwards,
 } from './commands/forwards.js';
 import {
 	expireFollowers, recordOutcome, sweepEntries, useRight,
@@ -62,7 +62,7 @@
 			return handleTicketArrival(state, request, request.proof.ticket, context);
 		}
 
-		// The keys feature takes these.
+		// Handled by the keys feature.
 		case 'key': {
 			return only(state);
 		}
--- a/src/core/features/tickets/queries.ts
+++ b/src/core/features/tickets/queries.ts
@@ -1,57 +1,44 @@
-/** Reads which requests hold the right to run. */
+/** Reads the rights of requests to run. */
 import {type CodeName} from '../../errors.js';
 import {type Incarnation, type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {type RightEntry} from './types.js';
 
-/**
- * @param a - An incarnation.
- * @param b - Another.
- * @returns Whether both are the same run of the same host.
- */
 export function isSameIncarnation(a: Incarnation, b: Incarnation): boolean {
 	return a.host === b.host && a.started === b.started;
 }
 
 /**
- * @param sequence - Sequence of a ticket that this host issued.
- * @returns Its name in the table of rights.
+ * @param sequence - Sequence number of a ticket that this host issued.
+ * @returns The name of its right.
  */
 export function ticketRight(sequence: number): string {
 	return `t/${sequence}`;
 }
 
-/**
- * @param right - Name of a right.
- * @returns Whether a ticket gives it: one that has no entry at its keeper was not used.
- */
+/** @returns Whether the right belongs to a ticket. Until it expires, such a right is unused if its keeper has no entry for it. */
 export function isTicketRight(right: string): boolean {
 	return right.startsWith('t/');
 }
 
 /**
- * @param organisation - Organisation whose key it is.
+ * @param organisation - Organisation that owns the key.
  * @param key - Idempotency key.
- * @returns Its name in the table of rights.
+ * @returns The name of its right.
  */
 export function keyRight(organisation: string, key: string): string {
 	return `k/${organisation}/${key}`;
 }
 
-/**
- * @param state - Core state.
- * @param right - Name of a right.
- * @returns What this host knows of it.
- */
+/** @returns The right's entry at this host, if there is one. */
 export function getEntry(state: State, right: string): RightEntry | undefined {
 	return state.tickets.entries.get(right);
 }
 
 /**
- * @param state - Core state.
  * @param request - Request that was answered.
- * @returns Whether its answer may be asked for again here; the effect `forget` ends that.
+ * @returns Whether its answer may be requested again here, until the effect `forget`.
  */
 export function keepsAnswer(state: State, request: Request): boolean {
 	const {proof} = request;
@@ -81,13 +68,11 @@
 }
 
 /**
- * To be asked before every send, also before a retry and after a wait: a ticket may have expired, or the request may
- * have been sealed meanwhile, and a paused process must not act on what was true before.
+ * Checks a request before every send, including retries and sends after a wait: its ticket may have expired or its right may
+ * have been sealed meanwhile, and a paused process must not act on outdated state.
  *
- * @param state - Core state.
  * @param request - Request about to be sent.
- * @param context - Time and random source.
- * @returns Why it must not be sent, as a code; undefined if it may.
+ * @returns The code of the reason why it must not be sent; undefined if it may.
  */
 export function dispatchRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	if (request.proof.type === 'idempotent') {
@@ -103,21 +88,16 @@
 	return existing.expires <= context.wall ? 'expiredTicket' : undefined;
 }
 
-/**
- * @param state - Core state.
- * @param request - Request about to be sent.
- * @param context - Time and random source.
- * @returns Whether it may be sent now.
- */
+/** @returns Whether the request may be sent now. */
 export function mayDispatch(state: State, request: Request, context: Context): boolean {
 	return dispatchRefusal(state, request, context) === undefined;
 }
 
 /**
- * A request that runs under a right goes on when its caller leaves: the caller may send it again and is then attached.
+ * A request that runs under a right keeps running when its caller disconnects: if the caller sends it again, it is attached to the
+ * running one.
  *
- * @param request - Request.
- * @returns Whether it outlives its caller's connection once it was sent.
+ * @returns Whether the request, once sent, continues without its caller.
  */
 export function outlivesCaller(request: Request): boolean {
 	return request.proof.type === 'ticket' || request.proof.type === 'key';
--- a/src/core/features/tickets/types.ts
+++ b/src/core/features/tickets/types.ts
@@ -1,25 +1,25 @@
-/** Rights to run non-idempotent requests that this host keeps, and requests it passes on to other keepers. */
+/** Rights to run non-idempotent requests that this host keeps, and requests that it forwards to other keepers. */
 import {Map as Table} from 'immutable';
 import {type Member} from '../../types/peer.js';
 import {type Outcome, type Request} from '../../types/request.js';
 
-/** Time a caller may use a ticket, in milliseconds. */
+/** Time in which a caller may use a ticket. */
 export const ticketLife = 600_000;
 
-/** Used rights remembered at one host. */
+/** Used rights stored at one host. */
 export const entryLimit = 100_000;
 
-/** Requests that may wait for the end of another with the same right. */
+/** Requests that may wait for another request with the same right. */
 export const followerLimit = 10_000;
 
-/** What became of a right that was shown here. */
+/** State of a right that was presented here. */
 export type RightProgress
-	/** Given to the requests feature, which may send it. */
+	/** Cleared: the requests feature may send it. */
 	= | {readonly type: 'running'; readonly request: string}
 		| {readonly type: 'ended'; readonly request: string; readonly outcome: Outcome}
-	/** Refused for load before it was sent; it may be shown again. */
+	/** Refused for load before it was sent; it may be presented again. */
 		| {readonly type: 'open'}
-	/** Never to run. */
+	/** Never runs. */
 		| {readonly type: 'sealed'};
 
 export type RightEntry = {
@@ -29,7 +29,7 @@
 	readonly progress: RightProgress;
 };
 
-/** A request that waits for the end of another with the same right. */
+/** A request that waits for another request with the same right. */
 export type Follower = {
 	readonly right: string;
 	readonly deadline: number;
@@ -40,24 +40,25 @@
 	readonly request: Request;
 	readonly right: string;
 	readonly keeper: Member;
-	/** Times it was passed on. */
+	/** Times it was forwarded. */
 	readonly attempts: number;
-	/** Present while the keeper is asked to seal it: when to ask again and when to give up, on the core's clock. */
+	/** Set while the keeper is asked to seal the right: when to ask again and when to give up, on the core's clock. */
 	readonly seal?: {readonly retryAt: number; readonly timeoutAt: number};
 };
 
 export type TicketsState = {
 	readonly nextSequence: number;
-	/** Tickets below this sequence that have no entry never run. */
+	/** Tickets below this sequence number never run unless they have an entry. */
 	readonly sequenceFloor: number;
-	/** By right; see `rightOf`. */
+	/** Keyed by right; see `ticketRight` and `keyRight`. */
 	readonly entries: Table<string, RightEntry>;
-	/** Right of each request that runs under one. */
+	/** Rights of running requests, keyed by request. */
 	readonly running: Table<string, string>;
-	/** By request. */
+	/** Keyed by request. */
 	readonly followers: Table<string, Follower>;
+	/** Keyed by request. */
 	readonly forwards: Table<string, Forward>;
-	/** When entries are next looked through, on the core's clock. */
+	/** When to remove expired entries, on the core's clock. */
 	readonly sweepAt: number;
 };
 
