--- a/src/core/features/keys/commands/promises.ts
+++ b/src/core/features/keys/commands/promises.ts
@@ -5,7 +5,7 @@
 import {isSameIncarnation} from '../../tickets/queries.js';
 import {canConfirmNotRun, sendToHost} from '../queries.js';
 import {keyLifetimeMs, maxCallerClockLeadMs, type Claim} from '../types.js';
-import {addKnownPeer} from './known-peers.js';
+import {addKnownPeer} from './acquaintances.js';
 import {hasClaimRoom, yieldClaim} from './claims.js';
 
 /** A claim as received from another host. */
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -17,7 +17,7 @@
 import {getEntry, keyRight} from '../tickets/queries.js';
 import {
 	addKnownPeer, handleHandshake, markAnswered, markEnded, resetHandshakes, runHandshakes, updateKeys,
-} from './commands/known-peers.js';
+} from './commands/acquaintances.js';
 import {
 	beginClaim, handleKeyAnswer, hasClaimRoom, retryClaims, waitForClaim, type PresentedKey,
 } from './commands/claims.js';
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -18,7 +18,7 @@
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
 import {conclude, putAdmission, toOutcome} from './conclude.js';
-import {dequeue, enqueue} from './queues.js';
+import {dequeue, enqueue} from './lanes.js';
 
 function lengthClassOf(state: State, request: Request): LengthClass {
 	return classOf(service(state, request.service), request.promptTokens);
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -5,7 +5,7 @@
 import {assertNever} from '../../../utils/common.js';
 import {runningOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {removeFromQueue} from './queues.js';
+import {removeFromQueue} from './lanes.js';
 
 /** Retry delay for callers when no better estimate is known. */
 export const defaultRetryAfterMs = 1000;
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -7,7 +7,7 @@
 import {prefillRate} from '../../work/queries.js';
 import {send} from './attempts.js';
 import {putAdmission} from './conclude.js';
-import {enqueue} from './queues.js';
+import {enqueue} from './lanes.js';
 
 /**
  * Sends a request to a group of engines; the last one decodes.
