--- a/src/core/features/keys/commands/acquaintances.ts
+++ b/src/core/features/keys/commands/acquaintances.ts
@@ -1,6 +1,6 @@
 /**
- * Who else may run keys. A host runs keys only after everyone it knows has answered its introduction, so that of two
- * hosts that run keys each asks the other.
+ * Tracks the hosts that may run keys. A host runs keys only after every peer it knows has answered its handshake, so that of
+ * two hosts that run keys, each asks the other.
  */
 import {type Member} from '../../../types/peer.js';
 import {type Incarnation} from '../../../types/request.js';
@@ -8,160 +8,160 @@
 import {only} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {hashText} from '../../../utils/hashes.js';
-import {isSame} from '../../tickets/queries.js';
+import {isSameIncarnation} from '../../tickets/queries.js';
 import {
-	others, tell,
+	listActivePeers, sendToHost,
 } from '../queries.js';
-import {acquaintanceLimit, type Acquaintance, type KeysState} from '../types.js';
+import {knownPeerLimit, type KeysState, type KnownPeer} from '../types.js';
 
-/** Time between two rounds of introductions, doubled each time that nobody new was met, in milliseconds. */
-const shortestRound = 200;
-const longestRound = 10_000;
+/** The interval between two rounds of handshakes doubles with each round in which no new peer answers. */
+const minRoundIntervalMs = 200;
+const maxRoundIntervalMs = 10_000;
 
-/** Introductions in one round. */
-const roundSize = 8;
+const handshakesPerRound = 8;
 
 /**
- * @param state - Core state.
- * @param part - What changes of the keys.
+ * @param part - Members of the keys state that change.
  * @returns The next state.
  */
-export function update(state: State, part: Partial<KeysState>): State {
+export function updateKeys(state: State, part: Partial<KeysState>): State {
 	return {...state, keys: {...state.keys, ...part}};
 }
 
-function put(state: State, acquaintance: Acquaintance): State {
-	const {host} = acquaintance.member.incarnation;
-	return update(state, {acquaintances: state.keys.acquaintances.set(host, acquaintance)});
+function putKnownPeer(state: State, knownPeer: KnownPeer): State {
+	const {host} = knownPeer.member.incarnation;
+	return updateKeys(state, {acquaintances: state.keys.acquaintances.set(host, knownPeer)});
 }
 
 /**
- * @param state - Core state.
- * @param member - A host, as it or another names it.
- * @returns The state with it known; a newer incarnation ends the one before.
+ * Adds a peer. A newer incarnation replaces an older one.
+ *
+ * @param member - Peer, as reported by itself or by another host.
+ * @returns The next state; unchanged if the peer is known already or the limit is reached.
  */
-export function meet(state: State, member: Member): State {
+export function addKnownPeer(state: State, member: Member): State {
 	const {host, started} = member.incarnation;
-	const before = state.keys.acquaintances.get(host);
-	const isOld = before !== undefined && before.member.incarnation.started >= started;
-	if (host === state.self.incarnation.host || isOld || (before === undefined && state.keys.acquaintances.size >= acquaintanceLimit)) {
+	const known = state.keys.acquaintances.get(host);
+	const isOld = known !== undefined && known.member.incarnation.started >= started;
+	if (host === state.self.incarnation.host || isOld || (known === undefined && state.keys.acquaintances.size >= knownPeerLimit)) {
 		return state;
 	}
 
-	return put(state, {member, met: false, ended: false});
+	return putKnownPeer(state, {member, hasAnswered: false, ended: false});
 }
 
 /**
- * @param state - Core state.
- * @param incarnation - Run of a host that is over, or leaving by its own word.
- * @returns The state in which it is not asked any more.
+ * Excludes a peer from claims and handshakes.
+ *
+ * @param incarnation - Incarnation that has ended, or that announced that it is leaving.
+ * @returns The next state.
  */
-export function end(state: State, incarnation: Incarnation): State {
+export function markEnded(state: State, incarnation: Incarnation): State {
 	const known = state.keys.acquaintances.get(incarnation.host);
 	return known === undefined || known.ended || known.member.incarnation.started !== incarnation.started
 		? state
-		: put(state, {...known, ended: true});
+		: putKnownPeer(state, {...known, ended: true});
 }
 
 /**
- * @param state - Core state.
- * @param member - Host that answered this host's introduction.
- * @returns The state in which it has been met.
+ * @param member - Peer that answered this host's handshake.
+ * @returns The next state.
  */
-export function answered(state: State, member: Member): State {
-	const next = meet(state, member);
+export function markAnswered(state: State, member: Member): State {
+	const next = addKnownPeer(state, member);
 	const known = next.keys.acquaintances.get(member.incarnation.host);
-	return known === undefined || known.met || known.member.incarnation.started !== member.incarnation.started
+	return known === undefined || known.hasAnswered || known.member.incarnation.started !== member.incarnation.started
 		? next
-		: update(put(next, {...known, met: true}), {rounds: 0});
+		: updateKeys(putKnownPeer(next, {...known, hasAnswered: true}), {rounds: 0});
 }
 
-/** Equal where two hosts know the same hosts, themselves included. */
-function digest(state: State): number {
-	const names = [state.self, ...others(state).map(each => each.member)].map(({incarnation: {host, started}}) => `${host}/${started}`);
+/** Equal at two hosts if both know the same hosts, themselves included. */
+function digestKnownPeers(state: State): number {
+	const names = [state.self, ...listActivePeers(state).map(each => each.member)]
+		.map(({incarnation: {host, started}}) => `${host}/${started}`);
 	return hashText(names.toSorted().join(' '));
 }
 
 /**
- * @param state - Core state.
- * @param member - Host that introduced itself.
- * @param theirs - Digest of whom it knows.
- * @returns The state with it known, and the answer; none if it cannot be remembered or is over.
+ * Adds the sender and answers with the known peers, unless the digests show that it knows the same ones.
+ *
+ * @param member - Sender.
+ * @param peerDigest - Digest of the sender's known peers.
+ * @returns The next state and the answer. There is no answer if the sender can't be added or has ended.
  */
-export function introduce(state: State, member: Member, theirs: number): Step {
-	const met = meet(state, member);
-	const all = digest(met) === theirs ? [] : [...met.keys.acquaintances.values()];
-	const known = met.keys.acquaintances.get(member.incarnation.host);
-	const isKnown = known?.ended === false && isSame(known.member.incarnation, member.incarnation);
+export function handleHandshake(state: State, member: Member, peerDigest: number): Step {
+	const next = addKnownPeer(state, member);
+	const knownPeers = digestKnownPeers(next) === peerDigest ? [] : [...next.keys.acquaintances.values()];
+	const known = next.keys.acquaintances.get(member.incarnation.host);
+	const isKnown = known?.ended === false && isSameIncarnation(known.member.incarnation, member.incarnation);
 	return isKnown
 		? {
-			state: met,
-			effects: tell(met, member.incarnation.host, {
+			state: next,
+			effects: sendToHost(next, member.incarnation.host, {
 				type: 'key-joined',
-				member: met.self,
-				members: all.filter(each => !each.ended).map(each => each.member),
-				ended: all.filter(each => each.ended).map(each => each.member.incarnation),
+				member: next.self,
+				members: knownPeers.filter(each => !each.ended).map(each => each.member),
+				ended: knownPeers.filter(each => each.ended).map(each => each.member.incarnation),
 			}),
 		}
-		: only(met);
+		: only(next);
 }
 
 /**
- * A process that was paused may have been replaced meanwhile, and others may run keys without it: it has to introduce
- * itself anew before it says anything of a key that it does not keep.
+ * Makes this host repeat its handshakes after a pause: it may have been replaced, and other hosts may run keys without it.
+ * Until every peer has answered again, it must not confirm anything about a key that it doesn't keep.
  *
- * @param state - Core state.
- * @returns The state of a host that nobody has met.
+ * @returns The next state.
  */
-export function stepBack(state: State): State {
+export function resetHandshakes(state: State): State {
 	const claims = state.keys.claims.map(claim => claim.progress.type === 'claiming'
-		? {...claim, progress: {...claim.progress, vouched: false}}
+		? {...claim, progress: {...claim.progress, isNotRunConfirmed: false}}
 		: claim);
-	return update(state, {
+	return updateKeys(state, {
 		joined: false,
 		vouchFrom: Number.MAX_SAFE_INTEGER,
-		acquaintances: state.keys.acquaintances.map(each => ({...each, met: false})),
+		acquaintances: state.keys.acquaintances.map(each => ({...each, hasAnswered: false})),
 		claims,
 		rounds: 0,
-		joinAt: 0,
+		nextHandshakeAt: 0,
 	});
 }
 
-function isOver(state: State, {member}: Acquaintance): boolean {
+function isLeaving(state: State, {member}: KnownPeer): boolean {
 	const peer = state.membership.peers.get(member.incarnation.host);
 	return peer?.phase === 'leaving' && peer.member.incarnation.started === member.incarnation.started;
 }
 
-function join(state: State, {wall}: Context): State {
-	const ready = isServing(state) && state.keys.listed && others(state).every(each => each.met);
-	return !state.keys.joined && ready ? update(state, {joined: true, vouchFrom: wall}) : state;
+function joinIfReady(state: State, {wall}: Context): State {
+	const isReady = isServing(state) && state.keys.hasHostList && listActivePeers(state).every(each => each.hasAnswered);
+	return !state.keys.joined && isReady ? updateKeys(state, {joined: true, vouchFrom: wall}) : state;
 }
 
 /**
- * Introduces this host to those it has not met, and looks who is over.
+ * Sends handshakes to peers that have not answered, and marks those that are leaving as ended.
  *
- * @param state - Core state.
- * @param context - Time and random source.
- * @returns The next state and the introductions.
+ * @returns The next state and the handshakes.
  */
-export function attend(state: State, context: Context): Step {
-	if (context.now < state.keys.joinAt) {
+export function runHandshakes(state: State, context: Context): Step {
+	if (context.now < state.keys.nextHandshakeAt) {
 		return only(state);
 	}
 
 	const {rounds} = state.keys;
-	const interval = Math.min(longestRound, shortestRound * (2 ** rounds));
-	let next = update(state, {joinAt: context.now + interval});
-	for (const each of others(next)) {
-		next = isOver(next, each) ? end(next, each.member.incarnation) : next;
+	const interval = Math.min(maxRoundIntervalMs, minRoundIntervalMs * (2 ** rounds));
+	let next = updateKeys(state, {nextHandshakeAt: context.now + interval});
+	for (const each of listActivePeers(next)) {
+		next = isLeaving(next, each) ? markEnded(next, each.member.incarnation) : next;
 	}
 
-	const strangers = others(next).filter(each => !each.met);
-	const first = (rounds * roundSize) % Math.max(strangers.length, 1);
-	const asked = [...strangers.slice(first), ...strangers.slice(0, first)].slice(0, roundSize);
-	const ownDigest = digest(next);
+	const unanswered = listActivePeers(next).filter(each => !each.hasAnswered);
+	const first = (rounds * handshakesPerRound) % Math.max(unanswered.length, 1);
+	const targets = [...unanswered.slice(first), ...unanswered.slice(0, first)].slice(0, handshakesPerRound);
+	const ownDigest = digestKnownPeers(next);
 	return {
-		state: join(strangers.length > 0 ? update(next, {rounds: rounds + 1}) : next, context),
-		effects: asked.flatMap(each => tell(next, each.member.incarnation.host, {type: 'key-join', member: next.self, digest: ownDigest})),
+		state: joinIfReady(unanswered.length > 0 ? updateKeys(next, {rounds: rounds + 1}) : next, context),
+		effects: targets.flatMap(each => sendToHost(next, each.member.incarnation.host, {
+			type: 'key-join', member: next.self, digest: ownDigest,
+		})),
 	};
 }
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -1,4 +1,4 @@
-/** Sends requests to upstreams and takes what comes back. */
+/** Sends requests to upstreams, and handles the progress and end of each attempt. */
 import {codes, type CodeName} from '../../../errors.js';
 import {type EventOf} from '../../../types/event.js';
 import {type Segment} from '../../../types/effect.js';
@@ -17,21 +17,21 @@
 import {estimate} from '../../work/queries.js';
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {conclude, outcomeOf, put} from './conclude.js';
-import {enqueue, take} from './lanes.js';
+import {conclude, putAdmission, toOutcome} from './conclude.js';
+import {dequeue, enqueue} from './lanes.js';
 
-function lengthOf(state: State, request: Request): LengthClass {
+function lengthClassOf(state: State, request: Request): LengthClass {
 	return classOf(service(state, request.service), request.promptTokens);
 }
 
 const lengthRank: Readonly<Record<LengthClass, number>> = {short: 0, middle: 1, long: 2};
 
-/** Levels that organisations' priorities take up. */
+/** Number of priority levels of organisations. */
 const priorityLevels = 10;
 
 /**
- * At the upstream a shorter prompt goes first, whoever sends it; organisations' priorities order prompts of one length.
- * The baselines leave lengths alone.
+ * At engines, shorter prompts go first whichever organisation sends them; the organisations' priorities order prompts of the
+ * same length class. The baseline policies ignore lengths.
  */
 function enginePriority(state: State, request: Request, attempt: Attempt): number {
 	if (service(state, request.service)?.policy !== 'cost') {
@@ -41,7 +41,7 @@
 	return (lengthRank[attempt.length] * priorityLevels) + request.priority;
 }
 
-function attemptFor(state: State, admission: Admission, choice: Choice, segments: readonly Segment[] | undefined, now: number): Attempt {
+function createAttempt(state: State, admission: Admission, choice: Choice, segments: readonly Segment[] | undefined, now: number): Attempt {
 	const {request} = admission;
 	return {
 		id: `${request.id}.${admission.attempts + 1}`,
@@ -51,43 +51,36 @@
 		upstreamIncarnation: view(state, choice.upstream.id).report?.incarnation,
 		...estimate(state, request, choice.cached),
 		ahead: choice.ahead,
-		length: lengthOf(state, request),
+		length: lengthClassOf(state, request),
 		parts: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
 		written: false,
 		received: 0,
 	};
 }
 
-/**
- * @param state - Core state.
- * @param request - Request about to be admitted or sent.
- * @param context - Time.
- * @returns Why it must not run, if so.
- */
-export function refusalToSend(state: State, request: Request, context: Context): CodeName | undefined {
+/** @returns Code of the reason why the request must not be admitted or sent, if there is one. */
+export function findSendRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	return isConvicted(state, request.fingerprint, context)
 		? 'convicted'
 		: dispatchRefusal(state, request, context);
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request to send; taken from its lane if it waits in one.
+ * @param admission - Request to send; it is removed from its queue if it waits in one.
  * @param choice - Upstream.
- * @param context - Time.
- * @param segments - Parts of the prompt, where several engines hold it.
+ * @param segments - Segments of the prompt, if several engines share it.
  * @returns The next state and the effects.
  */
 export function send(state: State, admission: Admission, choice: Choice, context: Context, segments?: readonly Segment[]): Step {
 	const {request} = admission;
-	const refusal = refusalToSend(state, request, context);
+	const refusal = findSendRefusal(state, request, context);
 	if (refusal !== undefined) {
-		return conclude(state, admission, admission.last ?? {type: 'not-run', code: codes[refusal]});
+		return conclude(state, admission, admission.lastOutcome ?? {type: 'not-run', code: codes[refusal]});
 	}
 
-	const attempt = attemptFor(state, admission, choice, segments, context.now);
-	const taken = admission.progress.type === 'queued' ? take(state, admission) : state;
-	const next = put(taken, {
+	const attempt = createAttempt(state, admission, choice, segments, context.now);
+	const dequeued = admission.progress.type === 'queued' ? dequeue(state, admission) : state;
+	const next = putAdmission(dequeued, {
 		...admission, attempts: admission.attempts + 1, progress: {type: 'running', attempt}, due: request.deadline,
 	});
 	return {
@@ -122,7 +115,7 @@
 	};
 }
 
-function endAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
+function removeAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
 	return {
 		state: {...state, requests: {...state.requests, attempts: state.requests.attempts.delete(attempt.id)}},
 		effects: [{
@@ -135,15 +128,15 @@
 
 function retry(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
 	const {request} = admission;
-	const ran = ending.type !== 'not-run';
+	const hasPossiblyRun = ending.type !== 'not-run';
 	const next: Admission = {
 		...admission,
 		progress: {type: 'queued', since: attempt.began},
-		avoided: [...admission.avoided, attempt.upstream],
-		last: ran ? outcomeOf(ending) : admission.last,
+		failedUpstreams: [...admission.failedUpstreams, attempt.upstream],
+		lastOutcome: hasPossiblyRun ? toOutcome(ending) : admission.lastOutcome,
 	};
 	return {
-		state: enqueue(put(state, next), next, true),
+		state: enqueue(putAdmission(state, next), next, true),
 		effects: [
 			{
 				type: 'log', decision: {
@@ -159,43 +152,41 @@
 	};
 }
 
-/** An earlier attempt that may have run outweighs a later one that did not. */
-function finalOutcome(admission: Admission, ending: Ending): Outcome {
-	const outcome = outcomeOf(ending);
-	return outcome.type === 'not-run' && admission.last !== undefined ? admission.last : outcome;
+/** An earlier attempt that may have run takes precedence over a later one that did not. */
+function selectFinalOutcome(admission: Admission, ending: Ending): Outcome {
+	const outcome = toOutcome(ending);
+	return outcome.type === 'not-run' && admission.lastOutcome !== undefined ? admission.lastOutcome : outcome;
 }
 
 /**
- * @param state - Core state.
  * @param id - Attempt.
  * @param ending - How it ended.
- * @param now - Time in milliseconds.
- * @returns The next state: another attempt, or the final answer.
+ * @param now - Core clock, in milliseconds.
+ * @returns The next state, with the request queued for a retry or answered.
  */
-export function end(state: State, id: string, ending: Ending, now: number): Step {
+export function endAttempt(state: State, id: string, ending: Ending, now: number): Step {
 	const admission = admissionOf(state, id);
 	if (admission?.progress.type !== 'running') {
 		return only(state);
 	}
 
 	const {attempt} = admission.progress;
-	const isAgain = mayRetry(state, admission.request, attempt, ending, admission.attempts, now);
+	const isRetried = mayRetry(state, admission.request, attempt, ending, admission.attempts, now);
 	return chain(
 		state,
-		current => endAttempt(current, admission, attempt, ending),
-		current => isAgain
+		current => removeAttempt(current, admission, attempt, ending),
+		current => isRetried
 			? retry(current, admission, attempt, ending)
-			: conclude(current, admission, finalOutcome(admission, ending)),
+			: conclude(current, admission, selectFinalOutcome(admission, ending)),
 	);
 }
 
 /**
- * @param state - Core state.
- * @param event - Tokens that came.
- * @param now - Time in milliseconds.
+ * @param event - Tokens received from the upstream.
+ * @param now - Core clock, in milliseconds.
  * @returns The next state.
  */
-export function progress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
+export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
 	const admission = admissionOf(state, event.attempt);
 	if (admission?.progress.type !== 'running') {
 		return only(state);
@@ -205,37 +196,34 @@
 	const next: Attempt = {
 		...attempt, written: true, firstFrame: attempt.firstFrame ?? now, received: attempt.received + event.tokens,
 	};
-	const changed = put(state, {...admission, progress: {type: 'running', attempt: next}});
+	const changed = putAdmission(state, {...admission, progress: {type: 'running', attempt: next}});
 	return attempt.firstFrame === undefined
 		? {state: changed, effects: [{type: 'raise', event: {type: 'dispatch-wanted', service: admission.request.service}}]}
 		: only(changed);
 }
 
 /**
- * @param state - Core state.
- * @param id - Attempt of which a byte was sent.
+ * @param id - Attempt of which at least one byte was sent.
  * @returns The next state.
  */
 export function markWritten(state: State, id: string): State {
 	const admission = admissionOf(state, id);
 	return admission?.progress.type === 'running'
-		? put(state, {...admission, progress: {type: 'running', attempt: {...admission.progress.attempt, written: true}}})
+		? putAdmission(state, {...admission, progress: {type: 'running', attempt: {...admission.progress.attempt, written: true}}})
 		: state;
 }
 
 /**
- * Stops a request wherever it is. One that waits has not run. One that was sent may have, even if no byte is known to
- * have left; it is cancelled at its upstream.
+ * Stops a request. One that waits has not run. One that was sent may have run, even if no byte is known to have been written;
+ * it is cancelled at its upstream.
  *
- * @param state - Core state.
- * @param admission - Request.
- * @param ifRunning - What the caller is told if it may have run.
- * @param ifWaiting - What the caller is told if it has not.
- * @returns The next state, the cancellation and the final answer.
+ * @param runningOutcome - Outcome for a request that may have run.
+ * @param waitingOutcome - Outcome for a request that has not run.
+ * @returns The next state, the cancellation and the answer.
  */
-export function stop(state: State, admission: Admission, ifRunning: Outcome, ifWaiting: Outcome): Step {
+export function stopRequest(state: State, admission: Admission, runningOutcome: Outcome, waitingOutcome: Outcome): Step {
 	if (admission.progress.type !== 'running') {
-		return conclude(state, admission, admission.last ?? ifWaiting);
+		return conclude(state, admission, admission.lastOutcome ?? waitingOutcome);
 	}
 
 	const {attempt} = admission.progress;
@@ -250,13 +238,13 @@
 					type: 'cancel', attempt: attempt.id, upstream: attempt.upstream, address: target.address,
 				}],
 		}),
-		current => endAttempt(current, admission, attempt, {type: 'cancelled'}),
-		current => conclude(current, admission, ifRunning),
+		current => removeAttempt(current, admission, attempt, {type: 'cancelled'}),
+		current => conclude(current, admission, runningOutcome),
 	);
 }
 
-/** @returns What a caller is told whose request's time is over while it ran. */
-export function lateOutcome(admission: Admission): Outcome {
+/** @returns The outcome of a request whose deadline passed while it ran. */
+export function deadlineOutcome(admission: Admission): Outcome {
 	return admission.request.proof.type === 'idempotent'
 		? {type: 'failed', code: codes.deadlinePassed}
 		: {type: 'unknown', code: codes.outcomeUnknown, detail: 'The time was over while it ran.'};
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -1,21 +1,17 @@
-/** Keeps admissions and gives the final answer. */
+/** Stores admissions and gives requests their final answer. */
 import {codes} from '../../../errors.js';
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
 import {assertNever} from '../../../utils/common.js';
 import {runningOf} from '../queries.js';
 import {type Admission} from '../types.js';
-import {remove} from './lanes.js';
+import {removeFromQueue} from './lanes.js';
 
-/** Told to callers when nothing better is known, in milliseconds. */
-export const usualRetryAfter = 1000;
+/** Retry delay for callers when no better estimate is known. */
+export const defaultRetryAfterMs = 1000;
 
-/**
- * @param state - Core state.
- * @param admission - Admission, new or changed.
- * @returns The next state.
- */
-export function put(state: State, admission: Admission): State {
+/** Stores a new or changed admission. */
+export function putAdmission(state: State, admission: Admission): State {
 	const {request, due} = admission;
 	const {requests} = state;
 	const isNew = !requests.admissions.has(request.id);
@@ -32,17 +28,17 @@
 	};
 }
 
-function discard(state: State, admission: Admission): State {
+function removeAdmission(state: State, admission: Admission): State {
 	const {request} = admission;
-	const left = runningOf(state, request.organisation) - 1;
+	const remaining = runningOf(state, request.organisation) - 1;
 	const {requests} = state;
 	return {
 		...state,
 		requests: {
 			...requests,
 			admissions: requests.admissions.delete(request.id),
-			organisations: left > 0
-				? requests.organisations.set(request.organisation, left)
+			organisations: remaining > 0
+				? requests.organisations.set(request.organisation, remaining)
 				: requests.organisations.delete(request.organisation),
 		},
 	};
@@ -50,9 +46,9 @@
 
 /**
  * @param ending - How the last attempt ended.
- * @returns What the caller is told.
+ * @returns The outcome for the caller.
  */
-export function outcomeOf(ending: Ending): Outcome {
+export function toOutcome(ending: Ending): Outcome {
 	switch (ending.type) {
 		case 'done': {
 			return {type: 'done'};
@@ -64,7 +60,7 @@
 
 		case 'not-run': {
 			return {
-				type: 'not-run', code: ending.code, detail: ending.detail, retryAfter: usualRetryAfter,
+				type: 'not-run', code: ending.code, detail: ending.detail, retryAfter: defaultRetryAfterMs,
 			};
 		}
 
@@ -82,7 +78,7 @@
 	}
 }
 
-function answered(request: Request, outcome: Outcome): Step['effects'] {
+function answerEffects(request: Request, outcome: Outcome): Step['effects'] {
 	return [
 		{type: 'answer', request: request.id, outcome},
 		{type: 'raise', event: {type: 'request-concluded', request, outcome}},
@@ -90,30 +86,30 @@
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request that is over.
- * @param outcome - What its caller is told.
+ * Answers an admitted request and removes it.
+ *
+ * @param outcome - Outcome for the caller.
  * @returns The next state and the answer.
  */
 export function conclude(state: State, admission: Admission, outcome: Outcome): Step {
 	const {request} = admission;
-	const taken = admission.progress.type === 'queued' ? remove(state, admission) : state;
+	const dequeued = admission.progress.type === 'queued' ? removeFromQueue(state, admission) : state;
 	return {
-		state: discard(taken, admission),
+		state: removeAdmission(dequeued, admission),
 		effects: [
 			{type: 'log', decision: {type: 'concluded', request: request.id, outcome}},
-			...answered(request, outcome),
+			...answerEffects(request, outcome),
 			{type: 'raise', event: {type: 'dispatch-wanted', service: request.service}},
 		],
 	};
 }
 
 /**
- * @param state - Core state.
- * @param request - Request that is not admitted.
- * @param outcome - Why, and when to try again.
- * @param reason - The same for the log.
- * @returns The answer.
+ * Answers a request that is not admitted.
+ *
+ * @param outcome - Why, and when to retry.
+ * @param reason - Reason for the log.
+ * @returns The unchanged state and the answer.
  */
 export function refuse(state: State, request: Request, outcome: Extract<Outcome, {readonly type: 'not-run'}>, reason: string): Step {
 	const {organisation, service} = request;
@@ -128,7 +124,7 @@
 			{
 				type: 'count', name: 'refused', value: 1, tags: {service, code: String(outcome.code)},
 			},
-			...answered(request, outcome),
+			...answerEffects(request, outcome),
 		],
 	};
 }
--- a/src/core/features/requests/commands/expire.ts
+++ b/src/core/features/requests/commands/expire.ts
@@ -1,32 +1,33 @@
-/** Gives requests up whose time is over, or can no longer be enough. */
+/** Stops requests that are past their deadline or can no longer meet it, and those that were abandoned or sealed. */
 import {codes} from '../../../errors.js';
 import {type Outcome} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
 import {chain, only} from '../../../utils/common.js';
 import {outlivesCaller} from '../../tickets/queries.js';
 import {type Admission} from '../types.js';
-import {lateOutcome, stop} from './attempts.js';
-import {usualRetryAfter} from './conclude.js';
+import {deadlineOutcome, stopRequest} from './attempts.js';
+import {defaultRetryAfterMs} from './conclude.js';
 
-const notStarted: Outcome = {type: 'not-run', code: codes.deadlineBeforeStart, retryAfter: usualRetryAfter};
+const notStartedOutcome: Outcome = {type: 'not-run', code: codes.deadlineBeforeStart, retryAfter: defaultRetryAfterMs};
 
-const abandoned: Outcome = {type: 'not-run', code: codes.abandoned};
+const abandonedOutcome: Outcome = {type: 'not-run', code: codes.abandoned};
 
 /**
- * @param state - Core state.
- * @param now - Time in milliseconds.
- * @returns The next state; most of the time nothing is due and nothing is searched.
+ * Stops the requests that are due. Searches for them only if the earliest due time has passed.
+ *
+ * @param now - Core clock, in milliseconds.
+ * @returns The next state, the cancellations and the answers.
  */
-export function expire(state: State, now: number): Step {
+export function expireRequests(state: State, now: number): Step {
 	if (now < state.requests.nextDue) {
 		return only(state);
 	}
 
-	const late: Admission[] = [];
+	const expired: Admission[] = [];
 	let nextDue = Number.POSITIVE_INFINITY;
 	for (const admission of state.requests.admissions.values()) {
 		if (admission.due <= now) {
-			late.push(admission);
+			expired.push(admission);
 		} else {
 			nextDue = Math.min(nextDue, admission.due);
 		}
@@ -34,36 +35,34 @@
 
 	return chain(
 		{...state, requests: {...state.requests, nextDue}},
-		...late.map(admission => (current: State) => stop(current, admission, lateOutcome(admission), notStarted)),
+		...expired.map(admission => (current: State) => stopRequest(current, admission, deadlineOutcome(admission), notStartedOutcome)),
 	);
 }
 
 /**
- * The caller has gone. A request that may not be repeated runs on once it was sent: its caller may come back for the
- * recorded answer.
+ * Handles a caller that has disconnected. A non-idempotent request that was sent keeps running, since its caller may come back
+ * for the recorded answer; any other is stopped.
  *
- * @param state - Core state.
  * @param id - Request.
- * @returns The next state.
+ * @returns The next state and the effects.
  */
-export function abandon(state: State, id: string): Step {
+export function abandonRequest(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	if (admission === undefined) {
 		return only(state);
 	}
 
-	const isKept = outlivesCaller(admission.request) && admission.progress.type === 'running';
-	return isKept ? only(state) : stop(state, admission, {type: 'failed', code: codes.callerGone}, abandoned);
+	const isContinued = outlivesCaller(admission.request) && admission.progress.type === 'running';
+	return isContinued ? only(state) : stopRequest(state, admission, {type: 'failed', code: codes.callerGone}, abandonedOutcome);
 }
 
 /**
- * @param state - Core state.
- * @param id - Request whose right was withdrawn before it was used.
- * @returns The next state.
+ * @param id - Request whose right was sealed before it was used.
+ * @returns The next state and the effects.
  */
-export function seal(state: State, id: string): Step {
+export function stopSealed(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	return admission === undefined
 		? only(state)
-		: stop(state, admission, lateOutcome(admission), {type: 'not-run', code: codes.sealed});
+		: stopRequest(state, admission, deadlineOutcome(admission), {type: 'not-run', code: codes.sealed});
 }
--- a/src/core/features/requests/commands/lanes.ts
+++ b/src/core/features/requests/commands/lanes.ts
@@ -1,89 +1,84 @@
-/** Puts requests into lanes and takes them out. */
+/** Adds requests to queues and removes them. */
 import {type State} from '../../../types/state.js';
 import {organisation} from '../../configuration/queries.js';
-import {lane} from '../queries.js';
+import {getQueue} from '../queries.js';
 import {
-	laneKey, noneWaiting, type Admission, type Lane, type Waiting,
+	emptyBacklog, queueKey, type Admission, type OrganisationBacklog, type Queue,
 } from '../types.js';
 
-function putLane(state: State, admission: Admission, changed: Lane): State {
-	const key = laneKey(admission.request.service, admission.lane);
-	const lanes = changed.waiting.isEmpty()
-		? state.requests.lanes.delete(key)
-		: state.requests.lanes.set(key, changed);
-	return {...state, requests: {...state.requests, lanes}};
+function putQueue(state: State, admission: Admission, changed: Queue): State {
+	const key = queueKey(admission.request.service, admission.queue);
+	const queues = changed.waiting.isEmpty()
+		? state.requests.queues.delete(key)
+		: state.requests.queues.set(key, changed);
+	return {...state, requests: {...state.requests, queues}};
 }
 
 /**
- * @param state - Core state.
- * @param admission - Request that is to wait.
- * @param isFirst - Whether it goes before the others of its organisation, as one that is tried again.
+ * @param admission - Request to queue.
+ * @param isFirst - Whether it goes before the organisation's other requests, as a retry does.
  * @returns The next state.
  */
 export function enqueue(state: State, admission: Admission, isFirst: boolean): State {
 	const {request, cost} = admission;
-	const before = lane(state, request.service, admission.lane);
-	const known = before.waiting.get(request.organisation);
-	const waiting = known ?? {
-		...noneWaiting,
-		start: Math.max(before.virtual, before.next.get(request.organisation) ?? 0),
+	const queue = getQueue(state, request.service, admission.queue);
+	const existing = queue.waiting.get(request.organisation);
+	const backlog = existing ?? {
+		...emptyBacklog,
+		start: Math.max(queue.virtualTime, queue.next.get(request.organisation) ?? 0),
 		weight: organisation(state, request.organisation)?.weight ?? 1,
 	};
-	const ids = isFirst ? waiting.ids.unshift(request.id) : waiting.ids.push(request.id);
-	return putLane(state, admission, {
-		...before,
-		waiting: before.waiting.set(request.organisation, {...waiting, ids, cost: waiting.cost + cost}),
+	const ids = isFirst ? backlog.ids.unshift(request.id) : backlog.ids.push(request.id);
+	return putQueue(state, admission, {
+		...queue,
+		waiting: queue.waiting.set(request.organisation, {...backlog, ids, cost: backlog.cost + cost}),
 	});
 }
 
-function without(waiting: Waiting, admission: Admission): Waiting {
-	const place = waiting.ids.indexOf(admission.request.id);
-	return place === -1
-		? waiting
-		: {...waiting, ids: waiting.ids.delete(place), cost: Math.max(waiting.cost - admission.cost, 0)};
+function removeFromBacklog(backlog: OrganisationBacklog, admission: Admission): OrganisationBacklog {
+	const index = backlog.ids.indexOf(admission.request.id);
+	return index === -1
+		? backlog
+		: {...backlog, ids: backlog.ids.delete(index), cost: Math.max(backlog.cost - admission.cost, 0)};
 }
 
-function putWaiting(before: Lane, id: string, waiting: Waiting): Lane {
+function putBacklog(queue: Queue, id: string, backlog: OrganisationBacklog): Queue {
 	return {
-		...before,
-		waiting: waiting.ids.isEmpty() ? before.waiting.delete(id) : before.waiting.set(id, waiting),
+		...queue,
+		waiting: backlog.ids.isEmpty() ? queue.waiting.delete(id) : queue.waiting.set(id, backlog),
 	};
 }
 
 /**
- * Takes out a request that is sent: its organisation pays for it.
+ * Removes a request that is being sent, and charges its cost to its organisation.
  *
- * @param state - Core state.
- * @param admission - Request.
  * @returns The next state.
  */
-export function take(state: State, admission: Admission): State {
+export function dequeue(state: State, admission: Admission): State {
 	const {request, cost} = admission;
-	const before = lane(state, request.service, admission.lane);
-	const known = before.waiting.get(request.organisation);
-	if (known === undefined) {
+	const queue = getQueue(state, request.service, admission.queue);
+	const backlog = queue.waiting.get(request.organisation);
+	if (backlog === undefined) {
 		return state;
 	}
 
-	const virtual = Math.max(before.virtual, known.start);
-	const start = known.start + (cost / known.weight);
-	const next = before.next.set(request.organisation, start).filter(each => each > virtual);
-	const changed = putWaiting(before, request.organisation, {...without(known, admission), start});
-	return putLane(state, admission, {...changed, virtual, next});
+	const virtualTime = Math.max(queue.virtualTime, backlog.start);
+	const start = backlog.start + (cost / backlog.weight);
+	const next = queue.next.set(request.organisation, start).filter(each => each > virtualTime);
+	const changed = putBacklog(queue, request.organisation, {...removeFromBacklog(backlog, admission), start});
+	return putQueue(state, admission, {...changed, virtualTime, next});
 }
 
 /**
- * Takes out a request that is given up: nothing is paid for it.
+ * Removes a request that is not sent; its organisation is charged nothing.
  *
- * @param state - Core state.
- * @param admission - Request.
  * @returns The next state.
  */
-export function remove(state: State, admission: Admission): State {
+export function removeFromQueue(state: State, admission: Admission): State {
 	const {request} = admission;
-	const before = lane(state, request.service, admission.lane);
-	const known = before.waiting.get(request.organisation);
-	return known === undefined
+	const queue = getQueue(state, request.service, admission.queue);
+	const backlog = queue.waiting.get(request.organisation);
+	return backlog === undefined
 		? state
-		: putLane(state, admission, putWaiting(before, request.organisation, without(known, admission)));
+		: putQueue(state, admission, putBacklog(queue, request.organisation, removeFromBacklog(backlog, admission)));
 }
--- a/src/core/features/tickets/commands/forwards.ts
+++ b/src/core/features/tickets/commands/forwards.ts
@@ -1,7 +1,6 @@
 /**
- * Requests whose right another host keeps: passed on whole, through the same HTTP endpoint that callers use.
- * If the keeper cannot be reached there, it is asked over its peer link to seal the right; only its promise makes
- * a "not run" true.
+ * Forwards requests whose right another host keeps, through the HTTP endpoint that callers use. If the keeper can't be reached
+ * there, this host asks it over the peer link to seal the right; only the keeper's promise proves that the request has not run.
  */
 import {codes} from '../../../errors.js';
 import {type Member, type SealAnswer} from '../../../types/peer.js';
@@ -9,29 +8,28 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {assertNever, chain, only} from '../../../utils/common.js';
-import {tell} from '../../keys/queries.js';
+import {sendToHost} from '../../keys/queries.js';
 import {type Forward} from '../types.js';
 import {answerUnknown} from './answers.js';
 
-/** Hosts that may pass one request on, one after another. */
-const mostHops = 3;
-const mostTries = 2;
+/** Hosts that may forward one request, one after another. */
+const maxHops = 3;
+const maxAttempts = 2;
 
-/** Time between two asks for a seal, and for all of them, in milliseconds. */
-const sealInterval = 200;
-const sealTime = 1000;
+const sealRetryIntervalMs = 200;
+const sealTimeoutMs = 1000;
 
-function put(state: State, forward: Forward): State {
+function putForward(state: State, forward: Forward): State {
 	return {...state, tickets: {...state.tickets, forwards: state.tickets.forwards.set(forward.request.id, forward)}};
 }
 
-function drop(state: State, request: string): State {
+function removeForward(state: State, request: string): State {
 	return {...state, tickets: {...state.tickets, forwards: state.tickets.forwards.delete(request)}};
 }
 
-function finish(state: State, forward: Forward, outcome: Outcome): Step {
+function finishForward(state: State, forward: Forward, outcome: Outcome): Step {
 	return {
-		state: drop(state, forward.request.id),
+		state: removeForward(state, forward.request.id),
 		effects: [
 			{type: 'log', decision: {type: 'concluded', request: forward.request.id, outcome}},
 			{type: 'answer', request: forward.request.id, outcome},
@@ -39,15 +37,15 @@
 	};
 }
 
-function giveUp(state: State, forward: Forward): Step {
-	return finish(state, forward, {type: 'unknown', code: codes.keeperUnreachable});
+function finishUnreachable(state: State, forward: Forward): Step {
+	return finishForward(state, forward, {type: 'unknown', code: codes.keeperUnreachable});
 }
 
-function send(state: State, forward: Forward): Step {
+function sendForward(state: State, forward: Forward): Step {
 	const {request, keeper} = forward;
 	const to = keeper.incarnation.host;
 	return {
-		state: put(state, forward),
+		state: putForward(state, forward),
 		effects: [
 			{
 				type: 'log', decision: {
@@ -62,27 +60,23 @@
 }
 
 /**
- * Passes a request on to the host that keeps its right.
- *
- * @param state - Core state.
- * @param request - Request that arrived here.
- * @param right - Name of its right at the keeper.
- * @param keeper - The keeper; its address may by now be another incarnation's, which then says so.
- * @returns The next state and the forwarding, or the answer if the keeper is gone.
+ * @param right - Name of the request's right at the keeper.
+ * @param keeper - The keeper. Another incarnation may have its address by now; that one rejects the request.
+ * @returns The next state and the forward, or the answer if a newer incarnation has replaced the keeper.
  */
 export function forwardToKeeper(state: State, request: Request, right: string, keeper: Member): Step {
 	const {incarnation} = keeper;
-	const successor = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
-	if (successor) {
+	const isKeeperReplaced = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
+	if (isKeeperReplaced) {
 		return answerUnknown(state, request, 'keeperGone', `${incarnation.host} was restarted`);
 	}
 
-	if ((request.hops ?? 0) >= mostHops) {
+	if ((request.hops ?? 0) >= maxHops) {
 		return answerUnknown(state, request, 'keeperUnreachable', 'passed on too often');
 	}
 
-	return send(state, {
-		request, right, keeper, tries: 1,
+	return sendForward(state, {
+		request, right, keeper, attempts: 1,
 	});
 }
 
@@ -91,36 +85,34 @@
 	return peer !== undefined && peer.member.incarnation.started > keeper.incarnation.started;
 }
 
-function askSeal(state: State, {request, right, keeper}: Forward): readonly Effect[] {
+function sendSealRequest(state: State, {request, right, keeper}: Forward): readonly Effect[] {
 	const expires = request.proof.type === 'ticket' ? request.proof.ticket.expires : 0;
-	return tell(state, keeper.incarnation.host, {
+	return sendToHost(state, keeper.incarnation.host, {
 		type: 'seal', id: request.id, right, expires, keeper: keeper.incarnation,
 	});
 }
 
-function seal(state: State, forward: Forward, {now}: Context): Step {
+function beginSeal(state: State, forward: Forward, {now}: Context): Step {
 	if (isReplaced(state, forward.keeper)) {
-		return finish(state, forward, {type: 'unknown', code: codes.keeperGone});
+		return finishForward(state, forward, {type: 'unknown', code: codes.keeperGone});
 	}
 
-	const until = Math.min(now + sealTime, forward.request.deadline);
+	const timeoutAt = Math.min(now + sealTimeoutMs, forward.request.deadline);
 	return {
-		state: put(state, {...forward, seal: {askAt: now + sealInterval, until}}),
-		effects: askSeal(state, forward),
+		state: putForward(state, {...forward, seal: {retryAt: now + sealRetryIntervalMs, timeoutAt}}),
+		effects: sendSealRequest(state, forward),
 	};
 }
 
-/** An answer that began to reach the caller cannot be replaced by another one. */
+/** An answer that the caller has begun to receive can't be replaced by another one. */
 function isRelayed(ending: Ending): ending is Extract<Ending, {readonly type: 'unknown'}> {
 	return ending.type === 'unknown' && ending.relayed;
 }
 
 /**
- * @param state - Core state.
- * @param id - Request that was passed on.
- * @param ending - `done` if the keeper answered in full, whatever it said.
- * @param context - Time and random source.
- * @returns The next state and the answer, or the ask for a seal.
+ * @param id - Request that was forwarded.
+ * @param ending - `done` if the keeper sent a complete answer, whatever its outcome.
+ * @returns The next state, with the request answered, or the seal request.
  */
 export function endForward(state: State, id: string, ending: Ending, context: Context): Step {
 	const forward = state.tickets.forwards.get(id);
@@ -128,25 +120,24 @@
 		return only(state);
 	}
 
-	// Whatever the keeper answered in full went to the caller as it was.
+	// The caller has received the keeper's complete answer unchanged.
 	if (ending.type === 'done') {
-		return finish(state, forward, {type: 'done'});
+		return finishForward(state, forward, {type: 'done'});
 	}
 
-	// Without that nothing is known: the right may have been used before, through any host.
+	// Without a complete answer nothing is known: the right may have been used before, through any host.
 	return isRelayed(ending)
-		? finish(state, forward, {type: 'unknown', code: ending.code, detail: ending.detail})
-		: seal(state, forward, context);
+		? finishForward(state, forward, {type: 'unknown', code: ending.code, detail: ending.detail})
+		: beginSeal(state, forward, context);
 }
 
 /**
- * @param state - Core state.
  * @param from - Host that sent the answer.
  * @param id - Request whose right it was asked to seal.
  * @param sealAnswer - Its answer.
- * @returns The next state, with the request answered, or passed on once more if it was used.
+ * @returns The next state, with the request answered, or forwarded once more if its right was used.
  */
-export function takeSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
+export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
 	const forward = state.tickets.forwards.get(id);
 	if (forward?.seal === undefined || forward.keeper.incarnation.host !== from) {
 		return only(state);
@@ -154,14 +145,14 @@
 
 	switch (sealAnswer.type) {
 		case 'sealed': {
-			return finish(state, forward, {type: 'not-run', code: codes.sealed});
+			return finishForward(state, forward, {type: 'not-run', code: codes.sealed});
 		}
 
 		case 'used': {
-			const {seal: asked, ...again} = forward;
-			return forward.tries < mostTries
-				? send(state, {...again, tries: forward.tries + 1})
-				: giveUp(state, forward);
+			const {seal: pendingSeal, ...rest} = forward;
+			return forward.attempts < maxAttempts
+				? sendForward(state, {...rest, attempts: forward.attempts + 1})
+				: finishUnreachable(state, forward);
 		}
 
 		default: {
@@ -170,52 +161,48 @@
 	}
 }
 
-function press(state: State, forward: Forward, now: number): Step {
-	if (forward.request.deadline <= now || (forward.seal !== undefined && forward.seal.until <= now)) {
-		return giveUp(state, forward);
+function retryForward(state: State, forward: Forward, now: number): Step {
+	if (forward.request.deadline <= now || (forward.seal !== undefined && forward.seal.timeoutAt <= now)) {
+		return finishUnreachable(state, forward);
 	}
 
-	if (forward.seal === undefined || forward.seal.askAt > now) {
+	if (forward.seal === undefined || forward.seal.retryAt > now) {
 		return only(state);
 	}
 
 	return {
-		state: put(state, {...forward, seal: {...forward.seal, askAt: now + sealInterval}}),
-		effects: askSeal(state, forward),
+		state: putForward(state, {...forward, seal: {...forward.seal, retryAt: now + sealRetryIntervalMs}}),
+		effects: sendSealRequest(state, forward),
 	};
 }
 
 /**
- * Asks again for seals and gives up on what took too long.
+ * Sends seal requests again and answers the requests whose deadline or seal timeout has passed.
  *
- * @param state - Core state.
- * @param context - Time and random source.
  * @returns The next state and the effects.
  */
-export function pressForwards(state: State, {now}: Context): Step {
+export function retryForwards(state: State, {now}: Context): Step {
 	const all = [...state.tickets.forwards.values()];
-	return chain(state, ...all.map(forward => (current: State) => press(current, forward, now)));
+	return chain(state, ...all.map(forward => (current: State) => retryForward(current, forward, now)));
 }
 
 /**
- * Answers requests with a key that were passed on before this host stood still. A "not run" that waited here meanwhile may
- * have become false: with some codes a key may be sent again, to any host, and may have run since.
+ * Answers the forwarded requests with a key as unknown after this host was paused. A "not run" answer received before the pause
+ * may have become false: after some result codes a key may be sent again, to any host, and may have run since.
  *
- * @param state - Core state.
  * @returns The next state and the answers.
  */
-export function doubtForwards(state: State): Step {
-	const doubtful = [...state.tickets.forwards.values()].filter(({request}) => request.proof.type === 'key');
-	return chain(state, ...doubtful.map(forward => (current: State) => finish(current, forward, {
+export function answerKeyForwardsUnknown(state: State): Step {
+	const keyForwards = [...state.tickets.forwards.values()].filter(({request}) => request.proof.type === 'key');
+	return chain(state, ...keyForwards.map(forward => (current: State) => finishForward(current, forward, {
 		type: 'unknown', code: codes.outcomeUnknown, detail: 'this host stood still while the keeper of the key was asked',
 	})));
 }
 
 /**
- * @param state - Core state.
- * @param request - Request whose caller has left.
- * @returns The state without it.
+ * @param request - Request whose caller has disconnected.
+ * @returns The next state, without the forward.
  */
 export function abandonForward(state: State, request: string): State {
-	return state.tickets.forwards.has(request) ? drop(state, request) : state;
+	return state.tickets.forwards.has(request) ? removeForward(state, request) : state;
 }
