--- a/src/core/features/configuration/commands/adopt.ts
+++ b/src/core/features/configuration/commands/adopt.ts
@@ -9,7 +9,7 @@
  * @param source - Where a document came from.
  * @returns Words for the log.
  */
-function words(source: Source): string {
+function describeSource(source: Source): string {
 	return source.type === 'peer' ? `from peer ${source.host}` : `from ${source.type}`;
 }
 
@@ -20,7 +20,7 @@
  * @param reason - The same for people.
  * @returns A step that logs and counts the refusal.
  */
-export function refuse(state: State, offered: number, code: number, reason: string): Step {
+export function refuseDocument(state: State, offered: number, code: number, reason: string): Step {
 	return {
 		state,
 		effects: [
@@ -41,32 +41,32 @@
  * @param event - A document that was parsed and validated.
  * @returns The next step.
  */
-export function receive(state: State, event: EventOf<'configuration-received'>): Step {
+export function adoptDocument(state: State, event: EventOf<'configuration-received'>): Step {
 	const {
 		configuration, digest, text, source,
 	} = event;
 	const before = state.configuration.inForce;
-	const held = revision(state);
-	if (configuration.revision < held) {
-		return refuse(state, configuration.revision, codes.staleRevision, `${words(source)}; revision ${held} is in force`);
+	const ownRevision = revision(state);
+	if (configuration.revision < ownRevision) {
+		return refuseDocument(state, configuration.revision, codes.staleRevision, `${describeSource(source)}; revision ${ownRevision} is in force`);
 	}
 
-	if (configuration.revision === held) {
+	if (configuration.revision === ownRevision) {
 		return digest === state.configuration.digest
 			? only(state)
-			: refuse(state, held, codes.sameRevisionOtherContent, `${words(source)}; same revision with other content`);
+			: refuseDocument(state, ownRevision, codes.sameRevisionOtherContent, `${describeSource(source)}; same revision with other content`);
 	}
 
 	return {
 		state: {
 			...state, configuration: {
-				...state.configuration, inForce: configuration, digest, text, inquiry: undefined,
+				...state.configuration, inForce: configuration, digest, text, documentRequest: undefined,
 			},
 		},
 		effects: [
 			{
 				type: 'log', decision: {
-					type: 'configuration', revision: configuration.revision, accepted: true, code: codes.done, reason: words(source),
+					type: 'configuration', revision: configuration.revision, accepted: true, code: codes.done, reason: describeSource(source),
 				},
 			},
 			{type: 'raise', event: {type: 'configuration-adopted', configuration, before}},
--- a/src/core/features/configuration/queries.ts
+++ b/src/core/features/configuration/queries.ts
@@ -15,11 +15,11 @@
 /** Derived from a document once; the document itself never changes. */
 const indexes = new WeakMap<Configuration, Index>();
 
-function byId<T extends {readonly id: string}>(all: readonly T[]): ReadonlyMap<string, T> {
+function indexById<T extends {readonly id: string}>(all: readonly T[]): ReadonlyMap<string, T> {
 	return new Map(all.map(each => [each.id, each]));
 }
 
-function servingUpstreams(configuration: Configuration): Index['serving'] {
+function groupServingUpstreams(configuration: Configuration): Index['serving'] {
 	const serving = new Map<string, Map<string, Upstream[]>>();
 	for (const each of configuration.upstreams) {
 		if (each.kind === 'legacy') {
@@ -36,24 +36,24 @@
 	return serving;
 }
 
-function index(configuration: Configuration): Index {
-	const known = indexes.get(configuration);
-	if (known !== undefined) {
-		return known;
+function getIndex(configuration: Configuration): Index {
+	const cached = indexes.get(configuration);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	const made: Index = {
-		services: byId(configuration.services),
-		organisations: byId(configuration.organisations),
-		upstreams: byId(configuration.upstreams),
-		serving: servingUpstreams(configuration),
+	const created: Index = {
+		services: indexById(configuration.services),
+		organisations: indexById(configuration.organisations),
+		upstreams: indexById(configuration.upstreams),
+		serving: groupServingUpstreams(configuration),
 	};
-	indexes.set(configuration, made);
-	return made;
+	indexes.set(configuration, created);
+	return created;
 }
 
-function current(state: State): Index | undefined {
-	return state.configuration.inForce === undefined ? undefined : index(state.configuration.inForce);
+function getCurrentIndex(state: State): Index | undefined {
+	return state.configuration.inForce === undefined ? undefined : getIndex(state.configuration.inForce);
 }
 
 /**
@@ -70,7 +70,7 @@
  * @returns The service, if the configuration has it.
  */
 export function service(state: State, id: string): Service | undefined {
-	return current(state)?.services.get(id);
+	return getCurrentIndex(state)?.services.get(id);
 }
 
 /**
@@ -79,7 +79,7 @@
  * @returns The organisation, if the configuration has it.
  */
 export function organisation(state: State, id: string): Organisation | undefined {
-	return current(state)?.organisations.get(id);
+	return getCurrentIndex(state)?.organisations.get(id);
 }
 
 /**
@@ -88,7 +88,7 @@
  * @returns The upstream, if the configuration has it.
  */
 export function upstream(state: State, id: string): Upstream | undefined {
-	return current(state)?.upstreams.get(id);
+	return getCurrentIndex(state)?.upstreams.get(id);
 }
 
 /**
@@ -107,5 +107,5 @@
  * @returns Upstreams of the service there, those of the old scripts left out.
  */
 export function domainUpstreams(state: State, id: string, failureDomain: string): readonly Upstream[] {
-	return current(state)?.serving.get(id)?.get(failureDomain) ?? [];
+	return getCurrentIndex(state)?.serving.get(id)?.get(failureDomain) ?? [];
 }
--- a/src/core/features/configuration/types.ts
+++ b/src/core/features/configuration/types.ts
@@ -3,7 +3,7 @@
 import {type Configuration} from '../../types/configuration.js';
 
 /** A document that a peer was asked for. */
-export type Inquiry = {
+export type DocumentRequest = {
 	readonly host: string;
 	readonly revision: number;
 	/** Monotonic time in milliseconds. */
@@ -16,11 +16,11 @@
 	readonly digest: string;
 	readonly text: string;
 	/** The document asked for last, until it has come. */
-	readonly inquiry?: Inquiry;
+	readonly documentRequest?: DocumentRequest;
 	/** Monotonic time in milliseconds until which a peer whose document was not valid is not asked. */
 	readonly refusedUntil: Table<string, number>;
 	/** Peers that were seen with other content of the same revision, as `host/revision`. */
-	readonly alarmed?: string;
+	readonly reportedMismatch?: string;
 };
 
 export const initialConfiguration: ConfigurationState = {digest: '', text: '', refusedUntil: Table()};
--- a/src/core/features/membership/commands/peers.ts
+++ b/src/core/features/membership/commands/peers.ts
@@ -4,7 +4,7 @@
 import {type State, type Step} from '../../../types/state.js';
 import {trim} from '../../../utils/bounded.js';
 import {chain, only} from '../../../utils/common.js';
-import {peerLimit, replacedGrace} from '../constants.js';
+import {peerLimit, replacedGraceMs} from '../constants.js';
 import {type MembershipState, type Peer} from '../types.js';
 
 /**
@@ -12,11 +12,11 @@
  * @param changes - Fields of membership that change.
  * @returns The next state.
  */
-export function update(state: State, changes: Partial<MembershipState>): State {
+export function updateMembership(state: State, changes: Partial<MembershipState>): State {
 	return {...state, membership: {...state.membership, ...changes}};
 }
 
-function loadsOf(peer: Peer | undefined): Table<string, Load> {
+function getLiveLoads(peer: Peer | undefined): Table<string, Load> {
 	return peer?.status === 'live' ? peer.loads : Table();
 }
 
@@ -37,9 +37,9 @@
 export function putPeer(state: State, peer: Peer): State {
 	const {host} = peer.member.incarnation;
 	const {peers, work} = state.membership;
-	const before = loadsOf(peers.get(host));
-	const after = loadsOf(peer);
-	return update(state, {
+	const before = getLiveLoads(peers.get(host));
+	const after = getLiveLoads(peer);
+	return updateMembership(state, {
 		peers: peers.set(host, peer),
 		work: before === after ? work : addWork(addWork(work, before, -1), after, 1),
 	});
@@ -50,16 +50,16 @@
  * @param host - Host to forget.
  * @returns The next state.
  */
-export function dropPeer(state: State, host: string): State {
-	const {peers, told, work} = state.membership;
-	return update(state, {
+export function removePeer(state: State, host: string): State {
+	const {peers, relayedSequences, work} = state.membership;
+	return updateMembership(state, {
 		peers: peers.delete(host),
-		told: told.delete(host),
-		work: addWork(work, loadsOf(peers.get(host)), -1),
+		relayedSequences: relayedSequences.delete(host),
+		work: addWork(work, getLiveLoads(peers.get(host)), -1),
 	});
 }
 
-function fresh(member: Member, now: number): Peer {
+function createPeer(member: Member, now: number): Peer {
 	return {
 		member,
 		phase: 'starting',
@@ -84,7 +84,7 @@
  * @param reason - Why.
  * @returns The effect that logs it.
  */
-export function memberLog(host: string, change: string, reason: string) {
+export function createMemberLog(host: string, change: string, reason: string) {
 	return {
 		type: 'log', decision: {
 			type: 'member', host, change, reason,
@@ -92,15 +92,15 @@
 	} as const;
 }
 
-function departed(host: string, started: number, reason: string) {
+function createDepartureEffects(host: string, started: number, reason: string) {
 	return [
-		memberLog(host, 'replaced', reason),
+		createMemberLog(host, 'replaced', reason),
 		{type: 'raise', event: {type: 'peer-departed', incarnation: {host, started}}},
 	] as const;
 }
 
 /** A host at the same address with an older start: two processes cannot listen at one address. */
-function displace(state: State, member: Member): Step {
+function removeAtSameAddress(state: State, member: Member): Step {
 	const {host, port} = member.peerAddress;
 	const old = [...state.membership.peers.values()].find(peer =>
 		peer.member.peerAddress.port === port
@@ -112,30 +112,30 @@
 	}
 
 	const {incarnation} = old.member;
-	const next = update(dropPeer(state, incarnation.host), {newest: state.membership.newest.set(incarnation.host, member.incarnation.started)});
-	return {state: next, effects: departed(incarnation.host, incarnation.started, `${member.incarnation.host} is at its address`)};
+	const next = updateMembership(removePeer(state, incarnation.host), {newestStarts: state.membership.newestStarts.set(incarnation.host, member.incarnation.started)});
+	return {state: next, effects: createDepartureEffects(incarnation.host, incarnation.started, `${member.incarnation.host} is at its address`)};
 }
 
-function add(state: State, member: Member, now: number): Step {
+function insertMember(state: State, member: Member, now: number): Step {
 	const {host, started} = member.incarnation;
 	const before = state.membership.peers.get(host);
-	const newest = trim(state.membership.newest.set(host, started), peerLimit * 2, value => value);
+	const newestStarts = trim(state.membership.newestStarts.set(host, started), peerLimit * 2, value => value);
 	// The newer incarnation is dialled anew: its address may be another one.
-	const next = update(putPeer(state, fresh(member, now)), {newest, asked: state.membership.asked.delete(host), told: state.membership.told.delete(host)});
+	const next = updateMembership(putPeer(state, createPeer(member, now)), {newestStarts, asked: state.membership.asked.delete(host), relayedSequences: state.membership.relayedSequences.delete(host)});
 	return before === undefined
-		? {state: next, effects: [memberLog(host, 'learnt', `of ${member.failureDomain}`)]}
-		: {state: next, effects: departed(host, before.member.incarnation.started, 'a newer incarnation was seen')};
+		? {state: next, effects: [createMemberLog(host, 'learnt', `of ${member.failureDomain}`)]}
+		: {state: next, effects: createDepartureEffects(host, before.member.incarnation.started, 'a newer incarnation was seen')};
 }
 
 /** This host was paused for so long that another took its name: it leaves as if asked to. */
-function replaced(state: State, member: Member): Step {
+function leaveAsReplaced(state: State, member: Member): Step {
 	return state.membership.phase === 'leaving'
 		? only(state)
 		: {
 			state,
 			effects: [
-				memberLog(member.incarnation.host, 'replaced', 'a newer incarnation of this host was seen'),
-				{type: 'raise', event: {type: 'stop-asked', grace: replacedGrace}},
+				createMemberLog(member.incarnation.host, 'replaced', 'a newer incarnation of this host was seen'),
+				{type: 'raise', event: {type: 'stop-asked', grace: replacedGraceMs}},
 			],
 		};
 }
@@ -148,17 +148,17 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function learn(state: State, member: Member, now: number): Step {
+export function addMember(state: State, member: Member, now: number): Step {
 	const {host, started} = member.incarnation;
-	const {peers, newest} = state.membership;
+	const {peers, newestStarts} = state.membership;
 	if (host === state.self.incarnation.host) {
-		return started > state.self.incarnation.started ? replaced(state, member) : only(state);
+		return started > state.self.incarnation.started ? leaveAsReplaced(state, member) : only(state);
 	}
 
-	const seen = newest.get(host) ?? 0;
-	if (started < seen || (started === seen && peers.has(host)) || (!peers.has(host) && peers.size >= peerLimit)) {
+	const newestStart = newestStarts.get(host) ?? 0;
+	if (started < newestStart || (started === newestStart && peers.has(host)) || (!peers.has(host) && peers.size >= peerLimit)) {
 		return only(state);
 	}
 
-	return chain(state, current => displace(current, member), current => add(current, member, now));
+	return chain(state, current => removeAtSameAddress(current, member), current => insertMember(current, member, now));
 }
--- a/src/core/features/membership/commands/phase.ts
+++ b/src/core/features/membership/commands/phase.ts
@@ -4,27 +4,27 @@
 import {revision} from '../../configuration/queries.js';
 import {isIdle} from '../../requests/queries.js';
 import {
-	adoptionWait, leavingLinger, peersWait,
+	adoptionTimeoutMs, minLeavingTimeMs, peerAnswerTimeoutMs,
 } from '../constants.js';
-import {beatNow} from './beat.js';
-import {memberLog, update} from './peers.js';
+import {sendHeartbeatNow} from './send-heartbeat.js';
+import {createMemberLog, updateMembership} from './peers.js';
 
 /** Peers are asked before serving, so that a stale platform does not take a restarted host back. */
-function isAnswered(state: State, now: number): boolean {
+function hasConsultedPeers(state: State, now: number): boolean {
 	const {peers, seeds, began = now} = state.membership;
-	const held = revision(state);
-	const all = [...peers.values()];
+	const ownRevision = revision(state);
+	const allPeers = [...peers.values()];
 	const waited = now - began;
-	if (waited >= adoptionWait) {
+	if (waited >= adoptionTimeoutMs) {
 		return true;
 	}
 
-	if (all.some(peer => peer.status === 'live' && peer.revision > held)) {
+	if (allPeers.some(peer => peer.status === 'live' && peer.revision > ownRevision)) {
 		return false;
 	}
 
-	const isEveryoneHeard = all.every(peer => peer.status !== 'known') && seeds.isEmpty();
-	return isEveryoneHeard || waited >= peersWait;
+	const hasEveryPeerResponded = allPeers.every(peer => peer.status !== 'known') && seeds.isEmpty();
+	return hasEveryPeerResponded || waited >= peerAnswerTimeoutMs;
 }
 
 /**
@@ -35,14 +35,14 @@
  * @returns The next step.
  */
 export function serveWhenReady(state: State, context: Context): Step {
-	if (state.membership.phase !== 'starting' || revision(state) === 0 || !isAnswered(state, context.now)) {
+	if (state.membership.phase !== 'starting' || revision(state) === 0 || !hasConsultedPeers(state, context.now)) {
 		return only(state);
 	}
 
 	return chain(
-		update(state, {phase: 'serving'}),
+		updateMembership(state, {phase: 'serving'}),
 		current => ({state: current, effects: [{type: 'ready', ready: true}]}),
-		current => beatNow(current, context),
+		current => sendHeartbeatNow(current, context),
 	);
 }
 
@@ -54,27 +54,27 @@
  * @param context - Time.
  * @returns The next step.
  */
-export function leave(state: State, grace: number, context: Context): Step {
+export function startLeaving(state: State, grace: number, context: Context): Step {
 	const {now} = context;
 	if (state.membership.phase === 'leaving') {
 		return only(state);
 	}
 
 	return chain(
-		update(state, {phase: 'leaving', leaving: {since: now, until: now + grace}}),
+		updateMembership(state, {phase: 'leaving', leaving: {since: now, until: now + grace}}),
 		current => ({
 			state: current,
 			effects: [
 				{type: 'ready', ready: false},
-				memberLog(state.self.incarnation.host, 'leaving', `running requests get ${grace} ms`),
+				createMemberLog(state.self.incarnation.host, 'leaving', `running requests get ${grace} ms`),
 			],
 		}),
-		current => beatNow(current, context),
+		current => sendHeartbeatNow(current, context),
 	);
 }
 
 /** Answers that other hosts give through this one count as much as its own. */
-function hasNothingLeft(state: State): boolean {
+function isDrained(state: State): boolean {
 	const {forwards, followers} = state.tickets;
 	return isIdle(state) && forwards.isEmpty() && followers.isEmpty();
 }
@@ -84,13 +84,13 @@
  * @param now - Monotonic time in milliseconds.
  * @returns A step that stops this host once it leaves and is idle, or its grace is over.
  */
-export function stopWhenIdle(state: State, now: number): Step {
+export function stopWhenDrained(state: State, now: number): Step {
 	const {leaving} = state.membership;
 	if (leaving === undefined) {
 		return only(state);
 	}
 
-	const isLingering = now < leaving.since + leavingLinger;
-	const isOver = now >= leaving.until || (hasNothingLeft(state) && !isLingering);
-	return isOver ? {state, effects: [{type: 'stopped'}]} : only(state);
+	const isTooEarly = now < leaving.since + minLeavingTimeMs;
+	const canStop = now >= leaving.until || (isDrained(state) && !isTooEarly);
+	return canStop ? {state, effects: [{type: 'stopped'}]} : only(state);
 }
--- a/src/core/features/membership/commands/hear.ts
+++ b/src/core/features/membership/commands/receive.ts
@@ -7,15 +7,15 @@
 import {chain, only} from '../../../utils/common.js';
 import {type Heartbeat} from '../heartbeat.js';
 import {type Peer} from '../types.js';
-import {learn, memberLog, putPeer} from './peers.js';
+import {addMember, createMemberLog, putPeer} from './peers.js';
 
 type Hello = Extract<PeerMessage, {readonly type: 'hello'}>;
 
-function tableOf(loads: readonly Load[]): Table<string, Load> {
+function toLoadTable(loads: readonly Load[]): Table<string, Load> {
 	return Table(loads.filter(load => load.requests > 0).map(load => [load.upstream, load]));
 }
 
-function applied(before: Table<string, Load>, changes: readonly Load[]): Table<string, Load> {
+function applyLoadChanges(before: Table<string, Load>, changes: readonly Load[]): Table<string, Load> {
 	return before.withMutations(next => {
 		for (const load of changes) {
 			if (load.requests > 0) {
@@ -28,16 +28,16 @@
 }
 
 /** A sign of life; a phase never goes back from leaving. */
-function alive(state: State, peer: Peer, phase: Phase, now: number): Step {
+function markLive(state: State, peer: Peer, phase: Phase, now: number): Step {
 	const {host} = peer.member.incarnation;
-	const kept = peer.phase === 'leaving' ? 'leaving' : phase;
+	const newPhase = peer.phase === 'leaving' ? 'leaving' : phase;
 	const next = putPeer(state, {
-		...peer, status: 'live', heard: now, phase: kept, changed: kept === peer.phase && peer.status !== 'suspect' ? peer.changed : now,
+		...peer, status: 'live', heard: now, phase: newPhase, changed: newPhase === peer.phase && peer.status !== 'suspect' ? peer.changed : now,
 	});
-	const isBack = peer.status !== 'live';
-	const isChanged = kept !== peer.phase;
-	return isBack || isChanged
-		? {state: next, effects: [memberLog(host, isChanged ? kept : 'live', isChanged ? 'it says so' : `was ${peer.status}`)]}
+	const isRecovered = peer.status !== 'live';
+	const isChanged = newPhase !== peer.phase;
+	return isRecovered || isChanged
+		? {state: next, effects: [createMemberLog(host, isChanged ? newPhase : 'live', isChanged ? 'it says so' : `was ${peer.status}`)]}
 		: only(next);
 }
 
@@ -47,22 +47,22 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function hearHello(state: State, hello: Hello, now: number): Step {
+export function applyHello(state: State, hello: Hello, now: number): Step {
 	const {member, phase, revision} = hello;
 	const {host, started} = member.incarnation;
 	return chain(
 		state,
-		current => learn(current, member, now),
+		current => addMember(current, member, now),
 		current => {
 			const peer = current.membership.peers.get(host);
-			return peer?.member.incarnation.started === started ? alive(current, {...peer, revision: Math.max(peer.revision, revision)}, phase, now) : only(current);
+			return peer?.member.incarnation.started === started ? markLive(current, {...peer, revision: Math.max(peer.revision, revision)}, phase, now) : only(current);
 		},
 	);
 }
 
-function take(peer: Peer, heartbeat: Heartbeat): Peer {
+function updatePeer(peer: Peer, heartbeat: Heartbeat): Peer {
 	const isNext = peer.isWhole && heartbeat.sequence === peer.sequence + 1;
-	const loads = heartbeat.whole ? tableOf(heartbeat.loads) : (isNext ? applied(peer.loads, heartbeat.loads) : peer.loads);
+	const loads = heartbeat.whole ? toLoadTable(heartbeat.loads) : (isNext ? applyLoadChanges(peer.loads, heartbeat.loads) : peer.loads);
 	return {
 		...peer,
 		sequence: heartbeat.sequence,
@@ -76,23 +76,23 @@
 }
 
 /** Only over the link of the incarnation that is known: an older one's link may still be open. */
-function takeOwn(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
+function applyOwnState(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
 	const peer = state.membership.peers.get(from);
 	return peer?.connected !== true || heartbeat.sequence < peer.sequence
 		? only(state)
-		: alive(state, take(peer, heartbeat), heartbeat.phase, now);
+		: markLive(state, updatePeer(peer, heartbeat), heartbeat.phase, now);
 }
 
 /** Another host lost its link to the peer, and this host has heard of nothing since. */
-function doubt(state: State, peer: Peer, now: number): Step {
+function markSuspect(state: State, peer: Peer, now: number): Step {
 	return {
 		state: putPeer(state, {...peer, status: 'suspect', changed: now}),
-		effects: [memberLog(peer.member.incarnation.host, 'suspect', 'another host lost its link')],
+		effects: [createMemberLog(peer.member.incarnation.host, 'suspect', 'another host lost its link')],
 	};
 }
 
 /** A digest counts only where there is no link, and only when it is newer than what is known. */
-function takeRelayed(state: State, digest: Digest, now: number): Step {
+function applyDigest(state: State, digest: Digest, now: number): Step {
 	const {host, started} = digest.incarnation;
 	const peer = state.membership.peers.get(host);
 	if (peer === undefined || peer.connected || peer.member.incarnation.started !== started) {
@@ -100,18 +100,18 @@
 	}
 
 	if (digest.silent === true) {
-		return digest.sequence >= peer.sequence && peer.status === 'live' ? doubt(state, peer, now) : only(state);
+		return digest.sequence >= peer.sequence && peer.status === 'live' ? markSuspect(state, peer, now) : only(state);
 	}
 
 	if (digest.sequence <= peer.sequence) {
 		return only(state);
 	}
 
-	return alive(state, {
+	return markLive(state, {
 		...peer,
 		sequence: digest.sequence,
 		isWhole: false,
-		loads: tableOf(digest.loads),
+		loads: toLoadTable(digest.loads),
 		revision: digest.revision,
 		demands: digest.demands,
 		mixes: digest.mixes ?? peer.mixes,
@@ -125,11 +125,11 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function hearHeartbeat(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
+export function applyHeartbeat(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
 	return chain(
 		state,
-		current => takeOwn(current, from, heartbeat, now),
-		...heartbeat.members.map(member => (current: State) => learn(current, member, now)),
-		...heartbeat.relayed.map(digest => (current: State) => takeRelayed(current, digest, now)),
+		current => applyOwnState(current, from, heartbeat, now),
+		...heartbeat.members.map(member => (current: State) => addMember(current, member, now)),
+		...heartbeat.relayed.map(digest => (current: State) => applyDigest(current, digest, now)),
 	);
 }
--- /dev/null
+++ b/src/core/features/membership/commands/send-heartbeat.ts
@@ -0,0 +1,100 @@
+/** Sends heartbeats: at fixed times, and at once when this host's phase or revision changes. */
+import {Map as Table} from 'immutable';
+import {type Effect} from '../../../types/effect.js';
+import {type Load} from '../../../types/peer.js';
+import {type Context, type State, type Step} from '../../../types/state.js';
+import {only} from '../../../utils/common.js';
+import {
+	heartbeatIntervalMs,
+	heartbeatsPerOtherDomainHeartbeat,
+	maxFirstMembers,
+	fullMeshLimit,
+	slowHeartbeatIntervalMs,
+	heartbeatsPerFullHeartbeat,
+} from '../constants.js';
+import {
+	selectChangedLoads, composeHeartbeat, ownLoads, selectPeersForOtherDomains, selectPeersForOwnDomain,
+} from '../heartbeat.js';
+import {type Peer} from '../types.js';
+import {updateMembership} from './peers.js';
+
+function isInOwnDomain(state: State, peer: Peer): boolean {
+	return peer.member.failureDomain === state.self.failureDomain;
+}
+
+function updateSentLoads(before: Table<string, Load>, loads: readonly Load[], isFull: boolean): Table<string, Load> {
+	const entries = loads.map((load): [string, Load] => [load.upstream, load]);
+	return isFull ? Table(entries) : before.merge(Table(entries)).filter(load => load.requests > 0);
+}
+
+function sendHeartbeat(state: State, context: Context, isUrgent: boolean): Step {
+	const {now} = context;
+	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
+	const sequence = state.membership.sequence + 1;
+	const isFull = sequence % heartbeatsPerFullHeartbeat === 0;
+	const loads = ownLoads(state);
+	const loadsToSend = isFull ? loads : selectChangedLoads(state, loads);
+	const interval = linked.length > fullMeshLimit ? slowHeartbeatIntervalMs : heartbeatIntervalMs;
+	const relayed = selectPeersForOwnDomain(state, now);
+	const next = updateMembership(state, {
+		sequence,
+		nextHeartbeat: now + interval,
+		sentLoads: updateSentLoads(state.membership.sentLoads, loadsToSend, isFull),
+		relayedSequences: state.membership.relayedSequences.merge(relayed.map(peer => [peer.member.incarnation.host, peer.sequence])),
+	});
+	const ownDomainMessage = composeHeartbeat(next, context, {loads: loadsToSend, whole: isFull, relayed});
+	const otherDomainMessage = composeHeartbeat(next, context, {whole: true, relayed: selectPeersForOtherDomains(next, now)});
+	const isOtherDomainDue = isUrgent || sequence % heartbeatsPerOtherDomainHeartbeat === 0;
+	const effects: Effect[] = [];
+	for (const peer of linked) {
+		if (isInOwnDomain(state, peer)) {
+			effects.push({type: 'peer-send', to: peer.member.incarnation.host, message: ownDomainMessage});
+		} else if (isOtherDomainDue) {
+			effects.push({type: 'peer-send', to: peer.member.incarnation.host, message: otherDomainMessage});
+		}
+	}
+
+	return {state: next, effects};
+}
+
+/**
+ * @param state - Core state.
+ * @param context - Time.
+ * @returns The next step; without change between two heartbeats.
+ */
+export function sendDueHeartbeat(state: State, context: Context): Step {
+	return context.now < state.membership.nextHeartbeat ? only(state) : sendHeartbeat(state, context, false);
+}
+
+/**
+ * @param state - Core state.
+ * @param context - Time.
+ * @returns A step that sends a heartbeat to every link at once.
+ */
+export function sendHeartbeatNow(state: State, context: Context): Step {
+	return sendHeartbeat(state, context, true);
+}
+
+/**
+ * The first heartbeat on a new link: the whole work as the others were told, and many members.
+ *
+ * @param state - Core state.
+ * @param host - Peer that was linked.
+ * @param context - Time.
+ * @returns The next step.
+ */
+export function sendFirstHeartbeat(state: State, host: string, context: Context): Step {
+	const {peers, sentLoads} = state.membership;
+	const peer = peers.get(host);
+	if (peer === undefined) {
+		return only(state);
+	}
+
+	const loads = isInOwnDomain(state, peer) ? [...sentLoads.values()] : undefined;
+	const members = [...peers.values()]
+		.filter(each => each.status !== 'gone')
+		.slice(0, maxFirstMembers)
+		.map(each => each.member);
+	const message = {...composeHeartbeat(state, context, {loads, whole: true, relayed: []}), members};
+	return {state, effects: [{type: 'peer-send', to: host, message}]};
+}
--- a/src/core/features/membership/commands/sweep.ts
+++ b/src/core/features/membership/commands/sweep.ts
@@ -5,40 +5,40 @@
 import {type State, type Step} from '../../../types/state.js';
 import {chain, only} from '../../../utils/common.js';
 import {
-	directSilence,
-	farSilence,
-	forgetSilence,
-	goneSilence,
-	leftSilence,
-	relayedSilence,
-	sweepInterval,
+	linkedTimeoutMs,
+	otherDomainTimeoutMs,
+	removalTimeoutMs,
+	deadTimeoutMs,
+	leftRemovalTimeoutMs,
+	relayedTimeoutMs,
+	sweepIntervalMs,
 } from '../constants.js';
-import {wantedLinks} from '../links.js';
-import {type Peer, type Status} from '../types.js';
+import {selectLinks} from '../links.js';
+import {type Peer, type PeerStatus} from '../types.js';
 import {
-	dropPeer, learn, memberLog, putPeer, update,
+	removePeer, addMember, createMemberLog, putPeer, updateMembership,
 } from './peers.js';
 
-function allowedSilence(state: State, peer: Peer): number {
+function getSilenceTimeout(state: State, peer: Peer): number {
 	if (peer.connected) {
-		return directSilence;
+		return linkedTimeoutMs;
 	}
 
-	return peer.member.failureDomain === state.self.failureDomain ? relayedSilence : farSilence;
+	return peer.member.failureDomain === state.self.failureDomain ? relayedTimeoutMs : otherDomainTimeoutMs;
 }
 
-function statusOf(state: State, peer: Peer, now: number): Status {
+function determineStatus(state: State, peer: Peer, now: number): PeerStatus {
 	const silence = now - peer.heard;
 	if (peer.status === 'gone') {
 		return 'gone';
 	}
 
-	const allowed = allowedSilence(state, peer);
-	if (peer.status === 'live' && silence <= allowed) {
+	const timeout = getSilenceTimeout(state, peer);
+	if (peer.status === 'live' && silence <= timeout) {
 		return 'live';
 	}
 
-	if (silence > allowed + goneSilence) {
+	if (silence > timeout + deadTimeoutMs) {
 		// The platform's list keeps a host that nobody has heard of known, so that it is still dialled.
 		return peer.status === 'known' && state.membership.listed?.has(peer.member.incarnation.host) === true ? 'known' : 'gone';
 	}
@@ -46,17 +46,17 @@
 	return peer.status === 'known' ? 'known' : 'suspect';
 }
 
-function look(state: State, peer: Peer, now: number): Step {
+function sweepPeer(state: State, peer: Peer, now: number): Step {
 	const {host} = peer.member.incarnation;
-	const kept = peer.phase === 'leaving' ? leftSilence : forgetSilence;
-	if (now - peer.heard > kept && state.membership.listed?.has(host) !== true) {
-		return only(dropPeer(state, host));
+	const removalTimeout = peer.phase === 'leaving' ? leftRemovalTimeoutMs : removalTimeoutMs;
+	if (now - peer.heard > removalTimeout && state.membership.listed?.has(host) !== true) {
+		return only(removePeer(state, host));
 	}
 
-	const status = statusOf(state, peer, now);
+	const status = determineStatus(state, peer, now);
 	return status === peer.status
 		? only(state)
-		: {state: putPeer(state, {...peer, status}), effects: [memberLog(host, status, `silent for ${Math.round(now - peer.heard)} ms`)]};
+		: {state: putPeer(state, {...peer, status}), effects: [createMemberLog(host, status, `silent for ${Math.round(now - peer.heard)} ms`)]};
 }
 
 /**
@@ -66,30 +66,30 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function askLinks(state: State, now: number): Step {
+export function updateLinks(state: State, now: number): Step {
 	const {asked, linked} = state.membership;
-	const wanted = wantedLinks(state, now);
+	const wanted = selectLinks(state, now);
 	const names = Group(wanted.map(member => member.incarnation.host));
-	const given = asked.subtract(names);
+	const dropped = asked.subtract(names);
 	const missing = wanted.filter(({incarnation: {host}}) => !asked.has(host) && !linked.has(host));
-	if (given.isEmpty() && missing.length === 0) {
+	if (dropped.isEmpty() && missing.length === 0) {
 		return only(state);
 	}
 
 	const effects: Effect[] = [
-		...[...given].map(host => ({type: 'disconnect', host} as const)),
+		...[...dropped].map(host => ({type: 'disconnect', host} as const)),
 		...missing.map(({incarnation: {host}, peerAddress}) => ({type: 'connect', host, address: peerAddress} as const)),
 	];
 	const kept = asked.intersect(names).union(missing.map(member => member.incarnation.host));
-	let next = update(state, {asked: kept, linked: linked.subtract(given)});
-	for (const host of given) {
-		next = unlink(next, host);
+	let next = updateMembership(state, {asked: kept, linked: linked.subtract(dropped)});
+	for (const host of dropped) {
+		next = markDisconnected(next, host);
 	}
 
 	return {state: next, effects};
 }
 
-function unlink(state: State, host: string): State {
+function markDisconnected(state: State, host: string): State {
 	const peer = state.membership.peers.get(host);
 	return peer === undefined ? state : putPeer(state, {...peer, connected: false, isWhole: false});
 }
@@ -106,9 +106,9 @@
 
 	const peers = [...state.membership.peers.values()];
 	return chain(
-		update(state, {nextSweep: now + sweepInterval}),
-		...peers.map(peer => (current: State) => look(current, peer, now)),
-		current => askLinks(current, now),
+		updateMembership(state, {nextSweep: now + sweepIntervalMs}),
+		...peers.map(peer => (current: State) => sweepPeer(current, peer, now)),
+		current => updateLinks(current, now),
 	);
 }
 
@@ -121,14 +121,14 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function takeList(state: State, members: readonly Member[], leaving: readonly string[], now: number): Step {
+export function applyHostList(state: State, members: readonly Member[], leaving: readonly string[], now: number): Step {
 	const listed = Group(members.map(member => member.incarnation.host));
-	const isLeaving = new Set(leaving);
+	const leavingHosts = new Set(leaving);
 	return chain(
-		update(state, {listed, nextSweep: 0}),
-		...members.map(member => (current: State) => learn(current, member, now)),
+		updateMembership(state, {listed, nextSweep: 0}),
+		...members.map(member => (current: State) => addMember(current, member, now)),
 		...members
-			.filter(member => isLeaving.has(member.incarnation.host))
+			.filter(member => leavingHosts.has(member.incarnation.host))
 			.map(member => (current: State) => only(markLeaving(current, member, now))),
 	);
 }
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -9,23 +9,23 @@
 import {ownMixes} from '../routing/segments.js';
 import {publishedSuspicions} from '../suspicion/queries.js';
 import {
-	digestLength,
-	loadsTold,
-	membersTold,
-	meshDegree,
-	mixInterval,
-	newsTime,
-	relayedLoadsTold,
-	relayedTold,
-	suspicionsTold,
-	urgentTold,
-	wholeLoadsTold,
+	digestPrefixLength,
+	maxChangedLoads,
+	maxMembers,
+	fullMeshLimit,
+	heartbeatsPerPromptMix,
+	recentChangeWindowMs,
+	maxRelayedLoads,
+	maxRelayedPeers,
+	maxSuspicions,
+	maxRelayedChanges,
+	maxFullLoads,
 } from './constants.js';
 import {type Peer} from './types.js';
 
 export type Heartbeat = Extract<PeerMessage, {readonly type: 'heartbeat'}>;
 
-function weight(load: Load): number {
+function countTokens(load: Load): number {
 	return load.prefill + load.decode;
 }
 
@@ -47,7 +47,7 @@
 		}
 	}
 
-	return loads.toSorted((a, b) => weight(b) - weight(a)).slice(0, wholeLoadsTold);
+	return loads.toSorted((a, b) => countTokens(b) - countTokens(a)).slice(0, maxFullLoads);
 }
 
 /**
@@ -55,27 +55,27 @@
  * @param loads - This host's work in flight.
  * @returns The largest differences from what was told before; work that is over comes as zero.
  */
-export function changedLoads(state: State, loads: readonly Load[]): readonly Load[] {
-	const {announced} = state.membership;
-	const held = new Set(loads.map(load => load.upstream));
-	const over = [...announced.values()]
-		.filter(load => weight(load) > 0 && !held.has(load.upstream))
+export function selectChangedLoads(state: State, loads: readonly Load[]): readonly Load[] {
+	const {sentLoads} = state.membership;
+	const currentUpstreams = new Set(loads.map(load => load.upstream));
+	const finished = [...sentLoads.values()]
+		.filter(load => countTokens(load) > 0 && !currentUpstreams.has(load.upstream))
 		.map(load => ({
 			upstream: load.upstream, requests: 0, prefill: 0, decode: 0,
 		}));
-	return [...loads, ...over]
+	return [...loads, ...finished]
 		.map(load => {
-			const before = announced.get(load.upstream);
-			return {load, change: Math.abs(weight(load) - (before === undefined ? 0 : weight(before)))};
+			const before = sentLoads.get(load.upstream);
+			return {load, change: Math.abs(countTokens(load) - (before === undefined ? 0 : countTokens(before)))};
 		})
 		.filter(each => each.change > 0)
 		.toSorted((a, b) => b.change - a.change)
-		.slice(0, loadsTold)
+		.slice(0, maxChangedLoads)
 		.map(each => each.load);
 }
 
-function digestOf(peer: Peer, isFar: boolean): Digest {
-	const loads = isFar ? [] : [...peer.loads.values()].toSorted((a, b) => weight(b) - weight(a)).slice(0, relayedLoadsTold);
+function createDigest(peer: Peer, isForOtherDomain: boolean): Digest {
+	const loads = isForOtherDomain ? [] : [...peer.loads.values()].toSorted((a, b) => countTokens(b) - countTokens(a)).slice(0, maxRelayedLoads);
 	return {
 		incarnation: peer.member.incarnation,
 		sequence: peer.sequence,
@@ -84,19 +84,19 @@
 		...(peer.status === 'suspect' && {silent: true}),
 		loads,
 		demands: peer.demands,
-		...(!isFar && {mixes: peer.mixes}),
+		...(!isForOtherDomain && {mixes: peer.mixes}),
 	};
 }
 
 /** Round robin by heartbeat number, so that nothing has to be remembered for it. */
-function turn<T>(all: readonly T[], sequence: number, most: number): readonly T[] {
-	return all.length <= most
+function takeTurn<T>(all: readonly T[], sequence: number, limit: number): readonly T[] {
+	return all.length <= limit
 		? all
-		: Array.from({length: most}, (_, index) => all[((sequence * most) + index) % all.length]!);
+		: Array.from({length: limit}, (_, index) => all[((sequence * limit) + index) % all.length]!);
 }
 
-function urgent(peers: readonly Peer[], now: number): readonly Peer[] {
-	return peers.filter(peer => now - peer.changed < newsTime && peer.status !== 'known').slice(0, urgentTold);
+function selectChangedPeers(peers: readonly Peer[], now: number): readonly Peer[] {
+	return peers.filter(peer => now - peer.changed < recentChangeWindowMs && peer.status !== 'known').slice(0, maxRelayedChanges);
 }
 
 /**
@@ -107,25 +107,25 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The peers.
  */
-export function relayedNear(state: State, now: number): readonly Peer[] {
-	const {peers, told} = state.membership;
+export function selectPeersForOwnDomain(state: State, now: number): readonly Peer[] {
+	const {peers, relayedSequences} = state.membership;
 	const {failureDomain, incarnation} = state.self;
 	const all = [...peers.values()];
-	const near = all.filter(peer => peer.member.failureDomain === failureDomain && peer.status !== 'gone');
-	const isMesh = near.length <= meshDegree;
-	const own = hashText(incarnation.host);
+	const ownDomainPeers = all.filter(peer => peer.member.failureDomain === failureDomain && peer.status !== 'gone');
+	const isFullMesh = ownDomainPeers.length <= fullMeshLimit;
+	const ownHash = hashText(incarnation.host);
 	const due = all
-		.filter(peer => peer.status === 'live' && !(isMesh && peer.member.failureDomain === failureDomain))
+		.filter(peer => peer.status === 'live' && !(isFullMesh && peer.member.failureDomain === failureDomain))
 		.map(peer => ({
 			peer,
-			age: peer.sequence - (told.get(peer.member.incarnation.host) ?? 0),
-			order: mix(own, hashText(peer.member.incarnation.host)),
+			age: peer.sequence - (relayedSequences.get(peer.member.incarnation.host) ?? 0),
+			order: mix(ownHash, hashText(peer.member.incarnation.host)),
 		}))
 		.filter(each => each.age > 0)
 		.toSorted((a, b) => b.age - a.age || a.order - b.order)
-		.slice(0, relayedTold)
+		.slice(0, maxRelayedPeers)
 		.map(each => each.peer);
-	return [...new Set([...urgent(all, now), ...due])];
+	return [...new Set([...selectChangedPeers(all, now), ...due])];
 }
 
 /**
@@ -133,22 +133,22 @@
  * @param now - Monotonic time in milliseconds.
  * @returns Peers to pass on to other failure domains, in turn.
  */
-export function relayedFar(state: State, now: number): readonly Peer[] {
+export function selectPeersForOtherDomains(state: State, now: number): readonly Peer[] {
 	const all = [...state.membership.peers.values()];
 	const live = all.filter(peer => peer.status === 'live');
-	return [...new Set([...urgent(all, now), ...turn(live, state.membership.sequence, relayedTold)])];
+	return [...new Set([...selectChangedPeers(all, now), ...takeTurn(live, state.membership.sequence, maxRelayedPeers)])];
 }
 
-function news(state: State, now: number): readonly Member[] {
+function selectMembers(state: State, now: number): readonly Member[] {
 	const peers = [...state.membership.peers.values()].filter(peer => peer.status !== 'gone');
-	const fresh = peers.filter(peer => now - peer.learnt < newsTime).slice(0, membersTold);
+	const recent = peers.filter(peer => now - peer.learnt < recentChangeWindowMs).slice(0, maxMembers);
 	const {sequence} = state.membership;
-	const known = sequence % membersTold === 0 ? turn(peers, sequence / membersTold, 1) : [];
-	return [...new Set([...fresh, ...known])].map(peer => peer.member);
+	const rotated = sequence % maxMembers === 0 ? takeTurn(peers, sequence / maxMembers, 1) : [];
+	return [...new Set([...recent, ...rotated])].map(peer => peer.member);
 }
 
 /** What a heartbeat carries besides this host's own state. */
-export type Contents = {
+export type HeartbeatContents = {
 	/** Work to tell; undefined for another failure domain, which needs none. */
 	readonly loads?: readonly Load[];
 	/** Whether the loads are all there are. */
@@ -162,7 +162,7 @@
  * @param contents - What else it carries.
  * @returns The heartbeat.
  */
-export function composeHeartbeat(state: State, context: Context, contents: Contents): Heartbeat {
+export function composeHeartbeat(state: State, context: Context, contents: HeartbeatContents): Heartbeat {
 	const {loads, whole, relayed} = contents;
 	const {sequence} = state.membership;
 	return {
@@ -170,13 +170,13 @@
 		sequence,
 		phase: state.membership.phase,
 		revision: revision(state),
-		digest: state.configuration.digest.slice(0, digestLength),
+		digest: state.configuration.digest.slice(0, digestPrefixLength),
 		whole,
 		loads: loads ?? [],
 		demands: ownDemands(state, context.now),
-		...(sequence % mixInterval === 0 && {mixes: ownMixes(state, context.now)}),
-		suspicions: turn(publishedSuspicions(state, context), sequence, suspicionsTold),
-		members: news(state, context.now),
-		relayed: relayed.map(peer => digestOf(peer, loads === undefined)),
+		...(sequence % heartbeatsPerPromptMix === 0 && {mixes: ownMixes(state, context.now)}),
+		suspicions: takeTurn(publishedSuspicions(state, context), sequence, maxSuspicions),
+		members: selectMembers(state, context.now),
+		relayed: relayed.map(peer => createDigest(peer, loads === undefined)),
 	};
 }
--- a/src/core/features/membership/queries.ts
+++ b/src/core/features/membership/queries.ts
@@ -65,7 +65,7 @@
 export function isCertainlyGone(state: State, incarnation: Incarnation): boolean {
 	const {host, started} = incarnation;
 	const own = state.self.incarnation;
-	const newest = host === own.host ? own.started : state.membership.newest.get(host);
+	const newest = host === own.host ? own.started : state.membership.newestStarts.get(host);
 	return newest !== undefined && newest > started;
 }
 
--- a/src/core/features/membership/routes.ts
+++ b/src/core/features/membership/routes.ts
@@ -1,43 +1,43 @@
 /** Finds the way to a host without a link: greedy steps around the ring of its failure domain. */
 import {type Member} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
-import {farDomains, ring} from './links.js';
+import {selectLinkedDomains, sortByRing} from './links.js';
 import {type Peer} from './types.js';
 
 /** Hosts of the largest fleet that a message may pass on its way: around two rings and from one to the other. */
 export const longestRoute = 16;
 
-function inside(state: State, failureDomain: string): readonly Member[] {
+function buildRing(state: State, failureDomain: string): readonly Member[] {
 	const members = [...state.membership.peers.values()]
 		.filter(peer => peer.member.failureDomain === failureDomain && peer.status !== 'gone')
 		.map(peer => peer.member);
-	return ring(failureDomain === state.self.failureDomain ? [state.self, ...members] : members);
+	return sortByRing(failureDomain === state.self.failureDomain ? [state.self, ...members] : members);
 }
 
 /** Of the candidates the one that stands nearest to the target on the ring, either way around. */
-function nearest(around: readonly Member[], candidates: readonly Member[], target: Member): Member | undefined {
-	const goal = around.indexOf(target);
+function findNearest(ring: readonly Member[], candidates: readonly Member[], target: Member): Member | undefined {
+	const targetIndex = ring.indexOf(target);
 	const distance = (member: Member) => {
-		const apart = Math.abs(around.indexOf(member) - goal);
-		return Math.min(apart, around.length - apart);
+		const difference = Math.abs(ring.indexOf(member) - targetIndex);
+		return Math.min(difference, ring.length - difference);
 	};
 
-	return candidates.filter(member => around.includes(member)).toSorted((a, b) => distance(a) - distance(b))[0];
+	return candidates.filter(member => ring.includes(member)).toSorted((a, b) => distance(a) - distance(b))[0];
 }
 
-function within(state: State, linked: readonly Peer[], target: Member): Member | undefined {
+function findHopWithinDomain(state: State, linked: readonly Peer[], target: Member): Member | undefined {
 	const candidates = linked.map(peer => peer.member).filter(member => member.failureDomain === target.failureDomain);
-	return nearest(inside(state, target.failureDomain), candidates, target);
+	return findNearest(buildRing(state, target.failureDomain), candidates, target);
 }
 
 /** The host of this failure domain, nearest on the ring, that links the target's domain. */
-function gateway(state: State, target: Member): Member | undefined {
+function findBorderHost(state: State, target: Member): Member | undefined {
 	const {self} = state;
-	const own = inside(state, self.failureDomain);
+	const ownRing = buildRing(state, self.failureDomain);
 	const domains = new Set([...state.membership.peers.values()].map(peer => peer.member.failureDomain));
 	domains.delete(self.failureDomain);
-	const gates = own.filter(member => member !== self && farDomains(member.incarnation.host, [...domains]).includes(target.failureDomain));
-	return nearest(own, gates, self);
+	const borderHosts = ownRing.filter(member => member !== self && selectLinkedDomains(member.incarnation.host, [...domains]).includes(target.failureDomain));
+	return findNearest(ownRing, borderHosts, self);
 }
 
 /**
@@ -56,12 +56,12 @@
 	}
 
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected && peer.member.incarnation.host !== from);
-	const direct = within(state, linked, target.member);
-	if (direct !== undefined) {
-		return direct.incarnation.host;
+	const hop = findHopWithinDomain(state, linked, target.member);
+	if (hop !== undefined) {
+		return hop.incarnation.host;
 	}
 
-	const gate = gateway(state, target.member);
-	const step = gate === undefined ? undefined : linked.find(peer => peer.member === gate)?.member ?? within(state, linked, gate);
+	const borderHost = findBorderHost(state, target.member);
+	const step = borderHost === undefined ? undefined : linked.find(peer => peer.member === borderHost)?.member ?? findHopWithinDomain(state, linked, borderHost);
 	return (step ?? linked[0]?.member)?.incarnation.host;
 }
--- a/src/core/features/membership/types.ts
+++ b/src/core/features/membership/types.ts
@@ -8,12 +8,12 @@
  * Known: named by the platform or a peer, never heard. Live: heard of lately. Suspect: silent for a while.
  * Gone: silent for long, or left.
  */
-export type Status = 'known' | 'live' | 'suspect' | 'gone';
+export type PeerStatus = 'known' | 'live' | 'suspect' | 'gone';
 
 export type Peer = {
 	readonly member: Member;
 	readonly phase: Phase;
-	readonly status: Status;
+	readonly status: PeerStatus;
 	/** Whether this host has a link to it. */
 	readonly connected: boolean;
 	/** Monotonic times in milliseconds: of the last sign of life, of learning of it, of its last change of phase. */
@@ -45,7 +45,7 @@
 	/** Tokens that live peers have in flight, by upstream. */
 	readonly work: Table<string, number>;
 	/** Start of the newest incarnation seen, by host. */
-	readonly newest: Table<string, number>;
+	readonly newestStarts: Table<string, number>;
 	/** Hosts whose links this host has asked for. */
 	readonly asked: Group<string>;
 	/** Hosts that have a link to this one. */
@@ -57,25 +57,25 @@
 	/** Of the last heartbeat sent. */
 	readonly sequence: number;
 	/** Monotonic times of the next heartbeat and of the next look at the peers, in milliseconds. */
-	readonly nextBeat: number;
+	readonly nextHeartbeat: number;
 	readonly nextSweep: number;
 	/** Sequence number of each peer's state that was passed on last, by host. */
-	readonly told: Table<string, number>;
+	readonly relayedSequences: Table<string, number>;
 	/** This host's work as its domain was last told. */
-	readonly announced: Table<string, Load>;
+	readonly sentLoads: Table<string, Load>;
 };
 
 export const initialMembership: MembershipState = {
 	phase: 'starting',
 	peers: Table(),
 	work: Table(),
-	newest: Table(),
+	newestStarts: Table(),
 	asked: Group(),
 	linked: Group(),
 	seeds: Group(),
 	sequence: 0,
-	nextBeat: 0,
+	nextHeartbeat: 0,
 	nextSweep: 0,
-	told: Table(),
-	announced: Table(),
+	relayedSequences: Table(),
+	sentLoads: Table(),
 };
--- a/src/core/features/stops/feature.ts
+++ b/src/core/features/stops/feature.ts
@@ -5,27 +5,27 @@
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
 import {chain, only} from '../../utils/common.js';
-import {upstreamWindows} from './plan.js';
-import {dueStop} from './queries.js';
+import {scheduleUpstreamStops} from './plan.js';
+import {findDueStop} from './queries.js';
 
 /** Milliseconds between two looks. */
-const lookInterval = 500;
+const checkIntervalMs = 500;
 
-function stopUpstreams(state: State, wall: number): Step {
+function updateStoppingUpstreams(state: State, wall: number): Step {
 	const {inForce} = state.configuration;
-	const windows = inForce === undefined ? [] : upstreamWindows(inForce);
+	const windows = inForce === undefined ? [] : scheduleUpstreamStops(inForce);
 	const upstreams = Group(windows.filter(each => each.from <= wall && wall < each.until).map(each => each.target));
-	const began = upstreams.subtract(state.stops.upstreams);
-	const effects = [...began].map((target): Effect => ({type: 'log', decision: {type: 'stopping', target, reason: 'its planned stop has begun'}}));
+	const started = upstreams.subtract(state.stops.upstreams);
+	const effects = [...started].map((target): Effect => ({type: 'log', decision: {type: 'stopping', target, reason: 'its planned stop has begun'}}));
 	return upstreams.equals(state.stops.upstreams) ? only(state) : {state: {...state, stops: {...state.stops, upstreams}}, effects};
 }
 
-function stopSelf(state: State, {now, wall}: Context): Step {
+function stopOwnHost(state: State, {now, wall}: Context): Step {
 	if (state.membership.phase !== 'serving') {
 		return only(state);
 	}
 
-	const stop = dueStop(state, now, wall);
+	const stop = findDueStop(state, now, wall);
 	return stop === undefined
 		? only(state)
 		: {
@@ -37,13 +37,13 @@
 		};
 }
 
-function look(state: State, context: Context): Step {
-	return context.now < state.stops.nextLook
+function checkStops(state: State, context: Context): Step {
+	return context.now < state.stops.nextCheck
 		? only(state)
 		: chain(
-			{...state, stops: {...state.stops, nextLook: context.now + lookInterval}},
-			current => stopUpstreams(current, context.wall),
-			current => stopSelf(current, context),
+			{...state, stops: {...state.stops, nextCheck: context.now + checkIntervalMs}},
+			current => updateStoppingUpstreams(current, context.wall),
+			current => stopOwnHost(current, context),
 		);
 }
 
@@ -52,11 +52,11 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'tick': {
-				return look(state, context);
+				return checkStops(state, context);
 			}
 
 			case 'configuration-adopted': {
-				return stopUpstreams(state, context.wall);
+				return updateStoppingUpstreams(state, context.wall);
 			}
 
 			default: {
--- a/src/core/features/stops/plan.ts
+++ b/src/core/features/stops/plan.ts
@@ -2,7 +2,7 @@
 import {type Configuration, type PlannedStop, type Upstream} from '../../types/configuration.js';
 
 /** Time in which one target stops, in milliseconds since 1970, the end excluded. */
-export type Window = {
+export type StopWindow = {
 	readonly target: string;
 	readonly from: number;
 	readonly until: number;
@@ -13,28 +13,28 @@
  * @param kind - Kind of target.
  * @returns Its planned stops, the first to stop first.
  */
-export function inOrder(configuration: Configuration, kind: PlannedStop['target']['kind']): readonly PlannedStop[] {
+export function sortStops(configuration: Configuration, kind: PlannedStop['target']['kind']): readonly PlannedStop[] {
 	return configuration.plannedStops
 		.filter(stop => stop.target.kind === kind)
 		.toSorted((a, b) => a.notBefore - b.notBefore || (a.id < b.id ? -1 : 1));
 }
 
 /** Each stop takes the first lane that is free; there are as many lanes as may stop at a time. */
-function schedule(stops: readonly PlannedStop[], concurrent: number): readonly Window[] {
-	const lanes = Array.from({length: concurrent}, () => 0);
+function scheduleStops(stops: readonly PlannedStop[], concurrent: number): readonly StopWindow[] {
+	const slotEnds = Array.from({length: concurrent}, () => 0);
 	return stops.map(stop => {
-		const lane = lanes.indexOf(Math.min(...lanes));
-		const from = Math.max(stop.notBefore, lanes[lane]!);
-		lanes[lane] = from + stop.grace;
+		const slot = slotEnds.indexOf(Math.min(...slotEnds));
+		const from = Math.max(stop.notBefore, slotEnds[slot]!);
+		slotEnds[slot] = from + stop.grace;
 		return {target: stop.target.id, from, until: from + stop.grace};
 	});
 }
 
-function groupOf(upstream: Upstream): string {
+function getGroupKey(upstream: Upstream): string {
 	return `${upstream.service}/${upstream.failureDomain}`;
 }
 
-const plans = new WeakMap<Configuration, readonly Window[]>();
+const windowCache = new WeakMap<Configuration, readonly StopWindow[]>();
 
 /**
  * Upstreams of one service and failure domain stop one after another, or as many at a time as the rule allows, each for its
@@ -43,23 +43,23 @@
  * @param configuration - Document in force.
  * @returns When each upstream stops.
  */
-export function upstreamWindows(configuration: Configuration): readonly Window[] {
-	const known = plans.get(configuration);
-	if (known !== undefined) {
-		return known;
+export function scheduleUpstreamStops(configuration: Configuration): readonly StopWindow[] {
+	const cached = windowCache.get(configuration);
+	if (cached !== undefined) {
+		return cached;
 	}
 
 	const upstreams = new Map(configuration.upstreams.map(upstream => [upstream.id, upstream]));
 	const groups = new Map<string, PlannedStop[]>();
-	for (const stop of inOrder(configuration, 'upstream')) {
+	for (const stop of sortStops(configuration, 'upstream')) {
 		const upstream = upstreams.get(stop.target.id);
 		if (upstream !== undefined) {
-			const key = groupOf(upstream);
+			const key = getGroupKey(upstream);
 			groups.set(key, [...groups.get(key) ?? [], stop]);
 		}
 	}
 
-	const windows = [...groups.values()].flatMap(stops => schedule(stops, configuration.stopRule.concurrentUpstreams));
-	plans.set(configuration, windows);
+	const windows = [...groups.values()].flatMap(stops => scheduleStops(stops, configuration.stopRule.concurrentUpstreams));
+	windowCache.set(configuration, windows);
 	return windows;
 }
--- a/src/core/features/stops/queries.ts
+++ b/src/core/features/stops/queries.ts
@@ -2,13 +2,13 @@
 import {type PlannedStop} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
 import {type Peer} from '../membership/types.js';
-import {inOrder} from './plan.js';
+import {sortStops} from './plan.js';
 
 /** Silence after which a host that was to stop counts as stopped, though no newer incarnation came, in milliseconds. */
-const stoppedSilence = 30_000;
+const stoppedTimeoutMs = 30_000;
 
 /** Time that a newer incarnation gets until it serves, in milliseconds. */
-const startTime = 60_000;
+const startTimeoutMs = 60_000;
 
 /**
  * @param state - Core state.
@@ -20,12 +20,12 @@
 }
 
 /** A stop is over once a newer incarnation serves, or the host is gone for good. */
-function isOver(peer: Peer, stop: PlannedStop, now: number): boolean {
+function hasStopEnded(peer: Peer, stop: PlannedStop, now: number): boolean {
 	if (peer.member.incarnation.started < stop.notBefore) {
-		return peer.status === 'gone' && now - peer.heard > stoppedSilence;
+		return peer.status === 'gone' && now - peer.heard > stoppedTimeoutMs;
 	}
 
-	return (peer.status === 'live' && peer.phase === 'serving') || now - peer.learnt > startTime;
+	return (peer.status === 'live' && peer.phase === 'serving') || now - peer.learnt > startTimeoutMs;
 }
 
 /**
@@ -37,27 +37,27 @@
  * @param wall - Wall-clock time in milliseconds since 1970.
  * @returns The stop, if it is this host's turn.
  */
-export function dueStop(state: State, now: number, wall: number): PlannedStop | undefined {
+export function findDueStop(state: State, now: number, wall: number): PlannedStop | undefined {
 	const {self, configuration: {inForce}, membership: {peers}} = state;
 	if (inForce === undefined) {
 		return undefined;
 	}
 
-	const stops = inOrder(inForce, 'host');
+	const stops = sortStops(inForce, 'host');
 	const {host, started} = self.incarnation;
-	const place = stops.findIndex(stop => stop.target.id === host && stop.notBefore <= wall && started < stop.notBefore);
-	if (place === -1) {
+	const position = stops.findIndex(stop => stop.target.id === host && stop.notBefore <= wall && started < stop.notBefore);
+	if (position === -1) {
 		return undefined;
 	}
 
-	const isNear = (peer: Peer) => peer.member.failureDomain === self.failureDomain;
-	const earlier = stops.slice(0, place).flatMap(stop => {
+	const isInOwnDomain = (peer: Peer) => peer.member.failureDomain === self.failureDomain;
+	const earlier = stops.slice(0, position).flatMap(stop => {
 		const peer = peers.get(stop.target.id);
-		return peer !== undefined && isNear(peer) && !isOver(peer, stop, now) ? [stop.target.id] : [];
+		return peer !== undefined && isInOwnDomain(peer) && !hasStopEnded(peer, stop, now) ? [stop.target.id] : [];
 	});
 	const leaving = [...peers.values()]
-		.filter(peer => isNear(peer) && peer.phase === 'leaving' && peer.status !== 'gone')
+		.filter(peer => isInOwnDomain(peer) && peer.phase === 'leaving' && peer.status !== 'gone')
 		.map(peer => peer.member.incarnation.host);
 	const active = new Set([...earlier, ...leaving]);
-	return active.size < inForce.stopRule.concurrentHosts ? stops[place] : undefined;
+	return active.size < inForce.stopRule.concurrentHosts ? stops[position] : undefined;
 }
--- a/src/core/features/stops/types.ts
+++ b/src/core/features/stops/types.ts
@@ -5,7 +5,7 @@
 	/** Upstreams in their time to stop: they get no new work. */
 	readonly upstreams: Group<string>;
 	/** Monotonic time of the next look, in milliseconds. */
-	readonly nextLook: number;
+	readonly nextCheck: number;
 };
 
-export const initialStops: StopsState = {upstreams: Group(), nextLook: 0};
+export const initialStops: StopsState = {upstreams: Group(), nextCheck: 0};
--- a/src/core/features/suspicion/commands.ts
+++ b/src/core/features/suspicion/commands.ts
@@ -6,17 +6,17 @@
 import {only} from '../../utils/common.js';
 import {crashesOf, publishedSuspicions} from './queries.js';
 import {
-	confirmedLife, convictingCrashes, suspectLimit, unconfirmedLife, type Crash, type SuspicionState,
+	confirmedCrashLifetimeMs, convictionThreshold, suspectLimit, unconfirmedCrashLifetimeMs, type Crash, type SuspicionState,
 } from './types.js';
 
 /** Attempts at an upstream without reports that break within this time are taken for one crash, in milliseconds. */
-const crashWindow = 1000;
+const crashWindowMs = 1000;
 
-function update(state: State, part: Partial<SuspicionState>): State {
+function updateSuspicion(state: State, part: Partial<SuspicionState>): State {
 	return {...state, suspicion: {...state.suspicion, ...part}};
 }
 
-function changed(fingerprint: string, change: string, reason: string): Step['effects'] {
+function createLogEffects(fingerprint: string, change: string, reason: string): Step['effects'] {
 	return [{
 		type: 'log', decision: {
 			type: 'suspected', fingerprint, change, reason,
@@ -30,10 +30,10 @@
  * @param attempt - Its sending.
  * @returns The state with the attempt at its upstream.
  */
-export function depart(state: State, request: Request, attempt: Attempt): State {
+export function addRunningAttempt(state: State, request: Request, attempt: Attempt): State {
 	const {upstream, upstreamIncarnation, began} = attempt;
-	return update(state, {
-		flights: state.suspicion.flights.set(attempt.id, {
+	return updateSuspicion(state, {
+		runningAttempts: state.suspicion.runningAttempts.set(attempt.id, {
 			fingerprint: request.fingerprint, upstream, incarnation: upstreamIncarnation, began,
 		}),
 	});
@@ -44,22 +44,22 @@
  * @param attempt - Sending that is over.
  * @returns The state without it.
  */
-export function land(state: State, attempt: string): State {
-	return update(state, {flights: state.suspicion.flights.delete(attempt)});
+export function removeRunningAttempt(state: State, attempt: string): State {
+	return updateSuspicion(state, {runningAttempts: state.suspicion.runningAttempts.delete(attempt)});
 }
 
-function keepCrashes(state: State, keeps: (crash: Crash, fingerprint: string) => boolean): State {
+function filterCrashes(state: State, predicate: (crash: Crash, fingerprint: string) => boolean): State {
 	const crashes = state.suspicion.crashes
-		.map((list, fingerprint) => list.every(each => keeps(each, fingerprint)) ? list : list.filter(each => keeps(each, fingerprint)))
+		.map((list, fingerprint) => list.every(each => predicate(each, fingerprint)) ? list : list.filter(each => predicate(each, fingerprint)))
 		.filter(list => list.length > 0);
-	return update(state, {crashes});
+	return updateSuspicion(state, {crashes});
 }
 
-function crashOf(attempt: Attempt, {now, wall}: Context): Crash {
+function createCrash(attempt: Attempt, {now, wall}: Context): Crash {
 	const {upstream, upstreamIncarnation: incarnation} = attempt;
-	const moment = incarnation ?? `at-${Math.floor(wall / crashWindow)}`;
+	const moment = incarnation ?? `at-${Math.floor(wall / crashWindowMs)}`;
 	return {
-		id: `${upstream}/${moment}`, upstream, incarnation, at: now, expires: wall + unconfirmedLife,
+		id: `${upstream}/${moment}`, upstream, incarnation, at: now, expires: wall + unconfirmedCrashLifetimeMs,
 	};
 }
 
@@ -67,7 +67,7 @@
 function isExplained(state: State, crash: Crash, {fingerprint, began}: {readonly fingerprint: string; readonly began: number}, context: Context): boolean {
 	return state.suspicion.crashes.some((list, other) => other !== fingerprint
 		&& list.some(each => each.id === crash.id && each.at >= began)
-		&& crashesOf(state, other, context).size >= convictingCrashes);
+		&& crashesOf(state, other, context).size >= convictionThreshold);
 }
 
 /**
@@ -80,9 +80,9 @@
  * @param context - Time and random source.
  * @returns The next state and what is logged.
  */
-export function blame(state: State, request: Request, attempt: Attempt, context: Context): Step {
+export function recordCrash(state: State, request: Request, attempt: Attempt, context: Context): Step {
 	const {fingerprint} = request;
-	const crash = crashOf(attempt, context);
+	const crash = createCrash(attempt, context);
 	const before = state.suspicion.crashes.get(fingerprint) ?? [];
 	const isKnown = before.some(each => each.id === crash.id);
 	const isFull = before.length === 0 && state.suspicion.crashes.size >= suspectLimit;
@@ -90,14 +90,14 @@
 		return only(state);
 	}
 
-	const blamed = update(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
-	const convicted = crashesOf(blamed, fingerprint, context).size >= convictingCrashes;
-	return convicted
+	const next = updateSuspicion(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
+	const isConvicted = crashesOf(next, fingerprint, context).size >= convictionThreshold;
+	return isConvicted
 		? {
-			state: keepCrashes(blamed, (each, other) => other === fingerprint || each.id !== crash.id),
-			effects: changed(fingerprint, 'convicted', crash.id),
+			state: filterCrashes(next, (each, other) => other === fingerprint || each.id !== crash.id),
+			effects: createLogEffects(fingerprint, 'convicted', crash.id),
 		}
-		: {state: blamed, effects: changed(fingerprint, 'suspected', crash.id)};
+		: {state: next, effects: createLogEffects(fingerprint, 'suspected', crash.id)};
 }
 
 /**
@@ -108,7 +108,7 @@
  * @param context - Time and random source.
  * @returns The state as it was, and the message to each linked peer.
  */
-export function tell(state: State, fingerprint: string, context: Context): Step {
+export function broadcastSuspicion(state: State, fingerprint: string, context: Context): Step {
 	const suspicions = publishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	return {
@@ -127,14 +127,14 @@
  * @param attempt - The attempt that answered it.
  * @returns The next state and what is logged.
  */
-export function clear(state: State, request: Request, attempt: Attempt): Step {
+export function clearSuspicion(state: State, request: Request, attempt: Attempt): Step {
 	const {fingerprint} = request;
-	const wasSuspect = state.suspicion.crashes.has(fingerprint) || state.suspicion.heard.has(fingerprint);
-	const survived = keepCrashes(state, each => each.upstream !== attempt.upstream || each.at < attempt.began);
-	const {crashes, heard} = survived.suspicion;
+	const wasSuspect = state.suspicion.crashes.has(fingerprint) || state.suspicion.peerSuspicions.has(fingerprint);
+	const remaining = filterCrashes(state, each => each.upstream !== attempt.upstream || each.at < attempt.began);
+	const {crashes, peerSuspicions} = remaining.suspicion;
 	return {
-		state: wasSuspect ? update(survived, {crashes: crashes.delete(fingerprint), heard: heard.delete(fingerprint)}) : survived,
-		effects: wasSuspect ? changed(fingerprint, 'cleared', 'answered in full') : [],
+		state: wasSuspect ? updateSuspicion(remaining, {crashes: crashes.delete(fingerprint), peerSuspicions: peerSuspicions.delete(fingerprint)}) : remaining,
+		effects: wasSuspect ? createLogEffects(fingerprint, 'cleared', 'answered in full') : [],
 	};
 }
 
@@ -147,11 +147,11 @@
  * @returns The next state.
  */
 export function acquit(state: State, report: Report, {now}: Context): State {
-	const trueAt = now - report.age;
-	const survived = (crash: Crash): boolean => crash.upstream === report.upstream
+	const reportedAt = now - report.age;
+	const isDisproved = (crash: Crash): boolean => crash.upstream === report.upstream
 		&& crash.incarnation === report.incarnation
-		&& crash.at < trueAt;
-	return state.suspicion.crashes.isEmpty() ? state : keepCrashes(state, each => !survived(each));
+		&& crash.at < reportedAt;
+	return state.suspicion.crashes.isEmpty() ? state : filterCrashes(state, each => !isDisproved(each));
 }
 
 /**
@@ -161,13 +161,13 @@
  * @param context - Time and random source.
  * @returns The state with the crash held against its suspects for longer.
  */
-export function confirm(state: State, upstream: string, before: string, {wall}: Context): State {
-	const isIt = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
+export function confirmCrash(state: State, upstream: string, before: string, {wall}: Context): State {
+	const isSameCrash = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
 	const crashes = state.suspicion.crashes.map(list =>
-		list.some(crash => isIt(crash))
-			? list.map(crash => isIt(crash) ? {...crash, expires: wall + confirmedLife} : crash)
+		list.some(crash => isSameCrash(crash))
+			? list.map(crash => isSameCrash(crash) ? {...crash, expires: wall + confirmedCrashLifetimeMs} : crash)
 			: list);
-	return update(state, {crashes});
+	return updateSuspicion(state, {crashes});
 }
 
 /**
@@ -176,20 +176,20 @@
  * @param context - Time and random source.
  * @returns The state with it merged.
  */
-export function hear(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
-	let {heard} = state.suspicion;
+export function mergePeerSuspicions(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
+	let {peerSuspicions} = state.suspicion;
 	for (const {fingerprint, crashes, expires} of suspicions) {
-		const before = heard.get(fingerprint);
-		const isNew = before === undefined && heard.size >= suspectLimit;
+		const before = peerSuspicions.get(fingerprint);
+		const isNew = before === undefined && peerSuspicions.size >= suspectLimit;
 		if (!isNew && expires > wall) {
-			heard = heard.set(fingerprint, {
+			peerSuspicions = peerSuspicions.set(fingerprint, {
 				crashes: [...new Set([...(before !== undefined && before.expires > wall ? before.crashes : []), ...crashes])].slice(0, 8),
-				expires: Math.max(before?.expires ?? 0, Math.min(expires, wall + confirmedLife)),
+				expires: Math.max(before?.expires ?? 0, Math.min(expires, wall + confirmedCrashLifetimeMs)),
 			});
 		}
 	}
 
-	return heard === state.suspicion.heard ? state : update(state, {heard});
+	return peerSuspicions === state.suspicion.peerSuspicions ? state : updateSuspicion(state, {peerSuspicions});
 }
 
 /**
@@ -197,11 +197,11 @@
  * @param context - Time and random source.
  * @returns The state without what has expired.
  */
-export function forgetExpired(state: State, {wall}: Context): State {
-	const {crashes, heard} = state.suspicion;
-	if (crashes.isEmpty() && heard.isEmpty()) {
+export function removeExpired(state: State, {wall}: Context): State {
+	const {crashes, peerSuspicions} = state.suspicion;
+	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return state;
 	}
 
-	return keepCrashes(update(state, {heard: heard.filter(each => each.expires > wall)}), each => each.expires > wall);
+	return filterCrashes(updateSuspicion(state, {peerSuspicions: peerSuspicions.filter(each => each.expires > wall)}), each => each.expires > wall);
 }
--- a/src/core/features/suspicion/feature.ts
+++ b/src/core/features/suspicion/feature.ts
@@ -8,26 +8,26 @@
 } from '../../types/state.js';
 import {chain, only} from '../../utils/common.js';
 import {
-	acquit, blame, clear, confirm, depart, forgetExpired, hear, land, tell,
+	acquit, recordCrash, clearSuspicion, confirmCrash, addRunningAttempt, removeExpired, mergePeerSuspicions, removeRunningAttempt, broadcastSuspicion,
 } from './commands.js';
 
-function arrive(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: Context): Step {
-	const landed = land(state, attempt.id);
+function handleAttemptOver(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: Context): Step {
+	const next = removeRunningAttempt(state, attempt.id);
 	switch (ending.type) {
 		case 'unknown': {
 			return chain(
-				landed,
-				current => blame(current, request, attempt, context),
-				current => current === landed ? only(current) : tell(current, request.fingerprint, context),
+				next,
+				current => recordCrash(current, request, attempt, context),
+				current => current === next ? only(current) : broadcastSuspicion(current, request.fingerprint, context),
 			);
 		}
 
 		case 'done': {
-			return clear(landed, request, attempt);
+			return clearSuspicion(next, request, attempt);
 		}
 
 		default: {
-			return only(landed);
+			return only(next);
 		}
 	}
 }
@@ -37,11 +37,11 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'attempt-began': {
-				return only(depart(state, event.request, event.attempt));
+				return only(addRunningAttempt(state, event.request, event.attempt));
 			}
 
 			case 'attempt-over': {
-				return arrive(state, event, context);
+				return handleAttemptOver(state, event, context);
 			}
 
 			case 'report-received': {
@@ -49,17 +49,17 @@
 			}
 
 			case 'upstream-restarted': {
-				return only(confirm(state, event.upstream, event.before, context));
+				return only(confirmCrash(state, event.upstream, event.before, context));
 			}
 
 			case 'peer-message': {
 				const {message} = event;
-				const isNews = message.type === 'heartbeat' || message.type === 'suspected';
-				return only(isNews ? hear(state, message.suspicions, context) : state);
+				const hasSuspicions = message.type === 'heartbeat' || message.type === 'suspected';
+				return only(hasSuspicions ? mergePeerSuspicions(state, message.suspicions, context) : state);
 			}
 
 			case 'tick': {
-				return only(forgetExpired(state, context));
+				return only(removeExpired(state, context));
 			}
 
 			default: {
--- a/src/core/features/suspicion/queries.ts
+++ b/src/core/features/suspicion/queries.ts
@@ -5,10 +5,10 @@
 import {type Context, type State} from '../../types/state.js';
 import {firstChoices, hashText} from '../../utils/hashes.js';
 import {upstreamsFor} from '../takeover/queries.js';
-import {convictingCrashes, suspectChoices} from './types.js';
+import {convictionThreshold, suspectUpstreamLimit} from './types.js';
 
 /** Suspicions in one heartbeat. */
-const publishedMost = 64;
+const maxPublishedSuspicions = 64;
 
 /**
  * @param state - Core state.
@@ -18,10 +18,10 @@
  */
 export function crashesOf(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
-	const heard = state.suspicion.heard.get(fingerprint);
+	const peerSuspicion = state.suspicion.peerSuspicions.get(fingerprint);
 	return new Set([
 		...seen.filter(each => each.expires > wall).map(each => each.id),
-		...(heard !== undefined && heard.expires > wall ? heard.crashes : []),
+		...(peerSuspicion !== undefined && peerSuspicion.expires > wall ? peerSuspicion.crashes : []),
 	]);
 }
 
@@ -32,7 +32,7 @@
  * @returns Whether the request is to be refused anywhere.
  */
 export function isConvicted(state: State, fingerprint: string, context: Context): boolean {
-	return crashesOf(state, fingerprint, context).size >= convictingCrashes;
+	return crashesOf(state, fingerprint, context).size >= convictionThreshold;
 }
 
 /**
@@ -56,9 +56,9 @@
 export function suspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
 	const crashed = new Set([...crashesOf(state, request.fingerprint, context)].map(id => id.split('/')[0]));
 	const all = upstreamsFor(state, request);
-	const spared = all.filter(each => !crashed.has(each.id));
-	const members = (spared.length > 0 ? spared : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
-	return firstChoices(hashText(request.fingerprint), members, suspectChoices).map(each => each.upstream);
+	const notCrashed = all.filter(each => !crashed.has(each.id));
+	const members = (notCrashed.length > 0 ? notCrashed : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
+	return firstChoices(hashText(request.fingerprint), members, suspectUpstreamLimit).map(each => each.upstream);
 }
 
 /**
@@ -71,15 +71,15 @@
  * @returns Whether suspicion lets it run there now.
  */
 export function mayRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
-	const {flights, crashes, heard} = state.suspicion;
-	if (crashes.isEmpty() && heard.isEmpty()) {
+	const {runningAttempts, crashes, peerSuspicions} = state.suspicion;
+	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return true;
 	}
 
-	const suspectIsThere = flights.some(flight => flight.upstream === upstream
-		&& flight.fingerprint !== request.fingerprint
-		&& isSuspect(state, flight.fingerprint, context));
-	if (suspectIsThere) {
+	const isSuspectRunning = runningAttempts.some(running => running.upstream === upstream
+		&& running.fingerprint !== request.fingerprint
+		&& isSuspect(state, running.fingerprint, context));
+	if (isSuspectRunning) {
 		return false;
 	}
 
@@ -87,9 +87,9 @@
 		|| suspectUpstreams(state, request, context).some(each => each.id === upstream);
 }
 
-function expiryOf(state: State, fingerprint: string): number {
+function getExpiry(state: State, fingerprint: string): number {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
-	return Math.max(state.suspicion.heard.get(fingerprint)?.expires ?? 0, ...seen.map(each => each.expires));
+	return Math.max(state.suspicion.peerSuspicions.get(fingerprint)?.expires ?? 0, ...seen.map(each => each.expires));
 }
 
 /**
@@ -98,14 +98,14 @@
  * @returns What heartbeats tell peers, the gravest first.
  */
 export function publishedSuspicions(state: State, context: Context): readonly Suspicion[] {
-	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.heard.keys()]);
+	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.peerSuspicions.keys()]);
 	return [...fingerprints]
 		.map(fingerprint => ({
 			fingerprint,
 			crashes: [...crashesOf(state, fingerprint, context)],
-			expires: expiryOf(state, fingerprint),
+			expires: getExpiry(state, fingerprint),
 		}))
 		.filter(each => each.crashes.length > 0)
 		.toSorted((a, b) => b.crashes.length - a.crashes.length)
-		.slice(0, publishedMost);
+		.slice(0, maxPublishedSuspicions);
 }
--- a/src/core/features/suspicion/types.ts
+++ b/src/core/features/suspicion/types.ts
@@ -2,19 +2,19 @@
 import {Map as Table} from 'immutable';
 
 /** Distinct crashes after which a request is refused. */
-export const convictingCrashes = 2;
+export const convictionThreshold = 2;
 
 /** Upstreams a suspect may run at. */
-export const suspectChoices = 2;
+export const suspectUpstreamLimit = 2;
 
 /** Time a crash is held against a request: seen only as a broken connection, and confirmed, in milliseconds. */
-export const unconfirmedLife = 30_000;
-export const confirmedLife = 600_000;
+export const unconfirmedCrashLifetimeMs = 30_000;
+export const confirmedCrashLifetimeMs = 600_000;
 
 export const suspectLimit = 1000;
 
 /** An attempt that is at an upstream now. */
-export type Flight = {
+export type RunningAttempt = {
 	readonly fingerprint: string;
 	readonly upstream: string;
 	readonly incarnation?: string;
@@ -35,7 +35,7 @@
 };
 
 /** What peers hold against a request. */
-export type Hearsay = {
+export type PeerSuspicion = {
 	readonly crashes: readonly string[];
 	/** Wall-clock time in milliseconds since 1970. */
 	readonly expires: number;
@@ -43,11 +43,11 @@
 
 export type SuspicionState = {
 	/** By attempt. */
-	readonly flights: Table<string, Flight>;
+	readonly runningAttempts: Table<string, RunningAttempt>;
 	/** Crashes seen here, by fingerprint. */
 	readonly crashes: Table<string, readonly Crash[]>;
 	/** By fingerprint. */
-	readonly heard: Table<string, Hearsay>;
+	readonly peerSuspicions: Table<string, PeerSuspicion>;
 };
 
-export const initialSuspicion: SuspicionState = {flights: Table(), crashes: Table(), heard: Table()};
+export const initialSuspicion: SuspicionState = {runningAttempts: Table(), crashes: Table(), peerSuspicions: Table()};
--- a/src/core/utils/hashes.ts
+++ b/src/core/utils/hashes.ts
@@ -47,21 +47,21 @@
  *
  * @param key - Hash of what is placed.
  * @param members - Members with their hashes.
- * @param most - Number of members wanted.
+ * @param limit - Number of members wanted.
  * @returns Up to `most` members, the first choice first.
  */
-export function firstChoices<T extends {readonly hash: number}>(key: number, members: readonly T[], most: number): readonly T[] {
+export function firstChoices<T extends {readonly hash: number}>(key: number, members: readonly T[], limit: number): readonly T[] {
 	const chosen: Array<{readonly member: T; readonly weight: number}> = [];
 	for (const member of members) {
 		const weight = mix(key, member.hash);
-		const place = chosen.findIndex(each => each.weight < weight);
-		if (place !== -1) {
-			chosen.splice(place, 0, {member, weight});
-		} else if (chosen.length < most) {
+		const position = chosen.findIndex(each => each.weight < weight);
+		if (position !== -1) {
+			chosen.splice(position, 0, {member, weight});
+		} else if (chosen.length < limit) {
 			chosen.push({member, weight});
 		}
 
-		chosen.length = Math.min(chosen.length, most);
+		chosen.length = Math.min(chosen.length, limit);
 	}
 
 	return chosen.map(each => each.member);
--- a/src/core/utils/rates.ts
+++ b/src/core/utils/rates.ts
@@ -24,11 +24,11 @@
  * @param mean - Mean so far.
  * @param sample - Next sample.
  * @param now - Time of the sample, in milliseconds.
- * @param memory - Number of samples after which older ones fade.
+ * @param window - Number of samples after which older ones fade.
  * @returns The mean with the sample in it.
  */
-export function include(mean: Mean | undefined, sample: number, now: number, memory: number): Mean {
-	const count = Math.min((mean?.count ?? 0) + 1, memory);
+export function include(mean: Mean | undefined, sample: number, now: number, window: number): Mean {
+	const count = Math.min((mean?.count ?? 0) + 1, window);
 	const before = mean?.value ?? 0;
 	const distance = mean === undefined ? 0 : Math.abs(sample - before);
 	const spread = mean?.spread ?? 0;
@@ -41,23 +41,23 @@
  * @param rate - Rate so far.
  * @param amount - What came now.
  * @param now - Time, in milliseconds.
- * @param span - Time after which an amount counts a third, in milliseconds.
+ * @param timeConstant - Time after which an amount counts a third, in milliseconds.
  * @returns The rate with the amount in it.
  */
-export function increase(rate: Rate, amount: number, now: number, span: number): Rate {
-	return {amount: remaining(rate, now, span) + amount, at: now};
+export function increase(rate: Rate, amount: number, now: number, timeConstant: number): Rate {
+	return {amount: decayedAmount(rate, now, timeConstant) + amount, at: now};
 }
 
 /**
  * @param rate - Rate.
  * @param now - Time, in milliseconds.
- * @param span - Time after which an amount counts a third, in milliseconds.
+ * @param timeConstant - Time after which an amount counts a third, in milliseconds.
  * @returns Amount per second.
  */
-export function perSecond(rate: Rate, now: number, span: number): number {
-	return remaining(rate, now, span) * 1000 / span;
+export function perSecond(rate: Rate, now: number, timeConstant: number): number {
+	return decayedAmount(rate, now, timeConstant) * 1000 / timeConstant;
 }
 
-function remaining(rate: Rate, now: number, span: number): number {
-	return rate.amount * Math.exp((rate.at - now) / span);
+function decayedAmount(rate: Rate, now: number, timeConstant: number): number {
+	return rate.amount * Math.exp((rate.at - now) / timeConstant);
 }
