--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -1,8 +1,8 @@
-/** Result codes, their texts, and the one function that raises them. */
+/** Result codes, their texts, and the error that carries them. */
 
 /**
  * Result codes. 0 done, 1xxx the caller's input, 2xxx not run, 3xxx failed, 4xxx outcome unknown,
- * 5xxx configuration, 6xxx settings and start-up, 7xxx operators' tools, 8xxx peers and upstream orders.
+ * 5xxx configuration, 6xxx settings and startup, 7xxx operator tools, 8xxx peers and upstream orders, 9xxx internal errors.
  */
 export const codes = {
 	done: 0,
@@ -74,7 +74,7 @@
 export type CodeName = keyof typeof codes;
 export type Code = (typeof codes)[CodeName];
 
-/** What each code says to people. */
+/** Text of each code, shown to callers and operators. */
 export const texts = {
 	done: 'Done.',
 	badBody: 'The body is not valid for this service.',
@@ -146,7 +146,7 @@
 
 /**
  * @param name - Any text.
- * @returns Whether it names a result code.
+ * @returns Whether it is the name of a result code.
  */
 export function isCodeName(name: string): name is CodeName {
 	return Object.hasOwn(codes, name);
@@ -174,10 +174,10 @@
 }
 
 /**
- * Raises a coded error.
+ * Throws a {@link Failure}.
  *
  * @param code - Name of the result code.
- * @param detail - What was wrong, for people.
+ * @param detail - Details, for people.
  * @returns Never.
  */
 export function raise(code: CodeName, detail?: string): never {
@@ -185,7 +185,7 @@
 }
 
 /**
- * @param error - Anything thrown.
+ * @param error - Any thrown value.
  * @returns Whether it carries a result code.
  */
 export function isFailure(error: unknown): error is Failure {
@@ -193,8 +193,8 @@
 }
 
 /**
- * @param error - Anything thrown.
- * @returns What it says, for people.
+ * @param error - Any thrown value.
+ * @returns Its message, for people.
  */
 export function messageOf(error: unknown): string {
 	return error instanceof Error ? error.message : String(error);
@@ -202,7 +202,7 @@
 
 /**
  * @param code - Result code.
- * @returns Its name; that of an internal error for a number that is not one.
+ * @returns Its name; `internal` for a number that is no result code.
  */
 export function nameOfCode(code: number): CodeName {
 	for (const name of codeNames) {
--- a/src/core/features/configuration/commands/adopt.ts
+++ b/src/core/features/configuration/commands/adopt.ts
@@ -1,4 +1,4 @@
-/** Takes a valid document: only ever one with a higher revision. */
+/** Adopts valid documents with a higher revision than the one in force. */
 import {codes} from '../../../errors.js';
 import {type EventOf, type Source} from '../../../types/event.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -6,8 +6,8 @@
 import {revision} from '../queries.js';
 
 /**
- * @param source - Where a document came from.
- * @returns Words for the log.
+ * @param source - Origin of a document.
+ * @returns Its description for the log.
  */
 function describeSource(source: Source): string {
 	return source.type === 'peer' ? `from peer ${source.host}` : `from ${source.type}`;
@@ -15,9 +15,9 @@
 
 /**
  * @param state - Core state.
- * @param offered - Revision that was offered, or 0 if it could not be read.
- * @param code - Why it is refused.
- * @param reason - The same for people.
+ * @param offered - Revision of the refused document, or 0 if it could not be read.
+ * @param code - Result code of the refusal.
+ * @param reason - Reason, for people.
  * @returns A step that logs and counts the refusal.
  */
 export function refuseDocument(state: State, offered: number, code: number, reason: string): Step {
@@ -38,7 +38,7 @@
 
 /**
  * @param state - Core state.
- * @param event - A document that was parsed and validated.
+ * @param event - A parsed and validated document.
  * @returns The next step.
  */
 export function adoptDocument(state: State, event: EventOf<'configuration-received'>): Step {
@@ -54,7 +54,7 @@
 	if (configuration.revision === ownRevision) {
 		return digest === state.configuration.digest
 			? only(state)
-			: refuseDocument(state, ownRevision, codes.sameRevisionOtherContent, `${describeSource(source)}; same revision with other content`);
+			: refuseDocument(state, ownRevision, codes.sameRevisionOtherContent, `${describeSource(source)}; same revision with different content`);
 	}
 
 	return {
--- a/src/core/features/configuration/commands/relay.ts
+++ b/src/core/features/configuration/commands/relay.ts
@@ -1,4 +1,4 @@
-/** Passes documents between peers: whoever hears of a higher revision asks for it, one peer at a time. */
+/** Relays documents between peers: a host that sees a higher revision at a peer requests the document, from one peer at a time. */
 import {codes} from '../../../errors.js';
 import {type PeerMessage} from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -7,13 +7,13 @@
 import {type DocumentRequest} from '../types.js';
 import {refuseDocument} from './adopt.js';
 
-/** Milliseconds after which another peer is asked. */
+/** Time after which the document may be requested again. */
 const requestTimeoutMs = 1000;
 
-/** Milliseconds for which a peer that gave a bad document is not asked. */
+/** Time for which no document is requested from a peer that sent an invalid one. */
 const refusalBackoffMs = 10_000;
 
-/** Peers whose refusals are remembered. */
+/** Peers that are backed off at the same time at most. */
 const refusedPeerLimit = 256;
 
 function isPending(documentRequest: DocumentRequest | undefined, offered: number, now: number): boolean {
@@ -32,7 +32,7 @@
 	};
 }
 
-/** Alarms once for each peer and revision. */
+/** Logs and counts different content for the revision in force, unless the last mismatch was at the same peer and revision. */
 function checkDigest(state: State, host: string, offered: number, digest: string): Step {
 	const mismatch = `${host}/${offered}`;
 	if (digest === '' || state.configuration.digest.startsWith(digest) || state.configuration.reportedMismatch === mismatch) {
@@ -43,11 +43,11 @@
 		{...state, configuration: {...state.configuration, reportedMismatch: mismatch}},
 		offered,
 		codes.sameRevisionOtherContent,
-		`${host} has other content of the same revision`,
+		`${host} has different content for the same revision`,
 	);
 }
 
-/** What a peer says is in force there. */
+/** Revision that a peer reports to be in force there. */
 type PeerRevision = {
 	readonly host: string;
 	readonly revision: number;
@@ -69,7 +69,7 @@
 		: only(state);
 }
 
-/** Taken only from the peer that was asked: nobody can make this host parse what it did not want. */
+/** Ignores documents from other peers than the requested one, so that no host can make this one parse unrequested text. */
 function parseDocument(state: State, host: string, text: string): Step {
 	return state.configuration.documentRequest?.host === host
 		? {state, effects: [{type: 'parse-configuration', source: {type: 'peer', host}, text}]}
@@ -79,7 +79,7 @@
 /**
  * @param state - Core state.
  * @param from - Peer.
- * @param message - What it sent.
+ * @param message - Message from the peer.
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
@@ -109,9 +109,9 @@
 
 /**
  * @param state - Core state.
- * @param host - Peer whose document was not valid.
+ * @param host - Peer that sent an invalid document.
  * @param now - Monotonic time in milliseconds.
- * @returns The state in which it is not asked for a while.
+ * @returns The state with the peer backed off.
  */
 export function backOffPeer(state: State, host: string, now: number): State {
 	const active = state.configuration.refusedUntil.filter(until => until > now);
--- a/src/core/features/configuration/queries.ts
+++ b/src/core/features/configuration/queries.ts
@@ -1,4 +1,4 @@
-/** Reads the configuration in force. */
+/** Queries of the configuration in force. */
 import {
 	type Configuration, type Organisation, type Service, type Upstream,
 } from '../../types/configuration.js';
@@ -8,11 +8,11 @@
 	readonly services: ReadonlyMap<string, Service>;
 	readonly organisations: ReadonlyMap<string, Organisation>;
 	readonly upstreams: ReadonlyMap<string, Upstream>;
-	/** Legacy ones left out; by service, then by failure domain. */
+	/** Upstreams other than legacy ones, by service, then by failure domain. */
 	readonly serving: ReadonlyMap<string, ReadonlyMap<string, readonly Upstream[]>>;
 };
 
-/** Derived from a document once; the document itself never changes. */
+/** Indexes are built once per document, as documents are immutable. */
 const indexes = new WeakMap<Configuration, Index>();
 
 function indexById<T extends {readonly id: string}>(all: readonly T[]): ReadonlyMap<string, T> {
@@ -94,7 +94,7 @@
 /**
  * @param state - Core state.
  * @param id - Service.
- * @returns Upstreams of the service in this host's own failure domain, those of the old scripts left out.
+ * @returns Upstreams of the service in this host's own failure domain, without legacy ones.
  */
 export function ownUpstreams(state: State, id: string): readonly Upstream[] {
 	return domainUpstreams(state, id, state.self.failureDomain);
@@ -104,7 +104,7 @@
  * @param state - Core state.
  * @param id - Service.
  * @param failureDomain - Failure domain.
- * @returns Upstreams of the service there, those of the old scripts left out.
+ * @returns Upstreams of the service there, without legacy ones.
  */
 export function domainUpstreams(state: State, id: string, failureDomain: string): readonly Upstream[] {
 	return getCurrentIndex(state)?.serving.get(id)?.get(failureDomain) ?? [];
--- a/src/core/features/configuration/types.ts
+++ b/src/core/features/configuration/types.ts
@@ -1,8 +1,8 @@
-/** The configuration in force at this host, and what it is asking its peers for. */
+/** State of the configuration: the document in force, and the pending request to a peer for a newer one. */
 import {Map as Table} from 'immutable';
 import {type Configuration} from '../../types/configuration.js';
 
-/** A document that a peer was asked for. */
+/** A request to a peer for its document. */
 export type DocumentRequest = {
 	readonly host: string;
 	readonly revision: number;
@@ -15,11 +15,11 @@
 	/** SHA-256 of the document's text, and the text as it was received. */
 	readonly digest: string;
 	readonly text: string;
-	/** The document asked for last, until it has come. */
+	/** The latest request, until a document is adopted or the requested one turns out invalid. */
 	readonly documentRequest?: DocumentRequest;
-	/** Monotonic time in milliseconds until which a peer whose document was not valid is not asked. */
+	/** Monotonic time in milliseconds until which no document is requested from a peer that sent an invalid one, by host. */
 	readonly refusedUntil: Table<string, number>;
-	/** Peers that were seen with other content of the same revision, as `host/revision`. */
+	/** Peer that was last reported with different content for the same revision, as `host/revision`. */
 	readonly reportedMismatch?: string;
 };
 
--- a/src/core/features/membership/commands/peers.ts
+++ b/src/core/features/membership/commands/peers.ts
@@ -1,4 +1,4 @@
-/** Puts peers into the state: what is learnt of them, and the work of those that live. */
+/** Adds, updates and removes peers, and keeps the sum of the work that live peers have in flight. */
 import {Map as Table} from 'immutable';
 import {type Load, type Member} from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -9,7 +9,7 @@
 
 /**
  * @param state - Core state.
- * @param changes - Fields of membership that change.
+ * @param changes - Changed fields of the membership state.
  * @returns The next state.
  */
 export function updateMembership(state: State, changes: Partial<MembershipState>): State {
@@ -31,7 +31,7 @@
 
 /**
  * @param state - Core state.
- * @param peer - Peer as it is now.
+ * @param peer - New or changed peer.
  * @returns The next state.
  */
 export function putPeer(state: State, peer: Peer): State {
@@ -47,7 +47,7 @@
 
 /**
  * @param state - Core state.
- * @param host - Host to forget.
+ * @param host - Host to remove.
  * @returns The next state.
  */
 export function removePeer(state: State, host: string): State {
@@ -80,8 +80,8 @@
 
 /**
  * @param host - Host.
- * @param change - What became of it.
- * @param reason - Why.
+ * @param change - Its new status or phase, or what happened to it.
+ * @param reason - Reason, for people.
  * @returns The effect that logs it.
  */
 export function createMemberLog(host: string, change: string, reason: string) {
@@ -99,7 +99,7 @@
 	] as const;
 }
 
-/** A host at the same address with an older start: two processes cannot listen at one address. */
+/** Removes a host with an earlier start at the same address: two processes cannot listen at one address. */
 function removeAtSameAddress(state: State, member: Member): Step {
 	const {host, port} = member.peerAddress;
 	const old = [...state.membership.peers.values()].find(peer =>
@@ -120,14 +120,18 @@
 	const {host, started} = member.incarnation;
 	const before = state.membership.peers.get(host);
 	const newestStarts = trim(state.membership.newestStarts.set(host, started), peerLimit * 2, value => value);
-	// The newer incarnation is dialled anew: its address may be another one.
-	const next = updateMembership(putPeer(state, createPeer(member, now)), {newestStarts, asked: state.membership.asked.delete(host), relayedSequences: state.membership.relayedSequences.delete(host)});
+	// Clears `asked` to dial the newer incarnation again, as its address may differ.
+	const next = updateMembership(putPeer(state, createPeer(member, now)), {
+		newestStarts,
+		asked: state.membership.asked.delete(host),
+		relayedSequences: state.membership.relayedSequences.delete(host),
+	});
 	return before === undefined
-		? {state: next, effects: [createMemberLog(host, 'learnt', `of ${member.failureDomain}`)]}
+		? {state: next, effects: [createMemberLog(host, 'learnt', `in failure domain ${member.failureDomain}`)]}
 		: {state: next, effects: createDepartureEffects(host, before.member.incarnation.started, 'a newer incarnation was seen')};
 }
 
-/** This host was paused for so long that another took its name: it leaves as if asked to. */
+/** Makes this host leave, as a stop request does, when a newer incarnation took its name while it was paused. */
 function leaveAsReplaced(state: State, member: Member): Step {
 	return state.membership.phase === 'leaving'
 		? only(state)
@@ -141,10 +145,10 @@
 }
 
 /**
- * Learns of a host. Older incarnations than one seen are left out, newer ones take the place of the older.
+ * Adds a host. A newer incarnation replaces an older one; older incarnations than the newest seen are ignored.
  *
  * @param state - Core state.
- * @param member - Host, as it or another says.
+ * @param member - Host, as described by itself or by another host.
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
--- a/src/core/features/membership/commands/phase.ts
+++ b/src/core/features/membership/commands/phase.ts
@@ -1,4 +1,4 @@
-/** The phase of this host: starting, serving, leaving. */
+/** Changes the phase of this host: starting, serving, leaving. */
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {chain, only} from '../../../utils/common.js';
 import {revision} from '../../configuration/queries.js';
@@ -9,7 +9,7 @@
 import {sendHeartbeatNow} from './send-heartbeat.js';
 import {createMemberLog, updateMembership} from './peers.js';
 
-/** Peers are asked before serving, so that a stale platform does not take a restarted host back. */
+/** Peers are consulted before serving, so that a restarted host does not serve a stale revision from a platform that lags. */
 function hasConsultedPeers(state: State, now: number): boolean {
 	const {peers, seeds, began = now} = state.membership;
 	const ownRevision = revision(state);
@@ -28,7 +28,7 @@
 }
 
 /**
- * Serves once a document is in force and the peers have been asked.
+ * Starts serving once a document is in force and the peers have been consulted.
  *
  * @param state - Core state.
  * @param context - Time.
@@ -47,7 +47,7 @@
 }
 
 /**
- * Announces at once that this host leaves, and takes nothing new from now on.
+ * Starts the leaving phase: the host takes no new work and notifies its peers at once.
  *
  * @param state - Core state.
  * @param grace - Time for running requests in milliseconds.
@@ -73,7 +73,7 @@
 	);
 }
 
-/** Answers that other hosts give through this one count as much as its own. */
+/** Answers that this host forwards for other hosts count like its own. */
 function isDrained(state: State): boolean {
 	const {forwards, followers} = state.tickets;
 	return isIdle(state) && forwards.isEmpty() && followers.isEmpty();
@@ -82,7 +82,7 @@
 /**
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @returns A step that stops this host once it leaves and is idle, or its grace is over.
+ * @returns A step that stops this host once it is leaving and drained, or its grace has passed.
  */
 export function stopWhenDrained(state: State, now: number): Step {
 	const {leaving} = state.membership;
--- a/src/core/features/membership/commands/receive.ts
+++ b/src/core/features/membership/commands/receive.ts
@@ -1,4 +1,4 @@
-/** Takes what peers say of themselves and of others. */
+/** Applies messages from peers: their own state, and the state of others that they relay. */
 import {Map as Table} from 'immutable';
 import {
 	type Digest, type Load, type PeerMessage, type Phase,
@@ -27,7 +27,7 @@
 	});
 }
 
-/** A sign of life; a phase never goes back from leaving. */
+/** Marks a peer live after a message from it or about it. A peer that is leaving never returns to an earlier phase. */
 function markLive(state: State, peer: Peer, phase: Phase, now: number): Step {
 	const {host} = peer.member.incarnation;
 	const newPhase = peer.phase === 'leaving' ? 'leaving' : phase;
@@ -37,13 +37,13 @@
 	const isRecovered = peer.status !== 'live';
 	const isChanged = newPhase !== peer.phase;
 	return isRecovered || isChanged
-		? {state: next, effects: [createMemberLog(host, isChanged ? newPhase : 'live', isChanged ? 'it says so' : `was ${peer.status}`)]}
+		? {state: next, effects: [createMemberLog(host, isChanged ? newPhase : 'live', isChanged ? 'reported by the host' : `was ${peer.status}`)]}
 		: only(next);
 }
 
 /**
  * @param state - Core state.
- * @param hello - What the peer says of itself.
+ * @param hello - Handshake message of the peer.
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
@@ -75,7 +75,7 @@
 	};
 }
 
-/** Only over the link of the incarnation that is known: an older one's link may still be open. */
+/** Ignores heartbeats unless the known incarnation is linked: the link of an older one may still be open. */
 function applyOwnState(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
 	const peer = state.membership.peers.get(from);
 	return peer?.connected !== true || heartbeat.sequence < peer.sequence
@@ -83,7 +83,7 @@
 		: markLive(state, updatePeer(peer, heartbeat), heartbeat.phase, now);
 }
 
-/** Another host lost its link to the peer, and this host has heard of nothing since. */
+/** Marks a peer suspect after another host lost its link to it and this host received nothing newer. */
 function markSuspect(state: State, peer: Peer, now: number): Step {
 	return {
 		state: putPeer(state, {...peer, status: 'suspect', changed: now}),
@@ -91,7 +91,7 @@
 	};
 }
 
-/** A digest counts only where there is no link, and only when it is newer than what is known. */
+/** Applies the relayed state of a peer that has no link to this host, if it is newer than the known one. */
 function applyDigest(state: State, digest: Digest, now: number): Step {
 	const {host, started} = digest.incarnation;
 	const peer = state.membership.peers.get(host);
--- a/src/core/features/membership/commands/send-heartbeat.ts
+++ b/src/core/features/membership/commands/send-heartbeat.ts
@@ -1,4 +1,4 @@
-/** Sends heartbeats: at fixed times, and at once when this host's phase or revision changes. */
+/** Sends heartbeats, periodically and at once when this host's phase or revision changes. */
 import {Map as Table} from 'immutable';
 import {type Effect} from '../../../types/effect.js';
 import {type Load} from '../../../types/peer.js';
@@ -7,7 +7,7 @@
 import {
 	heartbeatIntervalMs,
 	heartbeatsPerOtherDomainHeartbeat,
-	maxFirstMembers,
+	maxMembersInFirstHeartbeat,
 	fullMeshLimit,
 	slowHeartbeatIntervalMs,
 	heartbeatsPerFullHeartbeat,
@@ -58,9 +58,11 @@
 }
 
 /**
+ * Sends a heartbeat if the interval has passed.
+ *
  * @param state - Core state.
  * @param context - Time.
- * @returns The next step; without change between two heartbeats.
+ * @returns The next step; unchanged before the next heartbeat is due.
  */
 export function sendDueHeartbeat(state: State, context: Context): Step {
 	return context.now < state.membership.nextHeartbeat ? only(state) : sendHeartbeat(state, context, false);
@@ -69,17 +71,18 @@
 /**
  * @param state - Core state.
  * @param context - Time.
- * @returns A step that sends a heartbeat to every link at once.
+ * @returns A step that sends a heartbeat to every linked peer at once, in other failure domains too.
  */
 export function sendHeartbeatNow(state: State, context: Context): Step {
 	return sendHeartbeat(state, context, true);
 }
 
 /**
- * The first heartbeat on a new link: the whole work as the others were told, and many members.
+ * Sends the first heartbeat on a new link. It carries all loads as they were last sent to the own failure domain, so that the
+ * changes that follow apply to them, and many members.
  *
  * @param state - Core state.
- * @param host - Peer that was linked.
+ * @param host - Newly linked peer.
  * @param context - Time.
  * @returns The next step.
  */
@@ -93,7 +96,7 @@
 	const loads = isInOwnDomain(state, peer) ? [...sentLoads.values()] : undefined;
 	const members = [...peers.values()]
 		.filter(each => each.status !== 'gone')
-		.slice(0, maxFirstMembers)
+		.slice(0, maxMembersInFirstHeartbeat)
 		.map(each => each.member);
 	const message = {...composeHeartbeat(state, context, {loads, whole: true, relayed: []}), members};
 	return {state, effects: [{type: 'peer-send', to: host, message}]};
--- a/src/core/features/membership/commands/sweep.ts
+++ b/src/core/features/membership/commands/sweep.ts
@@ -1,4 +1,4 @@
-/** Looks at who is silent and which links are wanted. */
+/** Detects unresponsive peers and keeps the links of this host up to date. */
 import {Set as Group} from 'immutable';
 import {type Effect} from '../../../types/effect.js';
 import {type Member} from '../../../types/peer.js';
@@ -39,7 +39,7 @@
 	}
 
 	if (silence > timeout + deadTimeoutMs) {
-		// The platform's list keeps a host that nobody has heard of known, so that it is still dialled.
+		// A host on the platform's list that never sent a message stays known, so that it is still dialed.
 		return peer.status === 'known' && state.membership.listed?.has(peer.member.incarnation.host) === true ? 'known' : 'gone';
 	}
 
@@ -60,7 +60,7 @@
 }
 
 /**
- * Asks for the links that are wanted and gives up those that are not.
+ * Requests missing links and drops those that are no longer selected.
  *
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
@@ -97,7 +97,7 @@
 /**
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @returns The next step; without change between two looks.
+ * @returns The next step; unchanged before the next sweep is due.
  */
 export function sweep(state: State, now: number): Step {
 	if (now < state.membership.nextSweep) {
@@ -113,11 +113,11 @@
 }
 
 /**
- * Takes the platform's list. It names hosts to dial and hosts that leave; it never removes a peer that answers.
+ * Applies the platform's list of hosts to dial and hosts that are leaving. It never removes a peer that responds.
  *
  * @param state - Core state.
- * @param members - Hosts listed.
- * @param leaving - Those of them that leave.
+ * @param members - Listed hosts.
+ * @param leaving - Names of those that are leaving.
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
@@ -133,7 +133,7 @@
 	);
 }
 
-/** Believed only of the same incarnation: the list lags behind a replacement. */
+/** Applies only to the same incarnation, as the list lags behind a replacement. */
 function markLeaving(state: State, member: Member, now: number): State {
 	const peer = state.membership.peers.get(member.incarnation.host);
 	const isSame = peer?.member.incarnation.started === member.incarnation.started;
--- a/src/core/features/membership/constants.ts
+++ b/src/core/features/membership/constants.ts
@@ -1,44 +1,50 @@
-/** Times in milliseconds and bounds of membership. */
+/** Intervals, timeouts and size limits of membership. */
 
-/** Between heartbeats at few links and at many. */
+/** Interval of heartbeats, for a host with few links and for one with many. */
 export const heartbeatIntervalMs = 500;
 export const slowHeartbeatIntervalMs = 1000;
 
-/** Other failure domains hear every second heartbeat. */
+/** Every second heartbeat goes to other failure domains as well. */
 export const heartbeatsPerOtherDomainHeartbeat = 2;
 
-/** A heartbeat with the whole work in flight comes once in so many. */
+/** Every 16th heartbeat is full: it carries all work in flight instead of the changes. */
 export const heartbeatsPerFullHeartbeat = 16;
 
-/** Links from which on heartbeats are slower, and up to which all hosts of a domain link. */
+/**
+ * Hosts of a failure domain with at most this many peers all link each other. A host with more links than this sends slower
+ * heartbeats.
+ */
 export const fullMeshLimit = 8;
 
-/** Other failure domains that a host links, where there are more. */
+/** Other failure domains that a host links at most. */
 export const linkedDomainLimit = 3;
 
-/** Between looks at who is silent and which links are wanted. */
+/** Interval at which peers are checked for silence and links are updated. */
 export const sweepIntervalMs = 250;
 
-/** Silence after which a linked peer is suspect, and one heard of through others. */
+/**
+ * Silence after which a peer is suspect: a linked one, one without a link in the own failure domain, and one without a link in
+ * another failure domain.
+ */
 export const linkedTimeoutMs = 2500;
 export const relayedTimeoutMs = 30_000;
 export const otherDomainTimeoutMs = 60_000;
 
-/** Silence after which a suspect peer counts as gone, and after which it is forgotten. */
+/** Further silence after which a suspect peer is considered dead. */
 export const deadTimeoutMs = 15_000;
-export const removalTimeoutMs = 7_200_000;
 
-/** Silence after which a host that left is forgotten. */
+/** Silence after which a peer is removed, and the shorter one for a peer that was leaving. */
+export const removalTimeoutMs = 7_200_000;
 export const leftRemovalTimeoutMs = 60_000;
 
-/** A gone peer is dialled for so long, then another one. */
+/** Dead peers are dialed a few at a time, in rotation, each for this long. */
 export const deadPeerDialIntervalMs = 5000;
 export const deadPeerDialLimit = 2;
 
-/** How long a new member or a change of phase counts as news. */
+/** Time for which a new member, a phase change, a lost link or a recovery is sent with priority. */
 export const recentChangeWindowMs = 3000;
 
-/** Bounds of one heartbeat. */
+/** Size limits of one heartbeat. */
 export const maxChangedLoads = 8;
 export const maxFullLoads = 128;
 export const maxRelayedLoads = 3;
@@ -46,21 +52,25 @@
 export const maxRelayedChanges = 8;
 export const maxSuspicions = 8;
 export const maxMembers = 4;
-export const maxFirstMembers = 64;
+
+/** Members in the first heartbeat on a link. */
+export const maxMembersInFirstHeartbeat = 64;
+
+/** Characters of the configuration digest in a heartbeat. */
 export const digestPrefixLength = 16;
 
-/** Peers known at most. */
+/** Peers that are tracked at most. */
 export const peerLimit = 2048;
 
-/** How long a host that has peers waits for their answers before it serves, and how long for a higher revision it has heard of. */
+/** Time that a starting host waits for its peers to answer, and to adopt a higher revision that one of them has. */
 export const peerAnswerTimeoutMs = 3000;
 export const adoptionTimeoutMs = 6000;
 
-/** A leaving host stays at least so long, so that late requests get an answer that says it leaves. */
+/** A leaving host runs at least this long, so that late requests get an answer that says it is leaving. */
 export const minLeavingTimeMs = 2000;
 
-/** Time for running requests of a host that finds its name taken by a newer incarnation. */
+/** Time for running requests at a host that finds a newer incarnation of itself. */
 export const replacedGraceMs = 600_000;
 
-/** Heartbeats from one that tells the mix of prompt lengths to the next: it changes slowly. */
+/** Every 16th heartbeat carries the mix of prompt lengths, which changes slowly. */
 export const heartbeatsPerPromptMix = 16;
--- a/src/core/features/membership/feature.ts
+++ b/src/core/features/membership/feature.ts
@@ -1,4 +1,4 @@
-/** Membership: who the other hosts are, how they fare, and this host's own phase. */
+/** Membership: tracks the other hosts and their status, links to a part of them, and manages this host's own phase. */
 import {type EventOf} from '../../types/event.js';
 import {type Address} from '../../types/configuration.js';
 import {
@@ -15,11 +15,11 @@
 	return state.membership.began === undefined ? updateMembership(state, {began: now}) : state;
 }
 
-function handleConnected(state: State, host: string): Step {
+function handlePeerConnected(state: State, host: string): Step {
 	return only(updateMembership(state, {linked: state.membership.linked.add(host)}));
 }
 
-/** The hello that follows a link belongs to the incarnation at its other end; one without a link only names a host. */
+/** Marks the peer connected after its hello. A hello without a link only adds the host. */
 function completeHandshake(state: State, host: string, context: Context): Step {
 	const peer = state.membership.peers.get(host);
 	return peer === undefined || !state.membership.linked.has(host)
@@ -27,8 +27,8 @@
 		: sendFirstHeartbeat(putPeer(state, {...peer, connected: true, isWhole: false}), host, context);
 }
 
-/** A link that broke makes the peer suspect at once; links that this host gave up are no longer among the linked. */
-function handleLost(state: State, host: string, now: number): Step {
+/** Marks a peer suspect at once when its link breaks. Links that this host dropped itself are no longer in `linked`. */
+function handlePeerLost(state: State, host: string, now: number): Step {
 	const peer = state.membership.peers.get(host);
 	const next = updateMembership(state, {linked: state.membership.linked.delete(host)});
 	if (peer?.connected !== true) {
@@ -58,7 +58,7 @@
 	};
 }
 
-/** A seed is dialled under its address; once the host there has said its name, it is dialled as that. */
+/** Drops the link to a seed, which is dialed under its address, once the host there is known by name and dialed as such. */
 function resolveSeed(state: State, address: Address): Step {
 	const name = seedName(address);
 	const {seeds} = state.membership;
@@ -97,7 +97,7 @@
 	}
 }
 
-/** Silence while this host was paused is not the peers' silence. */
+/** Restarts the silence of live peers: no message could be received while this host was paused. */
 function handleWoken(state: State, now: number): Step {
 	const peers = state.membership.peers.map(peer => peer.status === 'live' ? {...peer, heard: now} : peer);
 	return only(updateMembership(state, {peers}));
@@ -132,11 +132,11 @@
 			}
 
 			case 'peer-connected': {
-				return handleConnected(state, event.host);
+				return handlePeerConnected(state, event.host);
 			}
 
 			case 'peer-lost': {
-				return handleLost(state, event.host, now);
+				return handlePeerLost(state, event.host, now);
 			}
 
 			case 'peer-message': {
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -1,4 +1,4 @@
-/** Composes heartbeats: what has changed, and a few of the things heard from others, within fixed bounds. */
+/** Composes heartbeats of bounded size: changes of this host's state, and the state of a few other peers. */
 import {
 	type Digest, type Load, type Member, type PeerMessage,
 } from '../../types/peer.js';
@@ -31,7 +31,7 @@
 
 /**
  * @param state - Core state.
- * @returns This host's work in flight, the heaviest first.
+ * @returns This host's work in flight by upstream, most tokens first, at most {@link maxFullLoads}.
  */
 export function ownLoads(state: State): readonly Load[] {
 	const loads: Load[] = [];
@@ -53,7 +53,7 @@
 /**
  * @param state - Core state.
  * @param loads - This host's work in flight.
- * @returns The largest differences from what was told before; work that is over comes as zero.
+ * @returns Loads with the largest changes since they were last sent; finished work as a load of zero.
  */
 export function selectChangedLoads(state: State, loads: readonly Load[]): readonly Load[] {
 	const {sentLoads} = state.membership;
@@ -88,7 +88,7 @@
 	};
 }
 
-/** Round robin by heartbeat number, so that nothing has to be remembered for it. */
+/** Selects round robin by heartbeat number, which needs no state of its own. */
 function takeTurn<T>(all: readonly T[], sequence: number, limit: number): readonly T[] {
 	return all.length <= limit
 		? all
@@ -100,8 +100,8 @@
 }
 
 /**
- * Peers to pass on to this host's own failure domain: those whose phase changed, then those that were passed on longest ago
- * and have been heard of since. Ties fall differently at each host, so that neighbours do not all pass on the same.
+ * Selects peers to relay to this host's own failure domain: those with a recent phase change, lost link or recovery, then live
+ * ones with the most heartbeats since they were last relayed. Each host breaks ties differently, so that neighbours relay different peers.
  *
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
@@ -131,7 +131,7 @@
 /**
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @returns Peers to pass on to other failure domains, in turn.
+ * @returns Peers to relay to other failure domains: recent changes, then live peers in rotation.
  */
 export function selectPeersForOtherDomains(state: State, now: number): readonly Peer[] {
 	const all = [...state.membership.peers.values()];
@@ -147,19 +147,19 @@
 	return [...new Set([...recent, ...rotated])].map(peer => peer.member);
 }
 
-/** What a heartbeat carries besides this host's own state. */
+/** Contents of a heartbeat that depend on its receivers. */
 export type HeartbeatContents = {
-	/** Work to tell; undefined for another failure domain, which needs none. */
+	/** Undefined for another failure domain, which needs no loads. */
 	readonly loads?: readonly Load[];
-	/** Whether the loads are all there are. */
+	/** Whether the loads are complete, not only changes. */
 	readonly whole: boolean;
 	readonly relayed: readonly Peer[];
 };
 
 /**
- * @param state - Core state, with the heartbeat's own sequence number.
+ * @param state - Core state, with the sequence number of this heartbeat.
  * @param context - Time.
- * @param contents - What else it carries.
+ * @param contents - Loads and relayed peers.
  * @returns The heartbeat.
  */
 export function composeHeartbeat(state: State, context: Context, contents: HeartbeatContents): Heartbeat {
--- a/src/core/features/membership/links.ts
+++ b/src/core/features/membership/links.ts
@@ -1,4 +1,4 @@
-/** Which links this host wants: few enough to stay cheap, enough that news reaches everyone. */
+/** Selects the peers that this host links: few enough to keep heartbeats cheap, enough to connect all hosts. */
 import {type Member} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
 import {hashText, mix, rank} from '../../utils/hashes.js';
@@ -20,7 +20,7 @@
 	return peer.status !== 'gone';
 }
 
-/** All of a small domain; in a large one the hosts at distances 1, 2, 4 and so on around a ring of hashes. */
+/** All hosts of a small domain; in a large one those at distances 1, 2, 4 and so on around a ring ordered by hash. */
 function selectOwnDomainLinks(self: Member, peers: readonly Peer[]): readonly Member[] {
 	const members = peers.map(peer => peer.member);
 	if (members.length <= fullMeshLimit) {
@@ -39,7 +39,7 @@
 
 /**
  * @param members - Hosts of one failure domain.
- * @returns The same in the order of their hashes, alike on every host.
+ * @returns The members ordered by hash, in the same order on every host.
  */
 export function sortByRing(members: readonly Member[]): readonly Member[] {
 	return members
@@ -50,7 +50,7 @@
 
 /**
  * @param host - Host.
- * @param domains - Failure domains beside its own.
+ * @param domains - Other failure domains than its own.
  * @returns Those of them that it links.
  */
 export function selectLinkedDomains(host: string, domains: readonly string[]): readonly string[] {
@@ -58,7 +58,7 @@
 	return rank(hashText(host), all).slice(0, linkedDomainLimit).map(domain => domain.id);
 }
 
-/** One host of each other domain, of a few domains where there are many. */
+/** One host in each of a few other failure domains, a live one if there is any. */
 function selectOtherDomainLinks(self: Member, peers: readonly Peer[]): readonly Member[] {
 	const ownHash = hashText(self.incarnation.host);
 	const domains = [...new Set(peers.map(peer => peer.member.failureDomain))];
@@ -70,7 +70,7 @@
 	});
 }
 
-/** A few of those that are gone, in turn: a partition that heals is noticed by dialling. */
+/** A few dead peers in rotation: dialing them detects that a partition has healed. */
 function selectDeadPeersToDial(peers: readonly Peer[], now: number): readonly Member[] {
 	const deadMembers = peers.filter(peer => !isPresumedAlive(peer)).map(peer => peer.member);
 	const first = Math.floor(now / deadPeerDialIntervalMs) * deadPeerDialLimit;
@@ -82,7 +82,7 @@
 /**
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @returns Hosts that this host should be linked to.
+ * @returns Hosts that this host should have links to.
  */
 export function selectLinks(state: State, now: number): readonly Member[] {
 	const {self} = state;
--- a/src/core/features/membership/queries.ts
+++ b/src/core/features/membership/queries.ts
@@ -1,4 +1,4 @@
-/** Reads membership. */
+/** Queries of the membership state. */
 import {type Incarnation} from '../../types/request.js';
 import {type Member} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
@@ -23,7 +23,7 @@
 
 /**
  * @param state - Core state.
- * @returns Peers that are heard of.
+ * @returns Peers with a recent message from them or about them.
  */
 export function livePeers(state: State): readonly Peer[] {
 	return [...state.membership.peers.values()].filter(peer => peer.status === 'live');
@@ -32,7 +32,7 @@
 /**
  * @param state - Core state.
  * @param failureDomain - Failure domain.
- * @returns Hosts that serve there as far as this host knows, itself included, sorted by name.
+ * @returns Hosts known to serve there, this one included, sorted by name.
  */
 export function servingHosts(state: State, failureDomain: string): readonly Member[] {
 	const others = livePeers(state)
@@ -44,7 +44,7 @@
 
 /**
  * @param state - Core state.
- * @returns Failure domains with a host that is heard of and serves, this host's own included, sorted.
+ * @returns Failure domains with a live serving peer, and this host's own, sorted.
  */
 export function reachableDomains(state: State): readonly string[] {
 	const domains = new Set([state.self.failureDomain]);
@@ -60,7 +60,7 @@
 /**
  * @param state - Core state.
  * @param incarnation - Incarnation of a host.
- * @returns Whether it is certainly over, as a newer one of the same host was seen. Silence alone is never certain.
+ * @returns Whether it has certainly ended, because a newer one of the same host was seen. Silence alone proves nothing.
  */
 export function isCertainlyGone(state: State, incarnation: Incarnation): boolean {
 	const {host, started} = incarnation;
@@ -72,7 +72,7 @@
 /**
  * @param state - Core state.
  * @param incarnation - Incarnation of a host.
- * @returns Whether that incarnation has a link to this host now.
+ * @returns Whether that incarnation is linked to this host.
  */
 export function isLinked(state: State, incarnation: Incarnation): boolean {
 	const peer = state.membership.peers.get(incarnation.host);
--- a/src/core/features/membership/routes.ts
+++ b/src/core/features/membership/routes.ts
@@ -1,10 +1,10 @@
-/** Finds the way to a host without a link: greedy steps around the ring of its failure domain. */
+/** Routes messages to hosts without a direct link, by greedy steps around the ring of their failure domain. */
 import {type Member} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
 import {selectLinkedDomains, sortByRing} from './links.js';
 import {type Peer} from './types.js';
 
-/** Hosts of the largest fleet that a message may pass on its way: around two rings and from one to the other. */
+/** Hops of a message at most: enough in the largest fleet for steps around two rings and from one to the other. */
 export const longestRoute = 16;
 
 function buildRing(state: State, failureDomain: string): readonly Member[] {
@@ -14,7 +14,7 @@
 	return sortByRing(failureDomain === state.self.failureDomain ? [state.self, ...members] : members);
 }
 
-/** Of the candidates the one that stands nearest to the target on the ring, either way around. */
+/** The candidate with the shortest distance to the target on the ring, in either direction. */
 function findNearest(ring: readonly Member[], candidates: readonly Member[], target: Member): Member | undefined {
 	const targetIndex = ring.indexOf(target);
 	const distance = (member: Member) => {
@@ -30,7 +30,7 @@
 	return findNearest(buildRing(state, target.failureDomain), candidates, target);
 }
 
-/** The host of this failure domain, nearest on the ring, that links the target's domain. */
+/** The nearest host on the ring of this failure domain that links the target's failure domain. */
 function findBorderHost(state: State, target: Member): Member | undefined {
 	const {self} = state;
 	const ownRing = buildRing(state, self.failureDomain);
@@ -41,13 +41,13 @@
 }
 
 /**
- * Each step halves the distance on the ring, as hosts link those at doubling distances. Where links are missing a message
- * may go astray: bound its hops by {@link longestRoute}.
+ * Each step halves the distance on the ring, because hosts link those at doubling distances. With missing links a message
+ * may circle, so callers must limit its hops to {@link longestRoute}.
  *
  * @param state - Core state.
- * @param host - Host to be reached.
- * @param from - Host that the message came from, which is passed over.
- * @returns The linked host to send to, the host itself if it has a link; undefined if there is no way.
+ * @param host - Destination.
+ * @param from - Host that the message came from, which is never the next hop to another host.
+ * @returns The linked host to send to, the destination itself if it is linked; undefined if there is no route.
  */
 export function nextHop(state: State, host: string, from?: string): string | undefined {
 	const target = state.membership.peers.get(host);
--- a/src/core/features/membership/types.ts
+++ b/src/core/features/membership/types.ts
@@ -1,12 +1,12 @@
-/** What this host knows of the others and of its own place among them. */
+/** State of membership: the other hosts, and this host's own phase and links. */
 import {Map as Table, Set as Group} from 'immutable';
 import {
 	type Demand, type Load, type Member, type Mix, type Phase,
 } from '../../types/peer.js';
 
 /**
- * Known: named by the platform or a peer, never heard. Live: heard of lately. Suspect: silent for a while.
- * Gone: silent for long, or left.
+ * `known`: named by the platform or a peer, without any message from it yet. `live`: recent messages from it or about it.
+ * `suspect`: unresponsive, or its link broke. `gone`: considered dead after a long silence, or left.
  */
 export type PeerStatus = 'known' | 'live' | 'suspect' | 'gone';
 
@@ -16,20 +16,23 @@
 	readonly status: PeerStatus;
 	/** Whether this host has a link to it. */
 	readonly connected: boolean;
-	/** Monotonic times in milliseconds: of the last sign of life, of learning of it, of its last change of phase. */
+	/**
+	 * Monotonic times in milliseconds: of the last message from it or about it, of its addition,
+	 * of its last phase change, lost link or recovery from a suspicion.
+	 */
 	readonly heard: number;
 	readonly learnt: number;
 	readonly changed: number;
-	/** Of its last heartbeat taken. */
+	/** Of the last heartbeat from it or relayed about it. */
 	readonly sequence: number;
-	/** Whether the loads are complete, so that a heartbeat with changes can be applied. */
+	/** Whether the loads are complete, so that a heartbeat with only changes can be applied. */
 	readonly isWhole: boolean;
 	readonly revision: number;
-	/** Of the document that it has in force; empty before it is told. */
+	/** Prefix of the digest of the document in force there; empty before its first heartbeat on a link. */
 	readonly digest: string;
 	/** Work the peer has in flight, by upstream. */
 	readonly loads: Table<string, Load>;
-	/** What arrives at the peer, by organisation and by service. */
+	/** Arriving work at the peer, by organisation and by service. */
 	readonly demands: readonly Demand[];
 	readonly mixes: readonly Mix[];
 };
@@ -38,30 +41,30 @@
 	readonly phase: Phase;
 	/** Monotonic time of the first tick, in milliseconds. */
 	readonly began?: number;
-	/** Since when this host leaves, and when it stops at the latest. */
+	/** Monotonic times in milliseconds: when this host started to leave, and when it stops at the latest. */
 	readonly leaving?: {readonly since: number; readonly until: number};
 	/** By host. */
 	readonly peers: Table<string, Peer>;
-	/** Tokens that live peers have in flight, by upstream. */
+	/** Prefill and decode tokens that live peers have in flight, by upstream. */
 	readonly work: Table<string, number>;
-	/** Start of the newest incarnation seen, by host. */
+	/** Start time of the newest incarnation seen, by host. */
 	readonly newestStarts: Table<string, number>;
-	/** Hosts whose links this host has asked for. */
+	/** Hosts that this host has requested links to. */
 	readonly asked: Group<string>;
-	/** Hosts that have a link to this one. */
+	/** Hosts with an open link, whether or not their hello has been received. */
 	readonly linked: Group<string>;
 	/** Hosts on the platform's last list; absent before the first. */
 	readonly listed?: Group<string>;
-	/** Seed addresses that no host has answered at yet, as `host:port`. */
+	/** Seed addresses from which no host has answered yet, as `host:port`. */
 	readonly seeds: Group<string>;
 	/** Of the last heartbeat sent. */
 	readonly sequence: number;
-	/** Monotonic times of the next heartbeat and of the next look at the peers, in milliseconds. */
+	/** Monotonic times of the next heartbeat and of the next sweep, in milliseconds. */
 	readonly nextHeartbeat: number;
 	readonly nextSweep: number;
-	/** Sequence number of each peer's state that was passed on last, by host. */
+	/** Sequence number of the state that was last relayed, by host. */
 	readonly relayedSequences: Table<string, number>;
-	/** This host's work as its domain was last told. */
+	/** This host's loads as last sent to its own failure domain, by upstream. */
 	readonly sentLoads: Table<string, Load>;
 };
 
--- a/src/core/features/stops/feature.ts
+++ b/src/core/features/stops/feature.ts
@@ -1,4 +1,4 @@
-/** Planned stops: hosts begin theirs in turn, upstreams get no new work in their time. */
+/** Planned stops: hosts stop one after another, and upstreams get no new work during their stop. */
 import {Set as Group} from 'immutable';
 import {type Effect} from '../../types/effect.js';
 import {
@@ -8,7 +8,6 @@
 import {scheduleUpstreamStops} from './plan.js';
 import {findDueStop} from './queries.js';
 
-/** Milliseconds between two looks. */
 const checkIntervalMs = 500;
 
 function updateStoppingUpstreams(state: State, wall: number): Step {
--- a/src/core/features/stops/plan.ts
+++ b/src/core/features/stops/plan.ts
@@ -1,7 +1,7 @@
-/** The order of planned stops, a pure function of the document that every host computes alike. */
+/** Schedules planned stops as a pure function of the document, so that all hosts compute the same schedule. */
 import {type Configuration, type PlannedStop, type Upstream} from '../../types/configuration.js';
 
-/** Time in which one target stops, in milliseconds since 1970, the end excluded. */
+/** Time during which one target stops, in milliseconds since 1970, the end excluded. */
 export type StopWindow = {
 	readonly target: string;
 	readonly from: number;
@@ -11,7 +11,7 @@
 /**
  * @param configuration - Document in force.
  * @param kind - Kind of target.
- * @returns Its planned stops, the first to stop first.
+ * @returns Planned stops of that kind, in the order in which they begin.
  */
 export function sortStops(configuration: Configuration, kind: PlannedStop['target']['kind']): readonly PlannedStop[] {
 	return configuration.plannedStops
@@ -19,7 +19,7 @@
 		.toSorted((a, b) => a.notBefore - b.notBefore || (a.id < b.id ? -1 : 1));
 }
 
-/** Each stop takes the first lane that is free; there are as many lanes as may stop at a time. */
+/** Assigns each stop to the slot that is free first; there are as many slots as concurrent stops are allowed. */
 function scheduleStops(stops: readonly PlannedStop[], concurrent: number): readonly StopWindow[] {
 	const slotEnds = Array.from({length: concurrent}, () => 0);
 	return stops.map(stop => {
@@ -37,11 +37,11 @@
 const windowCache = new WeakMap<Configuration, readonly StopWindow[]>();
 
 /**
- * Upstreams of one service and failure domain stop one after another, or as many at a time as the rule allows, each for its
- * grace. Time alone decides, so that hosts agree without having seen the same reports.
+ * Upstreams of one service and failure domain stop one after another, or as many at a time as the stop rule allows, each for its
+ * grace. The schedule depends on time alone, so that hosts agree without having received the same reports.
  *
  * @param configuration - Document in force.
- * @returns When each upstream stops.
+ * @returns Windows in which upstreams stop.
  */
 export function scheduleUpstreamStops(configuration: Configuration): readonly StopWindow[] {
 	const cached = windowCache.get(configuration);
--- a/src/core/features/stops/queries.ts
+++ b/src/core/features/stops/queries.ts
@@ -1,25 +1,25 @@
-/** Reads planned stops. */
+/** Queries of planned stops. */
 import {type PlannedStop} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
 import {type Peer} from '../membership/types.js';
 import {sortStops} from './plan.js';
 
-/** Silence after which a host that was to stop counts as stopped, though no newer incarnation came, in milliseconds. */
+/** Silence after which a dead host counts as stopped although no newer incarnation was seen. */
 const stoppedTimeoutMs = 30_000;
 
-/** Time that a newer incarnation gets until it serves, in milliseconds. */
+/** Time within which a newer incarnation is expected to serve. */
 const startTimeoutMs = 60_000;
 
 /**
  * @param state - Core state.
  * @param upstream - Upstream.
- * @returns Whether it is stopping or about to change what it serves, and gets no new work.
+ * @returns Whether it gets no new work because it is stopping or about to change what it serves.
  */
 export function isStopping(state: State, upstream: string): boolean {
 	return state.stops.upstreams.has(upstream) || state.placement.changing.has(upstream);
 }
 
-/** A stop is over once a newer incarnation serves, or the host is gone for good. */
+/** A stop has ended once a newer incarnation serves or takes too long to, or once the host has been dead for a while. */
 function hasStopEnded(peer: Peer, stop: PlannedStop, now: number): boolean {
 	if (peer.member.incarnation.started < stop.notBefore) {
 		return peer.status === 'gone' && now - peer.heard > stoppedTimeoutMs;
@@ -29,8 +29,8 @@
 }
 
 /**
- * The stop that this host has to begin now. Hosts of a failure domain stop in the document's order, only so many at a time;
- * others that leave for their own reasons count as well.
+ * Finds the stop that this host has to begin now. Hosts of a failure domain stop in the order of the document, up to the limit of
+ * concurrent stops; hosts that are leaving for other reasons count towards the limit.
  *
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
--- a/src/core/features/stops/types.ts
+++ b/src/core/features/stops/types.ts
@@ -1,10 +1,10 @@
-/** Planned stops as they stand now. */
+/** State of planned stops. */
 import {Set as Group} from 'immutable';
 
 export type StopsState = {
-	/** Upstreams in their time to stop: they get no new work. */
+	/** Upstreams that are stopping now and get no new work. */
 	readonly upstreams: Group<string>;
-	/** Monotonic time of the next look, in milliseconds. */
+	/** Monotonic time of the next check, in milliseconds. */
 	readonly nextCheck: number;
 };
 
--- a/src/core/features/suspicion/commands.ts
+++ b/src/core/features/suspicion/commands.ts
@@ -1,15 +1,15 @@
-/** Blames requests for crashes of upstreams, and clears those that were only near. */
+/** Holds crashes of upstreams against the requests that ran there, and clears requests that did not cause them. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type Suspicion} from '../../types/peer.js';
 import {type Report} from '../../types/upstream.js';
 import {type Context, type State, type Step} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {crashesOf, publishedSuspicions} from './queries.js';
+import {getCrashIds, publishedSuspicions} from './queries.js';
 import {
 	confirmedCrashLifetimeMs, convictionThreshold, suspectLimit, unconfirmedCrashLifetimeMs, type Crash, type SuspicionState,
 } from './types.js';
 
-/** Attempts at an upstream without reports that break within this time are taken for one crash, in milliseconds. */
+/** Attempts that break within the same window at an upstream without reports count as one crash. */
 const crashWindowMs = 1000;
 
 function updateSuspicion(state: State, part: Partial<SuspicionState>): State {
@@ -27,8 +27,8 @@
 /**
  * @param state - Core state.
  * @param request - Request that was sent.
- * @param attempt - Its sending.
- * @returns The state with the attempt at its upstream.
+ * @param attempt - Attempt that began.
+ * @returns The state with the attempt running at its upstream.
  */
 export function addRunningAttempt(state: State, request: Request, attempt: Attempt): State {
 	const {upstream, upstreamIncarnation, began} = attempt;
@@ -41,7 +41,7 @@
 
 /**
  * @param state - Core state.
- * @param attempt - Sending that is over.
+ * @param attempt - Id of the attempt that ended.
  * @returns The state without it.
  */
 export function removeRunningAttempt(state: State, attempt: string): State {
@@ -63,22 +63,25 @@
 	};
 }
 
-/** Whether a request that is already convicted explains the crash: not one of before this attempt, which reached the upstream since. */
+/**
+ * Whether an already convicted request explains the crash. A crash that was noticed before this attempt began does not, as the
+ * attempt reached the upstream after it.
+ */
 function isExplained(state: State, crash: Crash, {fingerprint, began}: {readonly fingerprint: string; readonly began: number}, context: Context): boolean {
 	return state.suspicion.crashes.some((list, other) => other !== fingerprint
 		&& list.some(each => each.id === crash.id && each.at >= began)
-		&& crashesOf(state, other, context).size >= convictionThreshold);
+		&& getCrashIds(state, other, context).size >= convictionThreshold);
 }
 
 /**
- * Holds a broken attempt against its request, until the upstream proves that it did not crash. A request that ran
- * alone at its second crash is convicted, and whoever else was there is cleared of that crash.
+ * Holds a broken attempt against its request as a crash, until the upstream proves that it did not crash. The second distinct
+ * crash convicts the request and acquits all other requests of that crash.
  *
  * @param state - Core state.
  * @param request - Request whose attempt broke.
  * @param attempt - The attempt.
  * @param context - Time and random source.
- * @returns The next state and what is logged.
+ * @returns The next state and the log effect; unchanged if the crash is known or explained, or there are too many suspects.
  */
 export function recordCrash(state: State, request: Request, attempt: Attempt, context: Context): Step {
 	const {fingerprint} = request;
@@ -91,7 +94,7 @@
 	}
 
 	const next = updateSuspicion(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
-	const isConvicted = crashesOf(next, fingerprint, context).size >= convictionThreshold;
+	const isConvicted = getCrashIds(next, fingerprint, context).size >= convictionThreshold;
 	return isConvicted
 		? {
 			state: filterCrashes(next, (each, other) => other === fingerprint || each.id !== crash.id),
@@ -101,12 +104,13 @@
 }
 
 /**
- * A caller sends a request again within milliseconds, through any host: those linked hear of it before the next heartbeat.
+ * Sends a new suspicion to linked peers at once, before the next heartbeat: a caller may repeat the request through another
+ * host within milliseconds.
  *
  * @param state - Core state.
- * @param fingerprint - Fingerprint of a request that was just blamed.
+ * @param fingerprint - Fingerprint of a request with a new crash.
  * @param context - Time and random source.
- * @returns The state as it was, and the message to each linked peer.
+ * @returns The unchanged state, and the message to each linked peer.
  */
 export function broadcastSuspicion(state: State, fingerprint: string, context: Context): Step {
 	const suspicions = publishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
@@ -120,12 +124,13 @@
 }
 
 /**
- * A request that was answered in full crashed nothing, and an upstream that went on with an older attempt did not end.
+ * Clears a request that was answered in full. The answer also disproves every crash of the upstream that was noticed after the
+ * attempt began, as the attempt survived it.
  *
  * @param state - Core state.
- * @param request - Request that is done.
- * @param attempt - The attempt that answered it.
- * @returns The next state and what is logged.
+ * @param request - Answered request.
+ * @param attempt - Attempt that answered it.
+ * @returns The next state and the log effect.
  */
 export function clearSuspicion(state: State, request: Request, attempt: Attempt): Step {
 	const {fingerprint} = request;
@@ -139,7 +144,7 @@
 }
 
 /**
- * A report from the same incarnation after a break shows that the upstream did not crash.
+ * Removes crashes that a report disproves: one from the same incarnation, made after the crash was noticed.
  *
  * @param state - Core state.
  * @param report - Report of an upstream.
@@ -156,10 +161,10 @@
 
 /**
  * @param state - Core state.
- * @param upstream - Upstream that came back as another incarnation.
- * @param before - The incarnation that ended.
+ * @param upstream - Upstream that restarted.
+ * @param before - Its incarnation that ended.
  * @param context - Time and random source.
- * @returns The state with the crash held against its suspects for longer.
+ * @returns The state with the longer lifetime of a confirmed crash.
  */
 export function confirmCrash(state: State, upstream: string, before: string, {wall}: Context): State {
 	const isSameCrash = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
@@ -172,16 +177,16 @@
 
 /**
  * @param state - Core state.
- * @param suspicions - What a peer holds against requests.
+ * @param suspicions - Suspicions of a peer.
  * @param context - Time and random source.
- * @returns The state with it merged.
+ * @returns The state with the suspicions merged.
  */
 export function mergePeerSuspicions(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
 	let {peerSuspicions} = state.suspicion;
 	for (const {fingerprint, crashes, expires} of suspicions) {
 		const before = peerSuspicions.get(fingerprint);
-		const isNew = before === undefined && peerSuspicions.size >= suspectLimit;
-		if (!isNew && expires > wall) {
+		const isFull = before === undefined && peerSuspicions.size >= suspectLimit;
+		if (!isFull && expires > wall) {
 			peerSuspicions = peerSuspicions.set(fingerprint, {
 				crashes: [...new Set([...(before !== undefined && before.expires > wall ? before.crashes : []), ...crashes])].slice(0, 8),
 				expires: Math.max(before?.expires ?? 0, Math.min(expires, wall + confirmedCrashLifetimeMs)),
@@ -195,7 +200,7 @@
 /**
  * @param state - Core state.
  * @param context - Time and random source.
- * @returns The state without what has expired.
+ * @returns The state without expired crashes and suspicions.
  */
 export function removeExpired(state: State, {wall}: Context): State {
 	const {crashes, peerSuspicions} = state.suspicion;
--- a/src/core/features/suspicion/feature.ts
+++ b/src/core/features/suspicion/feature.ts
@@ -1,6 +1,7 @@
 /**
- * Finds requests that crash upstreams by overlap: an upstream that ends holds a crash against whatever ran there.
- * A suspect runs once more, apart; it is convicted by a second crash or cleared by an answer.
+ * Detects poison requests, which crash the upstreams that run them. Each crash of an upstream is held against all requests that
+ * ran there, which become suspects. A suspect may run again, at few upstreams and apart from other suspects: a second crash
+ * convicts it, so that every host refuses it; a full answer clears it. A crash that proves not to have happened is acquitted.
  */
 import {type EventOf} from '../../types/event.js';
 import {
--- a/src/core/features/suspicion/queries.ts
+++ b/src/core/features/suspicion/queries.ts
@@ -1,4 +1,4 @@
-/** Reads which requests are suspected, and where these may run. */
+/** Queries which requests are suspect or convicted, and where suspects may run. */
 import {type Upstream} from '../../types/configuration.js';
 import {type Suspicion} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
@@ -7,16 +7,16 @@
 import {upstreamsFor} from '../takeover/queries.js';
 import {convictionThreshold, suspectUpstreamLimit} from './types.js';
 
-/** Suspicions in one heartbeat. */
+/** Suspicions that are published to peers at most; one heartbeat carries a few of them in rotation. */
 const maxPublishedSuspicions = 64;
 
 /**
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Ids of the distinct crashes held against it, here or at peers.
+ * @returns Ids of the distinct crashes held against it, by this host or by peers.
  */
-export function crashesOf(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
+export function getCrashIds(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
 	const peerSuspicion = state.suspicion.peerSuspicions.get(fingerprint);
 	return new Set([
@@ -29,32 +29,32 @@
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Whether the request is to be refused anywhere.
+ * @returns Whether every host must refuse the request.
  */
 export function isConvicted(state: State, fingerprint: string, context: Context): boolean {
-	return crashesOf(state, fingerprint, context).size >= convictionThreshold;
+	return getCrashIds(state, fingerprint, context).size >= convictionThreshold;
 }
 
 /**
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Whether an upstream ended while it ran, so that it may run once more, alone.
+ * @returns Whether an upstream crashed, or seemed to, while the request ran there.
  */
 export function isSuspect(state: State, fingerprint: string, context: Context): boolean {
-	return crashesOf(state, fingerprint, context).size > 0;
+	return getCrashIds(state, fingerprint, context).size > 0;
 }
 
 /**
- * Every host computes the same few upstreams, so that a suspect that is sent again through another host endangers no others.
+ * Every host selects the same few upstreams, so that a suspect that is repeated through another host endangers no others.
  *
  * @param state - Core state.
  * @param request - Suspected request.
  * @param context - Time and random source.
- * @returns Upstreams it may run at, in order; those that ended with it come only if there are no others.
+ * @returns Upstreams it may run at, best first; those that crashed with it only if there are no others.
  */
 export function suspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
-	const crashed = new Set([...crashesOf(state, request.fingerprint, context)].map(id => id.split('/')[0]));
+	const crashed = new Set([...getCrashIds(state, request.fingerprint, context)].map(id => id.split('/')[0]));
 	const all = upstreamsFor(state, request);
 	const notCrashed = all.filter(each => !crashed.has(each.id));
 	const members = (notCrashed.length > 0 ? notCrashed : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
@@ -62,13 +62,14 @@
 }
 
 /**
- * To be asked before a request is sent: a suspect runs apart from other suspects and from new work.
+ * Checks a request before it is sent. A suspect runs only at its few upstreams, and while it runs there, no other request is sent
+ * to that upstream.
  *
  * @param state - Core state.
  * @param request - Request to send.
  * @param upstream - Upstream considered for it.
  * @param context - Time and random source.
- * @returns Whether suspicion lets it run there now.
+ * @returns Whether the request may run there now.
  */
 export function mayRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
 	const {runningAttempts, crashes, peerSuspicions} = state.suspicion;
@@ -95,14 +96,14 @@
 /**
  * @param state - Core state.
  * @param context - Time and random source.
- * @returns What heartbeats tell peers, the gravest first.
+ * @returns Suspicions to publish to peers, those with the most crashes first.
  */
 export function publishedSuspicions(state: State, context: Context): readonly Suspicion[] {
 	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.peerSuspicions.keys()]);
 	return [...fingerprints]
 		.map(fingerprint => ({
 			fingerprint,
-			crashes: [...crashesOf(state, fingerprint, context)],
+			crashes: [...getCrashIds(state, fingerprint, context)],
 			expires: getExpiry(state, fingerprint),
 		}))
 		.filter(each => each.crashes.length > 0)
--- a/src/core/features/suspicion/types.ts
+++ b/src/core/features/suspicion/types.ts
@@ -1,40 +1,41 @@
-/** Requests that are believed to crash the upstreams that run them. */
+/** State of the detection of poison requests, which crash the upstreams that run them. */
 import {Map as Table} from 'immutable';
 
-/** Distinct crashes after which a request is refused. */
+/** Distinct crashes after which a request is convicted and refused. */
 export const convictionThreshold = 2;
 
-/** Upstreams a suspect may run at. */
+/** Upstreams that a suspect may run at, at most. */
 export const suspectUpstreamLimit = 2;
 
-/** Time a crash is held against a request: seen only as a broken connection, and confirmed, in milliseconds. */
+/** Time for which a crash is held against a request: one seen only as a broken connection, and one confirmed by a restart. */
 export const unconfirmedCrashLifetimeMs = 30_000;
 export const confirmedCrashLifetimeMs = 600_000;
 
+/** Suspects that are tracked at most; those reported by peers are counted separately. */
 export const suspectLimit = 1000;
 
-/** An attempt that is at an upstream now. */
+/** An attempt that is running at an upstream. */
 export type RunningAttempt = {
 	readonly fingerprint: string;
 	readonly upstream: string;
 	readonly incarnation?: string;
-	/** On the core's clock, in milliseconds. */
+	/** Monotonic time in milliseconds. */
 	readonly began: number;
 };
 
-/** An upstream that ended, or seemed to, while a request ran there. */
+/** A crash of an upstream, or what seemed to be one, while a request ran there. */
 export type Crash = {
-	/** Equal for all who saw the same crash. */
+	/** The same for all requests and hosts that saw the crash. */
 	readonly id: string;
 	readonly upstream: string;
 	readonly incarnation?: string;
-	/** When it was noticed, on the core's clock. */
+	/** Monotonic time in milliseconds at which it was noticed. */
 	readonly at: number;
 	/** Wall-clock time in milliseconds since 1970. */
 	readonly expires: number;
 };
 
-/** What peers hold against a request. */
+/** Crashes that peers hold against a request. */
 export type PeerSuspicion = {
 	readonly crashes: readonly string[];
 	/** Wall-clock time in milliseconds since 1970. */
@@ -42,11 +43,11 @@
 };
 
 export type SuspicionState = {
-	/** By attempt. */
+	/** By attempt id. */
 	readonly runningAttempts: Table<string, RunningAttempt>;
-	/** Crashes seen here, by fingerprint. */
+	/** Crashes noticed by this host, by fingerprint. */
 	readonly crashes: Table<string, readonly Crash[]>;
-	/** By fingerprint. */
+	/** Suspicions received from peers, by fingerprint. */
 	readonly peerSuspicions: Table<string, PeerSuspicion>;
 };
 
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -1,4 +1,4 @@
-/** The core: gives each event to every feature and collects what they want done. */
+/** Entry of the core: passes each event to every feature and collects the resulting effects. */
 import {configurationFeature} from './features/configuration/feature.js';
 import {initialConfiguration} from './features/configuration/types.js';
 import {holdsFeature} from './features/holds/feature.js';
@@ -45,7 +45,7 @@
 	type Step,
 } from './types/state.js';
 
-/** The order matters: views of upstreams and members come before the decisions that read them. */
+/** The order matters: features that update views of upstreams and members come before those that decide on them. */
 const features: readonly Feature[] = [
 	configurationFeature,
 	workFeature,
@@ -68,8 +68,8 @@
 ];
 
 /**
- * @param self - The host that the state belongs to.
- * @returns The state of a host that has just started.
+ * @param self - Host that the state belongs to.
+ * @returns The state of a newly started host.
  */
 export function initialState(self: Member): State {
 	return {
@@ -96,12 +96,12 @@
 }
 
 /**
- * Takes one event. Events that features raise are taken within the same step, in order.
+ * Handles one event. Events that features raise are handled within the same step, in order.
  *
  * @param state - Core state.
- * @param event - What happened.
+ * @param event - Event.
  * @param context - Time and random source.
- * @returns The next state and the effects wanted, in order.
+ * @returns The next state and the effects to run, in order.
  */
 export function step(state: State, event: Event, context: Context): Step {
 	const pending: Event[] = [event];
--- a/src/core/utils/bounded.ts
+++ b/src/core/utils/bounded.ts
@@ -1,13 +1,15 @@
-/** Keeps tables of learnt values small. */
+/** Bounds the size of tables. */
 import {type Map as Table} from 'immutable';
 
-/** A full table loses this part of its entries at once, so that it is seldom searched. */
+/** Share of the entries that a full table loses at once, so that it is rarely searched for the oldest. */
 const evictedShare = 0.25;
 
 /**
- * @param table - Table that may have grown too large.
- * @param limit - Entries it may have.
- * @param ageOf - Time of last use; the smallest go first.
+ * Removes the oldest quarter of a table that exceeds its limit.
+ *
+ * @param table - Table.
+ * @param limit - Entries it may have at most.
+ * @param ageOf - Returns the time of last use of a value; the smallest are removed first.
  * @returns The table itself, or one without its oldest quarter.
  */
 export function trim<T>(table: Table<string, T>, limit: number, ageOf: (value: T) => number): Table<string, T> {
--- a/src/core/utils/common.ts
+++ b/src/core/utils/common.ts
@@ -1,9 +1,9 @@
-/** Small helpers used everywhere in the core. */
+/** Helpers for the steps of features. */
 import {type Effect} from '../types/effect.js';
 import {type State, type Step} from '../types/state.js';
 
 /**
- * @param state - State that stays or became.
+ * @param state - Next state, changed or not.
  * @returns A step without effects.
  */
 export function only(state: State): Step {
@@ -13,7 +13,7 @@
 /**
  * Marks a switch as exhaustive.
  *
- * @param value - A value whose every case was handled.
+ * @param value - A value of which every case is handled.
  * @returns Never.
  */
 export function assertNever(value: never): never {
@@ -21,7 +21,7 @@
 }
 
 /**
- * Runs steps one after another on the state that the one before left.
+ * Runs steps in order, each on the state that the previous one returned.
  *
  * @param state - First state.
  * @param steps - Steps in order.
--- a/src/core/utils/hashes.ts
+++ b/src/core/utils/hashes.ts
@@ -1,4 +1,4 @@
-/** Hashes that every host computes alike, and rendezvous hashing on them. Not for secrets. */
+/** Hashes that are the same on every host, and rendezvous hashing with them. Not cryptographic. */
 /* eslint-disable no-bitwise -- Hashes are made of bit operations. */
 
 const offsetBasis = 0x81_1C_9D_C5;
@@ -11,7 +11,7 @@
 export function hashText(text: string): number {
 	let hash = offsetBasis;
 	for (let index = 0; index < text.length; index++) {
-		// The unit at each index, surrogates included: any fixed rule will do.
+		// Hashes UTF-16 units, surrogates included: any fixed rule will do.
 		// eslint-disable-next-line unicorn/prefer-code-point
 		hash = Math.imul(hash ^ text.charCodeAt(index), prime);
 	}
@@ -32,7 +32,7 @@
 }
 
 /**
- * Ranks members for a key; a member that comes or goes moves no other one.
+ * Ranks members for a key by rendezvous hashing. Adding or removing a member does not change the order of the others.
  *
  * @param key - Hash of what is placed.
  * @param members - Members with their hashes.
@@ -43,12 +43,12 @@
 }
 
 /**
- * The first choices without ranking all.
+ * Returns the first members of {@link rank} without sorting all of them.
  *
  * @param key - Hash of what is placed.
  * @param members - Members with their hashes.
- * @param limit - Number of members wanted.
- * @returns Up to `most` members, the first choice first.
+ * @param limit - Number of members at most.
+ * @returns The members, the first choice first.
  */
 export function firstChoices<T extends {readonly hash: number}>(key: number, members: readonly T[], limit: number): readonly T[] {
 	const chosen: Array<{readonly member: T; readonly weight: number}> = [];
--- a/src/core/utils/rates.ts
+++ b/src/core/utils/rates.ts
@@ -1,10 +1,11 @@
-/** Averages and rates that forget: each sample or second counts less than the one after it. */
+/** Exponentially decaying averages and rates: older samples count less than newer ones. */
 
-/** A mean of samples and how many it was made of, up to where it forgets. */
+/** A moving mean of samples. */
 export type Mean = {
 	readonly value: number;
-	/** Mean distance of samples from the mean. */
+	/** Mean absolute deviation of the samples. */
 	readonly spread: number;
+	/** Number of samples, at most the window. */
 	readonly count: number;
 	/** Time of the last sample, in milliseconds. */
 	readonly at: number;
@@ -24,8 +25,8 @@
  * @param mean - Mean so far.
  * @param sample - Next sample.
  * @param now - Time of the sample, in milliseconds.
- * @param window - Number of samples after which older ones fade.
- * @returns The mean with the sample in it.
+ * @param window - Number of samples from which older ones decay.
+ * @returns The mean including the sample.
  */
 export function include(mean: Mean | undefined, sample: number, now: number, window: number): Mean {
 	const count = Math.min((mean?.count ?? 0) + 1, window);
@@ -39,10 +40,10 @@
 
 /**
  * @param rate - Rate so far.
- * @param amount - What came now.
+ * @param amount - Amount to add.
  * @param now - Time, in milliseconds.
- * @param timeConstant - Time after which an amount counts a third, in milliseconds.
- * @returns The rate with the amount in it.
+ * @param timeConstant - Time constant of the decay in milliseconds; after it, an amount counts about a third (1/e).
+ * @returns The rate including the amount.
  */
 export function increase(rate: Rate, amount: number, now: number, timeConstant: number): Rate {
 	return {amount: decayedAmount(rate, now, timeConstant) + amount, at: now};
@@ -51,7 +52,7 @@
 /**
  * @param rate - Rate.
  * @param now - Time, in milliseconds.
- * @param timeConstant - Time after which an amount counts a third, in milliseconds.
+ * @param timeConstant - Time constant of the decay in milliseconds; after it, an amount counts about a third (1/e).
  * @returns Amount per second.
  */
 export function perSecond(rate: Rate, now: number, timeConstant: number): number {
