--- a/src/core/features/configuration/commands/relay.ts
+++ b/src/core/features/configuration/commands/relay.ts
@@ -32,7 +32,7 @@
 	};
 }
 
-/** Logs and counts different content for the revision in force, unless the last mismatch was at the same peer and revision. */
+/** Logs and counts different content of the revision in force, unless the last mismatch was at the same peer and revision. */
 function checkDigest(state: State, host: string, offered: number, digest: string): Step {
 	const mismatch = `${host}/${offered}`;
 	if (digest === '' || state.configuration.digest.startsWith(digest) || state.configuration.reportedMismatch === mismatch) {
@@ -43,7 +43,7 @@
 		{...state, configuration: {...state.configuration, reportedMismatch: mismatch}},
 		offered,
 		codes.sameRevisionOtherContent,
-		`${host} has different content for the same revision`,
+		`${host} has different content of the same revision`,
 	);
 }
 
--- a/src/core/features/configuration/types.ts
+++ b/src/core/features/configuration/types.ts
@@ -19,7 +19,7 @@
 	readonly documentRequest?: DocumentRequest;
 	/** Monotonic time in milliseconds until which no document is requested from a peer that sent an invalid one, by host. */
 	readonly refusedUntil: Table<string, number>;
-	/** Peer that was last reported with different content for the same revision, as `host/revision`. */
+	/** Peer that was last reported with different content of the same revision, as `host/revision`. */
 	readonly reportedMismatch?: string;
 };
 
--- a/src/core/features/membership/commands/peers.ts
+++ b/src/core/features/membership/commands/peers.ts
@@ -127,7 +127,7 @@
 		relayedSequences: state.membership.relayedSequences.delete(host),
 	});
 	return before === undefined
-		? {state: next, effects: [createMemberLog(host, 'learnt', `in failure domain ${member.failureDomain}`)]}
+		? {state: next, effects: [createMemberLog(host, 'learnt', `of ${member.failureDomain}`)]}
 		: {state: next, effects: createDepartureEffects(host, before.member.incarnation.started, 'a newer incarnation was seen')};
 }
 
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -101,7 +101,8 @@
 
 /**
  * Selects peers to relay to this host's own failure domain: those with a recent phase change, lost link or recovery, then live
- * ones with the most heartbeats since they were last relayed. Each host breaks ties differently, so that neighbours relay different peers.
+ * ones with the most heartbeats since they were last relayed. Each host breaks ties differently, so that neighbours do not all
+ * relay the same peers.
  *
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
--- a/src/core/features/membership/types.ts
+++ b/src/core/features/membership/types.ts
@@ -17,8 +17,8 @@
 	/** Whether this host has a link to it. */
 	readonly connected: boolean;
 	/**
-	 * Monotonic times in milliseconds: of the last message from it or about it, of its addition,
-	 * of its last phase change, lost link or recovery from a suspicion.
+	 * Monotonic times in milliseconds: of the last message from it or about it, of its addition, of its last phase
+	 * change, lost link or recovery.
 	 */
 	readonly heard: number;
 	readonly learnt: number;
