--- a/src/core/features/configuration/commands/adopt.ts
+++ b/src/core/features/configuration/commands/adopt.ts
@@ -1,4 +1,4 @@
-/** Takes a valid document: only ever one with a higher revision. */
+/** Adopts valid documents with a higher revision than the one in force. */
 import {codes} from '../../../errors.js';
 import {type EventOf, type Source} from '../../../types/event.js';
 import {type State, type Step} from '../../../types/state.js';
@@ -6,21 +6,21 @@
 import {revision} from '../queries.js';
 
 /**
- * @param source - Where a document came from.
- * @returns Words for the log.
+ * @param source - Origin of a document.
+ * @returns Its description for the log.
  */
-function words(source: Source): string {
+function describeSource(source: Source): string {
 	return source.type === 'peer' ? `from peer ${source.host}` : `from ${source.type}`;
 }
 
 /**
  * @param state - Core state.
- * @param offered - Revision that was offered, or 0 if it could not be read.
- * @param code - Why it is refused.
- * @param reason - The same for people.
+ * @param offered - Revision of the refused document, or 0 if it could not be read.
+ * @param code - Result code of the refusal.
+ * @param reason - Reason, for people.
  * @returns A step that logs and counts the refusal.
  */
-export function refuse(state: State, offered: number, code: number, reason: string): Step {
+export function refuseDocument(state: State, offered: number, code: number, reason: string): Step {
 	return {
 		state,
 		effects: [
@@ -38,35 +38,35 @@
 
 /**
  * @param state - Core state.
- * @param event - A document that was parsed and validated.
+ * @param event - A parsed and validated document.
  * @returns The next step.
  */
-export function receive(state: State, event: EventOf<'configuration-received'>): Step {
+export function adoptDocument(state: State, event: EventOf<'configuration-received'>): Step {
 	const {
 		configuration, digest, text, source,
 	} = event;
 	const before = state.configuration.inForce;
-	const held = revision(state);
-	if (configuration.revision < held) {
-		return refuse(state, configuration.revision, codes.staleRevision, `${words(source)}; revision ${held} is in force`);
+	const ownRevision = revision(state);
+	if (configuration.revision < ownRevision) {
+		return refuseDocument(state, configuration.revision, codes.staleRevision, `${describeSource(source)}; revision ${ownRevision} is in force`);
 	}
 
-	if (configuration.revision === held) {
+	if (configuration.revision === ownRevision) {
 		return digest === state.configuration.digest
 			? only(state)
-			: refuse(state, held, codes.sameRevisionOtherContent, `${words(source)}; same revision with other content`);
+			: refuseDocument(state, ownRevision, codes.sameRevisionOtherContent, `${describeSource(source)}; same revision with different content`);
 	}
 
 	return {
 		state: {
 			...state, configuration: {
-				...state.configuration, inForce: configuration, digest, text, inquiry: undefined,
+				...state.configuration, inForce: configuration, digest, text, documentRequest: undefined,
 			},
 		},
 		effects: [
 			{
 				type: 'log', decision: {
-					type: 'configuration', revision: configuration.revision, accepted: true, code: codes.done, reason: words(source),
+					type: 'configuration', revision: configuration.revision, accepted: true, code: codes.done, reason: describeSource(source),
 				},
 			},
 			{type: 'raise', event: {type: 'configuration-adopted', configuration, before}},
--- a/src/core/features/stops/types.ts
+++ b/src/core/features/stops/types.ts
@@ -1,11 +1,11 @@
-/** Planned stops as they stand now. */
+/** State of planned stops. */
 import {Set as Group} from 'immutable';
 
 export type StopsState = {
-	/** Upstreams in their time to stop: they get no new work. */
+	/** Upstreams that are stopping now and get no new work. */
 	readonly upstreams: Group<string>;
-	/** Monotonic time of the next look, in milliseconds. */
-	readonly nextLook: number;
+	/** Monotonic time of the next check, in milliseconds. */
+	readonly nextCheck: number;
 };
 
-export const initialStops: StopsState = {upstreams: Group(), nextLook: 0};
+export const initialStops: StopsState = {upstreams: Group(), nextCheck: 0};
--- a/src/core/features/suspicion/commands.ts
+++ b/src/core/features/suspicion/commands.ts
@@ -1,22 +1,22 @@
-/** Blames requests for crashes of upstreams, and clears those that were only near. */
+/** Holds crashes of upstreams against the requests that ran there, and clears requests that did not cause them. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type Suspicion} from '../../types/peer.js';
 import {type Report} from '../../types/upstream.js';
 import {type Context, type State, type Step} from '../../types/state.js';
 import {only} from '../../utils/common.js';
-import {crashesOf, publishedSuspicions} from './queries.js';
+import {getCrashIds, publishedSuspicions} from './queries.js';
 import {
-	confirmedLife, convictingCrashes, suspectLimit, unconfirmedLife, type Crash, type SuspicionState,
+	confirmedCrashLifetimeMs, convictionThreshold, suspectLimit, unconfirmedCrashLifetimeMs, type Crash, type SuspicionState,
 } from './types.js';
 
-/** Attempts at an upstream without reports that break within this time are taken for one crash, in milliseconds. */
-const crashWindow = 1000;
+/** Attempts that break within the same window at an upstream without reports count as one crash. */
+const crashWindowMs = 1000;
 
-function update(state: State, part: Partial<SuspicionState>): State {
+function updateSuspicion(state: State, part: Partial<SuspicionState>): State {
 	return {...state, suspicion: {...state.suspicion, ...part}};
 }
 
-function changed(fingerprint: string, change: string, reason: string): Step['effects'] {
+function createLogEffects(fingerprint: string, change: string, reason: string): Step['effects'] {
 	return [{
 		type: 'log', decision: {
 			type: 'suspected', fingerprint, change, reason,
@@ -27,13 +27,13 @@
 /**
  * @param state - Core state.
  * @param request - Request that was sent.
- * @param attempt - Its sending.
- * @returns The state with the attempt at its upstream.
+ * @param attempt - Attempt that began.
+ * @returns The state with the attempt running at its upstream.
  */
-export function depart(state: State, request: Request, attempt: Attempt): State {
+export function addRunningAttempt(state: State, request: Request, attempt: Attempt): State {
 	const {upstream, upstreamIncarnation, began} = attempt;
-	return update(state, {
-		flights: state.suspicion.flights.set(attempt.id, {
+	return updateSuspicion(state, {
+		runningAttempts: state.suspicion.runningAttempts.set(attempt.id, {
 			fingerprint: request.fingerprint, upstream, incarnation: upstreamIncarnation, began,
 		}),
 	});
@@ -41,48 +41,51 @@
 
 /**
  * @param state - Core state.
- * @param attempt - Sending that is over.
+ * @param attempt - Id of the attempt that ended.
  * @returns The state without it.
  */
-export function land(state: State, attempt: string): State {
-	return update(state, {flights: state.suspicion.flights.delete(attempt)});
+export function removeRunningAttempt(state: State, attempt: string): State {
+	return updateSuspicion(state, {runningAttempts: state.suspicion.runningAttempts.delete(attempt)});
 }
 
-function keepCrashes(state: State, keeps: (crash: Crash, fingerprint: string) => boolean): State {
+function filterCrashes(state: State, predicate: (crash: Crash, fingerprint: string) => boolean): State {
 	const crashes = state.suspicion.crashes
-		.map((list, fingerprint) => list.every(each => keeps(each, fingerprint)) ? list : list.filter(each => keeps(each, fingerprint)))
+		.map((list, fingerprint) => list.every(each => predicate(each, fingerprint)) ? list : list.filter(each => predicate(each, fingerprint)))
 		.filter(list => list.length > 0);
-	return update(state, {crashes});
+	return updateSuspicion(state, {crashes});
 }
 
-function crashOf(attempt: Attempt, {now, wall}: Context): Crash {
+function createCrash(attempt: Attempt, {now, wall}: Context): Crash {
 	const {upstream, upstreamIncarnation: incarnation} = attempt;
-	const moment = incarnation ?? `at-${Math.floor(wall / crashWindow)}`;
+	const moment = incarnation ?? `at-${Math.floor(wall / crashWindowMs)}`;
 	return {
-		id: `${upstream}/${moment}`, upstream, incarnation, at: now, expires: wall + unconfirmedLife,
+		id: `${upstream}/${moment}`, upstream, incarnation, at: now, expires: wall + unconfirmedCrashLifetimeMs,
 	};
 }
 
-/** Whether a request that is already convicted explains the crash: not one of before this attempt, which reached the upstream since. */
+/**
+ * Whether an already convicted request explains the crash. A crash that was noticed before this attempt began does not, as the
+ * attempt reached the upstream after it.
+ */
 function isExplained(state: State, crash: Crash, {fingerprint, began}: {readonly fingerprint: string; readonly began: number}, context: Context): boolean {
 	return state.suspicion.crashes.some((list, other) => other !== fingerprint
 		&& list.some(each => each.id === crash.id && each.at >= began)
-		&& crashesOf(state, other, context).size >= convictingCrashes);
+		&& getCrashIds(state, other, context).size >= convictionThreshold);
 }
 
 /**
- * Holds a broken attempt against its request, until the upstream proves that it did not crash. A request that ran
- * alone at its second crash is convicted, and whoever else was there is cleared of that crash.
+ * Holds a broken attempt against its request as a crash, until the upstream proves that it did not crash. The second distinct
+ * crash convicts the request and acquits all other requests of that crash.
  *
  * @param state - Core state.
  * @param request - Request whose attempt broke.
  * @param attempt - The attempt.
  * @param context - Time and random source.
- * @returns The next state and what is logged.
+ * @returns The next state and the log effect; unchanged if the crash is known or explained, or there are too many suspects.
  */
-export function blame(state: State, request: Request, attempt: Attempt, context: Context): Step {
+export function recordCrash(state: State, request: Request, attempt: Attempt, context: Context): Step {
 	const {fingerprint} = request;
-	const crash = crashOf(attempt, context);
+	const crash = createCrash(attempt, context);
 	const before = state.suspicion.crashes.get(fingerprint) ?? [];
 	const isKnown = before.some(each => each.id === crash.id);
 	const isFull = before.length === 0 && state.suspicion.crashes.size >= suspectLimit;
@@ -90,25 +93,26 @@
 		return only(state);
 	}
 
-	const blamed = update(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
-	const convicted = crashesOf(blamed, fingerprint, context).size >= convictingCrashes;
-	return convicted
+	const next = updateSuspicion(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
+	const isConvicted = getCrashIds(next, fingerprint, context).size >= convictionThreshold;
+	return isConvicted
 		? {
-			state: keepCrashes(blamed, (each, other) => other === fingerprint || each.id !== crash.id),
-			effects: changed(fingerprint, 'convicted', crash.id),
+			state: filterCrashes(next, (each, other) => other === fingerprint || each.id !== crash.id),
+			effects: createLogEffects(fingerprint, 'convicted', crash.id),
 		}
-		: {state: blamed, effects: changed(fingerprint, 'suspected', crash.id)};
+		: {state: next, effects: createLogEffects(fingerprint, 'suspected', crash.id)};
 }
 
 /**
- * A caller sends a request again within milliseconds, through any host: those linked hear of it before the next heartbeat.
+ * Sends a new suspicion to linked peers at once, before the next heartbeat: a caller may repeat the request through another
+ * host within milliseconds.
  *
  * @param state - Core state.
- * @param fingerprint - Fingerprint of a request that was just blamed.
+ * @param fingerprint - Fingerprint of a request with a new crash.
  * @param context - Time and random source.
- * @returns The state as it was, and the message to each linked peer.
+ * @returns The unchanged state, and the message to each linked peer.
  */
-export function tell(state: State, fingerprint: string, context: Context): Step {
+export function broadcastSuspicion(state: State, fingerprint: string, context: Context): Step {
 	const suspicions = publishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	return {
@@ -120,26 +124,27 @@
 }
 
 /**
- * A request that was answered in full crashed nothing, and an upstream that went on with an older attempt did not end.
+ * Clears a request that was answered in full. The answer also disproves every crash of the upstream that was noticed after the
+ * attempt began, as the attempt survived it.
  *
  * @param state - Core state.
- * @param request - Request that is done.
- * @param attempt - The attempt that answered it.
- * @returns The next state and what is logged.
+ * @param request - Answered request.
+ * @param attempt - Attempt that answered it.
+ * @returns The next state and the log effect.
  */
-export function clear(state: State, request: Request, attempt: Attempt): Step {
+export function clearSuspicion(state: State, request: Request, attempt: Attempt): Step {
 	const {fingerprint} = request;
-	const wasSuspect = state.suspicion.crashes.has(fingerprint) || state.suspicion.heard.has(fingerprint);
-	const survived = keepCrashes(state, each => each.upstream !== attempt.upstream || each.at < attempt.began);
-	const {crashes, heard} = survived.suspicion;
+	const wasSuspect = state.suspicion.crashes.has(fingerprint) || state.suspicion.peerSuspicions.has(fingerprint);
+	const remaining = filterCrashes(state, each => each.upstream !== attempt.upstream || each.at < attempt.began);
+	const {crashes, peerSuspicions} = remaining.suspicion;
 	return {
-		state: wasSuspect ? update(survived, {crashes: crashes.delete(fingerprint), heard: heard.delete(fingerprint)}) : survived,
-		effects: wasSuspect ? changed(fingerprint, 'cleared', 'answered in full') : [],
+		state: wasSuspect ? updateSuspicion(remaining, {crashes: crashes.delete(fingerprint), peerSuspicions: peerSuspicions.delete(fingerprint)}) : remaining,
+		effects: wasSuspect ? createLogEffects(fingerprint, 'cleared', 'answered in full') : [],
 	};
 }
 
 /**
- * A report from the same incarnation after a break shows that the upstream did not crash.
+ * Removes crashes that a report disproves: one from the same incarnation, made after the crash was noticed.
  *
  * @param state - Core state.
  * @param report - Report of an upstream.
@@ -147,61 +152,61 @@
  * @returns The next state.
  */
 export function acquit(state: State, report: Report, {now}: Context): State {
-	const trueAt = now - report.age;
-	const survived = (crash: Crash): boolean => crash.upstream === report.upstream
+	const reportedAt = now - report.age;
+	const isDisproved = (crash: Crash): boolean => crash.upstream === report.upstream
 		&& crash.incarnation === report.incarnation
-		&& crash.at < trueAt;
-	return state.suspicion.crashes.isEmpty() ? state : keepCrashes(state, each => !survived(each));
+		&& crash.at < reportedAt;
+	return state.suspicion.crashes.isEmpty() ? state : filterCrashes(state, each => !isDisproved(each));
 }
 
 /**
  * @param state - Core state.
- * @param upstream - Upstream that came back as another incarnation.
- * @param before - The incarnation that ended.
+ * @param upstream - Upstream that restarted.
+ * @param before - Its incarnation that ended.
  * @param context - Time and random source.
- * @returns The state with the crash held against its suspects for longer.
+ * @returns The state with the longer lifetime of a confirmed crash.
  */
-export function confirm(state: State, upstream: string, before: string, {wall}: Context): State {
-	const isIt = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
+export function confirmCrash(state: State, upstream: string, before: string, {wall}: Context): State {
+	const isSameCrash = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
 	const crashes = state.suspicion.crashes.map(list =>
-		list.some(crash => isIt(crash))
-			? list.map(crash => isIt(crash) ? {...crash, expires: wall + confirmedLife} : crash)
+		list.some(crash => isSameCrash(crash))
+			? list.map(crash => isSameCrash(crash) ? {...crash, expires: wall + confirmedCrashLifetimeMs} : crash)
 			: list);
-	return update(state, {crashes});
+	return updateSuspicion(state, {crashes});
 }
 
 /**
  * @param state - Core state.
- * @param suspicions - What a peer holds against requests.
+ * @param suspicions - Suspicions of a peer.
  * @param context - Time and random source.
- * @returns The state with it merged.
+ * @returns The state with the suspicions merged.
  */
-export function hear(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
-	let {heard} = state.suspicion;
+export function mergePeerSuspicions(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
+	let {peerSuspicions} = state.suspicion;
 	for (const {fingerprint, crashes, expires} of suspicions) {
-		const before = heard.get(fingerprint);
-		const isNew = before === undefined && heard.size >= suspectLimit;
-		if (!isNew && expires > wall) {
-			heard = heard.set(fingerprint, {
+		const before = peerSuspicions.get(fingerprint);
+		const isFull = before === undefined && peerSuspicions.size >= suspectLimit;
+		if (!isFull && expires > wall) {
+			peerSuspicions = peerSuspicions.set(fingerprint, {
 				crashes: [...new Set([...(before !== undefined && before.expires > wall ? before.crashes : []), ...crashes])].slice(0, 8),
-				expires: Math.max(before?.expires ?? 0, Math.min(expires, wall + confirmedLife)),
+				expires: Math.max(before?.expires ?? 0, Math.min(expires, wall + confirmedCrashLifetimeMs)),
 			});
 		}
 	}
 
-	return heard === state.suspicion.heard ? state : update(state, {heard});
+	return peerSuspicions === state.suspicion.peerSuspicions ? state : updateSuspicion(state, {peerSuspicions});
 }
 
 /**
  * @param state - Core state.
  * @param context - Time and random source.
- * @returns The state without what has expired.
+ * @returns The state without expired crashes and suspicions.
  */
-export function forgetExpired(state: State, {wall}: Context): State {
-	const {crashes, heard} = state.suspicion;
-	if (crashes.isEmpty() && heard.isEmpty()) {
+export function removeExpired(state: State, {wall}: Context): State {
+	const {crashes, peerSuspicions} = state.suspicion;
+	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return state;
 	}
 
-	return keepCrashes(update(state, {heard: heard.filter(each => each.expires > wall)}), each => each.expires > wall);
+	return filterCrashes(updateSuspicion(state, {peerSuspicions: peerSuspicions.filter(each => each.expires > wall)}), each => each.expires > wall);
 }
--- a/src/core/features/suspicion/feature.ts
+++ b/src/core/features/suspicion/feature.ts
@@ -1,6 +1,7 @@
 /**
- * Finds requests that crash upstreams by overlap: an upstream that ends holds a crash against whatever ran there.
- * A suspect runs once more, apart; it is convicted by a second crash or cleared by an answer.
+ * Detects poison requests, which crash the upstreams that run them. Each crash of an upstream is held against all requests that
+ * ran there, which become suspects. A suspect may run again, at few upstreams and apart from other suspects: a second crash
+ * convicts it, so that every host refuses it; a full answer clears it. A crash that proves not to have happened is acquitted.
  */
 import {type EventOf} from '../../types/event.js';
 import {
@@ -8,26 +9,26 @@
 } from '../../types/state.js';
 import {chain, only} from '../../utils/common.js';
 import {
-	acquit, blame, clear, confirm, depart, forgetExpired, hear, land, tell,
+	acquit, recordCrash, clearSuspicion, confirmCrash, addRunningAttempt, removeExpired, mergePeerSuspicions, removeRunningAttempt, broadcastSuspicion,
 } from './commands.js';
 
-function arrive(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: Context): Step {
-	const landed = land(state, attempt.id);
+function handleAttemptOver(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: Context): Step {
+	const next = removeRunningAttempt(state, attempt.id);
 	switch (ending.type) {
 		case 'unknown': {
 			return chain(
-				landed,
-				current => blame(current, request, attempt, context),
-				current => current === landed ? only(current) : tell(current, request.fingerprint, context),
+				next,
+				current => recordCrash(current, request, attempt, context),
+				current => current === next ? only(current) : broadcastSuspicion(current, request.fingerprint, context),
 			);
 		}
 
 		case 'done': {
-			return clear(landed, request, attempt);
+			return clearSuspicion(next, request, attempt);
 		}
 
 		default: {
-			return only(landed);
+			return only(next);
 		}
 	}
 }
@@ -37,11 +38,11 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'attempt-began': {
-				return only(depart(state, event.request, event.attempt));
+				return only(addRunningAttempt(state, event.request, event.attempt));
 			}
 
 			case 'attempt-over': {
-				return arrive(state, event, context);
+				return handleAttemptOver(state, event, context);
 			}
 
 			case 'report-received': {
@@ -49,17 +50,17 @@
 			}
 
 			case 'upstream-restarted': {
-				return only(confirm(state, event.upstream, event.before, context));
+				return only(confirmCrash(state, event.upstream, event.before, context));
 			}
 
 			case 'peer-message': {
 				const {message} = event;
-				const isNews = message.type === 'heartbeat' || message.type === 'suspected';
-				return only(isNews ? hear(state, message.suspicions, context) : state);
+				const hasSuspicions = message.type === 'heartbeat' || message.type === 'suspected';
+				return only(hasSuspicions ? mergePeerSuspicions(state, message.suspicions, context) : state);
 			}
 
 			case 'tick': {
-				return only(forgetExpired(state, context));
+				return only(removeExpired(state, context));
 			}
 
 			default: {
--- a/src/core/features/suspicion/queries.ts
+++ b/src/core/features/suspicion/queries.ts
@@ -1,27 +1,27 @@
-/** Reads which requests are suspected, and where these may run. */
+/** Queries which requests are suspect or convicted, and where suspects may run. */
 import {type Upstream} from '../../types/configuration.js';
 import {type Suspicion} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {firstChoices, hashText} from '../../utils/hashes.js';
 import {upstreamsFor} from '../takeover/queries.js';
-import {convictingCrashes, suspectChoices} from './types.js';
+import {convictionThreshold, suspectUpstreamLimit} from './types.js';
 
-/** Suspicions in one heartbeat. */
-const publishedMost = 64;
+/** Suspicions that are published to peers at most; one heartbeat carries a few of them in rotation. */
+const maxPublishedSuspicions = 64;
 
 /**
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Ids of the distinct crashes held against it, here or at peers.
+ * @returns Ids of the distinct crashes held against it, by this host or by peers.
  */
-export function crashesOf(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
+export function getCrashIds(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
-	const heard = state.suspicion.heard.get(fingerprint);
+	const peerSuspicion = state.suspicion.peerSuspicions.get(fingerprint);
 	return new Set([
 		...seen.filter(each => each.expires > wall).map(each => each.id),
-		...(heard !== undefined && heard.expires > wall ? heard.crashes : []),
+		...(peerSuspicion !== undefined && peerSuspicion.expires > wall ? peerSuspicion.crashes : []),
 	]);
 }
 
@@ -29,57 +29,58 @@
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Whether the request is to be refused anywhere.
+ * @returns Whether every host must refuse the request.
  */
 export function isConvicted(state: State, fingerprint: string, context: Context): boolean {
-	return crashesOf(state, fingerprint, context).size >= convictingCrashes;
+	return getCrashIds(state, fingerprint, context).size >= convictionThreshold;
 }
 
 /**
  * @param state - Core state.
  * @param fingerprint - Fingerprint of a request.
  * @param context - Time and random source.
- * @returns Whether an upstream ended while it ran, so that it may run once more, alone.
+ * @returns Whether an upstream crashed, or seemed to, while the request ran there.
  */
 export function isSuspect(state: State, fingerprint: string, context: Context): boolean {
-	return crashesOf(state, fingerprint, context).size > 0;
+	return getCrashIds(state, fingerprint, context).size > 0;
 }
 
 /**
- * Every host computes the same few upstreams, so that a suspect that is sent again through another host endangers no others.
+ * Every host selects the same few upstreams, so that a suspect that is repeated through another host endangers no others.
  *
  * @param state - Core state.
  * @param request - Suspected request.
  * @param context - Time and random source.
- * @returns Upstreams it may run at, in order; those that ended with it come only if there are no others.
+ * @returns Upstreams it may run at, best first; those that crashed with it only if there are no others.
  */
 export function suspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
-	const crashed = new Set([...crashesOf(state, request.fingerprint, context)].map(id => id.split('/')[0]));
+	const crashed = new Set([...getCrashIds(state, request.fingerprint, context)].map(id => id.split('/')[0]));
 	const all = upstreamsFor(state, request);
-	const spared = all.filter(each => !crashed.has(each.id));
-	const members = (spared.length > 0 ? spared : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
-	return firstChoices(hashText(request.fingerprint), members, suspectChoices).map(each => each.upstream);
+	const notCrashed = all.filter(each => !crashed.has(each.id));
+	const members = (notCrashed.length > 0 ? notCrashed : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
+	return firstChoices(hashText(request.fingerprint), members, suspectUpstreamLimit).map(each => each.upstream);
 }
 
 /**
- * To be asked before a request is sent: a suspect runs apart from other suspects and from new work.
+ * Checks a request before it is sent. A suspect runs only at its few upstreams, and while it runs there, no other request is sent
+ * to that upstream.
  *
  * @param state - Core state.
  * @param request - Request to send.
  * @param upstream - Upstream considered for it.
  * @param context - Time and random source.
- * @returns Whether suspicion lets it run there now.
+ * @returns Whether the request may run there now.
  */
 export function mayRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
-	const {flights, crashes, heard} = state.suspicion;
-	if (crashes.isEmpty() && heard.isEmpty()) {
+	const {runningAttempts, crashes, peerSuspicions} = state.suspicion;
+	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return true;
 	}
 
-	const suspectIsThere = flights.some(flight => flight.upstream === upstream
-		&& flight.fingerprint !== request.fingerprint
-		&& isSuspect(state, flight.fingerprint, context));
-	if (suspectIsThere) {
+	const isSuspectRunning = runningAttempts.some(running => running.upstream === upstream
+		&& running.fingerprint !== request.fingerprint
+		&& isSuspect(state, running.fingerprint, context));
+	if (isSuspectRunning) {
 		return false;
 	}
 
@@ -87,25 +88,25 @@
 		|| suspectUpstreams(state, request, context).some(each => each.id === upstream);
 }
 
-function expiryOf(state: State, fingerprint: string): number {
+function getExpiry(state: State, fingerprint: string): number {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
-	return Math.max(state.suspicion.heard.get(fingerprint)?.expires ?? 0, ...seen.map(each => each.expires));
+	return Math.max(state.suspicion.peerSuspicions.get(fingerprint)?.expires ?? 0, ...seen.map(each => each.expires));
 }
 
 /**
  * @param state - Core state.
  * @param context - Time and random source.
- * @returns What heartbeats tell peers, the gravest first.
+ * @returns Suspicions to publish to peers, those with the most crashes first.
  */
 export function publishedSuspicions(state: State, context: Context): readonly Suspicion[] {
-	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.heard.keys()]);
+	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.peerSuspicions.keys()]);
 	return [...fingerprints]
 		.map(fingerprint => ({
 			fingerprint,
-			crashes: [...crashesOf(state, fingerprint, context)],
-			expires: expiryOf(state, fingerprint),
+			crashes: [...getCrashIds(state, fingerprint, context)],
+			expires: getExpiry(state, fingerprint),
 		}))
 		.filter(each => each.crashes.length > 0)
 		.toSorted((a, b) => b.crashes.length - a.crashes.length)
-		.slice(0, publishedMost);
+		.slice(0, maxPublishedSuspicions);
 }
--- a/src/core/features/suspicion/types.ts
+++ b/src/core/features/suspicion/types.ts
@@ -1,53 +1,54 @@
-/** Requests that are believed to crash the upstreams that run them. */
+/** State of the detection of poison requests, which crash the upstreams that run them. */
 import {Map as Table} from 'immutable';
 
-/** Distinct crashes after which a request is refused. */
-export const convictingCrashes = 2;
+/** Distinct crashes after which a request is convicted and refused. */
+export const convictionThreshold = 2;
 
-/** Upstreams a suspect may run at. */
-export const suspectChoices = 2;
+/** Upstreams that a suspect may run at, at most. */
+export const suspectUpstreamLimit = 2;
 
-/** Time a crash is held against a request: seen only as a broken connection, and confirmed, in milliseconds. */
-export const unconfirmedLife = 30_000;
-export const confirmedLife = 600_000;
+/** Time for which a crash is held against a request: one seen only as a broken connection, and one confirmed by a restart. */
+export const unconfirmedCrashLifetimeMs = 30_000;
+export const confirmedCrashLifetimeMs = 600_000;
 
+/** Suspects that are tracked at most; those reported by peers are counted separately. */
 export const suspectLimit = 1000;
 
-/** An attempt that is at an upstream now. */
-export type Flight = {
+/** An attempt that is running at an upstream. */
+export type RunningAttempt = {
 	readonly fingerprint: string;
 	readonly upstream: string;
 	readonly incarnation?: string;
-	/** On the core's clock, in milliseconds. */
+	/** Monotonic time in milliseconds. */
 	readonly began: number;
 };
 
-/** An upstream that ended, or seemed to, while a request ran there. */
+/** A crash of an upstream, or what seemed to be one, while a request ran there. */
 export type Crash = {
-	/** Equal for all who saw the same crash. */
+	/** The same for all requests and hosts that saw the crash. */
 	readonly id: string;
 	readonly upstream: string;
 	readonly incarnation?: string;
-	/** When it was noticed, on the core's clock. */
+	/** Monotonic time in milliseconds at which it was noticed. */
 	readonly at: number;
 	/** Wall-clock time in milliseconds since 1970. */
 	readonly expires: number;
 };
 
-/** What peers hold against a request. */
-export type Hearsay = {
+/** Crashes that peers hold against a request. */
+export type PeerSuspicion = {
 	readonly crashes: readonly string[];
 	/** Wall-clock time in milliseconds since 1970. */
 	readonly expires: number;
 };
 
 export type SuspicionState = {
-	/** By attempt. */
-	readonly flights: Table<string, Flight>;
-	/** Crashes seen here, by fingerprint. */
+	/** By attempt id. */
+	readonly runningAttempts: Table<string, RunningAttempt>;
+	/** Crashes noticed by this host, by fingerprint. */
 	readonly crashes: Table<string, readonly Crash[]>;
-	/** By fingerprint. */
-	readonly heard: Table<string, Hearsay>;
+	/** Suspicions received from peers, by fingerprint. */
+	readonly peerSuspicions: Table<string, PeerSuspicion>;
 };
 
-export const initialSuspicion: SuspicionState = {flights: Table(), crashes: Table(), heard: Table()};
+export const initialSuspicion: SuspicionState = {runningAttempts: Table(), crashes: Table(), peerSuspicions: Table()};
