--- a/src/core/__tests__/adoption.test.ts
+++ b/src/core/__tests__/adoption.test.ts
@@ -4,7 +4,7 @@
 
 const hosts = ['a1', 'a2', 'b1', 'b2', 'c1'];
 
-function fleet(seed = 1) {
+function createFleet(seed = 1) {
 	const network = new Network(seed);
 	for (const host of hosts) {
 		network.add(host, host[0]!);
@@ -18,29 +18,29 @@
 	return network.state(host).configuration.inForce?.revision ?? 0;
 }
 
-function isEverywhere(network: Network, revision: number) {
+function isAdoptedEverywhere(network: Network, revision: number) {
 	return hosts.every(host => revisionOf(network, host) === revision);
 }
 
-function refusals(network: Network): readonly number[] {
+function refusalCodes(network: Network): readonly number[] {
 	const codesOf = (effect: Effect) => effect.type === 'log' && effect.decision.type === 'configuration' && !effect.decision.accepted
 		? [effect.decision.code]
 		: [];
 	return network.effects.flatMap(({effect}) => codesOf(effect));
 }
 
-describe('adoption', () => {
-	it('reaches every host through one, over a domain that links two others', () => {
-		const network = fleet();
-		network.cut((x, y) => (x.failureDomain === 'a' && y.failureDomain === 'c') || (x.failureDomain === 'c' && y.failureDomain === 'a'));
+describe('adoption of configuration documents', () => {
+	it('reaches every host from one, through a failure domain that links two others', () => {
+		const network = createFleet();
+		network.partition((x, y) => (x.failureDomain === 'a' && y.failureDomain === 'c') || (x.failureDomain === 'c' && y.failureDomain === 'a'));
 		network.publish(documentOf(1), 'a1');
-		expect(network.run(10_000, () => isEverywhere(network, 1))).toBe(true);
+		expect(network.run(10_000, () => isAdoptedEverywhere(network, 1))).toBe(true);
 		network.publish(documentOf(2), 'a1');
-		expect(network.run(2000, () => isEverywhere(network, 2))).toBe(true);
+		expect(network.run(2000, () => isAdoptedEverywhere(network, 2))).toBe(true);
 	});
 
-	it('serves nothing before it has a document, nor before peers with a higher one were asked', () => {
-		const network = fleet();
+	it('serves nothing before a document is in force and peers with a higher revision have been asked', () => {
+		const network = createFleet();
 		network.run(5000);
 		expect(network.effects.some(({effect}) => effect.type === 'ready')).toBe(false);
 		network.publish(documentOf(7), 'a1');
@@ -56,14 +56,14 @@
 	});
 
 	it('serves after a bounded wait when no listed peer answers', () => {
-		const network = fleet();
-		network.cut(() => true);
+		const network = createFleet();
+		network.partition(() => true);
 		network.publish(documentOf(1), 'a1');
 		expect(network.run(4000, () => network.state('a1').membership.phase === 'serving')).toBe(true);
 	});
 
-	it.each([1, 2, 3])('goes back on no host over 200 changes with stale reads and restarts (seed %i)', seed => {
-		const network = fleet(seed);
+	it.each([1, 2, 3])('never reverts to a lower revision over 200 changes with stale reads and restarts (seed %i)', seed => {
+		const network = createFleet(seed);
 		network.publish(documentOf(1), ...hosts);
 		network.run(4000);
 		const serving = new Map<string, number>();
@@ -92,26 +92,26 @@
 		}
 
 		expect(reversions).toBe(0);
-		// The last reader may have been restarted before it told anyone; the platform still has the document.
+		// The last reader may have restarted before it sent the document to a peer; the platform still has it.
 		network.publish(documentOf(200), 'b2');
-		expect(network.run(5000, () => isEverywhere(network, 200))).toBe(true);
-		expect(new Set(refusals(network))).toEqual(new Set([codes.staleRevision]));
+		expect(network.run(5000, () => isAdoptedEverywhere(network, 200))).toBe(true);
+		expect(new Set(refusalCodes(network))).toEqual(new Set([codes.staleRevision]));
 	});
 
-	it('alarms when a peer has other content of the same revision, and keeps its own', () => {
-		const network = fleet();
-		network.cut(() => true);
+	it('reports a peer that has other content for the same revision, and keeps its own', () => {
+		const network = createFleet();
+		network.partition(() => true);
 		network.publish(documentOf(2), 'a1', 'a2');
 		network.publish(documentOf(2, {failureDomains: [{id: 'z', region: 'z'}]}), 'b1');
-		network.cut(() => false);
+		network.partition(() => false);
 		network.run(20_000);
-		expect(refusals(network)).toContain(codes.sameRevisionOtherContent);
+		expect(refusalCodes(network)).toContain(codes.sameRevisionOtherContent);
 		expect(network.state('a1').configuration.inForce?.failureDomains[0]?.id).toBe('a');
 		expect(network.state('b1').configuration.inForce?.failureDomains[0]?.id).toBe('z');
 	});
 
-	it('parses only what it asked for, and asks a peer with a bad document no more for a while', () => {
-		const network = fleet();
+	it('parses only documents that it requested, and pauses requests to a peer that sent a bad one', () => {
+		const network = createFleet();
 		network.publish(documentOf(1), ...hosts);
 		network.run(4000);
 		const parses = () => network.effects.filter(({host, effect}) => host === 'a1' && effect.type === 'parse-configuration').length;
--- a/src/core/__tests__/configuration.test.ts
+++ b/src/core/__tests__/configuration.test.ts
@@ -16,7 +16,7 @@
 };
 const context: Context = {now: 0, wall: 0, random: {integer: least => least}};
 
-function document(revision: number): Configuration {
+function createDocument(revision: number): Configuration {
 	return {
 		schema: 1,
 		revision,
@@ -31,17 +31,17 @@
 	};
 }
 
-function receive(state: State, revision: number, digest = `d${revision}`) {
+function receiveDocument(state: State, revision: number, digest = `d${revision}`) {
 	return step(state, {
 		type: 'configuration-received',
 		source: {type: 'platform'},
-		configuration: document(revision),
+		configuration: createDocument(revision),
 		digest,
 		text: '',
 	}, context);
 }
 
-function refusalCode(result: ReturnType<typeof receive>): number | undefined {
+function refusalCode(result: ReturnType<typeof receiveDocument>): number | undefined {
 	for (const effect of result.effects) {
 		if (effect.type === 'log' && effect.decision.type === 'configuration' && !effect.decision.accepted) {
 			return effect.decision.code;
@@ -52,23 +52,23 @@
 }
 
 describe('configuration', () => {
-	it('serves once a first document is in force', () => {
-		const {state, effects} = receive(initialState(self), 3);
+	it('serves once its first document is in force', () => {
+		const {state, effects} = receiveDocument(initialState(self), 3);
 		expect(state.configuration.inForce?.revision).toBe(3);
 		expect(effects).toContainEqual({type: 'ready', ready: true});
 	});
 
-	it('never goes back to a lower revision', () => {
-		const {state} = receive(initialState(self), 3);
-		const after = receive(state, 2);
+	it('never reverts to a lower revision', () => {
+		const {state} = receiveDocument(initialState(self), 3);
+		const after = receiveDocument(state, 2);
 		expect(after.state.configuration.inForce?.revision).toBe(3);
 		expect(refusalCode(after)).toBe(codes.staleRevision);
 	});
 
-	it('refuses the same revision with other content', () => {
-		const {state} = receive(initialState(self), 3);
-		const after = receive(state, 3, 'other');
+	it('refuses other content for the same revision', () => {
+		const {state} = receiveDocument(initialState(self), 3);
+		const after = receiveDocument(state, 3, 'other');
 		expect(refusalCode(after)).toBe(codes.sameRevisionOtherContent);
-		expect(refusalCode(receive(state, 3))).toBeUndefined();
+		expect(refusalCode(receiveDocument(state, 3))).toBeUndefined();
 	});
 });
--- a/src/core/__tests__/hosts.ts
+++ b/src/core/__tests__/fixtures.ts
@@ -1,16 +1,16 @@
-/** Hosts of the core for tests: small configurations, requests and a way to step. */
+/** Fixtures for tests of the core: a small configuration, requests, and helpers that apply events. */
 import {
 	initialState, step, type Configuration, type Context, type Effect, type Event, type Member, type Proof, type Request, type State,
 } from '../index.js';
 
-export const wallStart = 1_700_000_000_000;
+export const startWallTimeMs = 1_700_000_000_000;
 
-/** A context at a time in milliseconds after the start. */
-export function at(now: number): Context {
-	return {now, wall: wallStart + now, random: {integer: least => least}};
+/** Returns the context at a time, in milliseconds after the start. */
+export function contextAt(now: number): Context {
+	return {now, wall: startWallTimeMs + now, random: {integer: least => least}};
 }
 
-export function member(host: string, started = 1, failureDomain = 'a'): Member {
+export function createMember(host: string, started = 1, failureDomain = 'a'): Member {
 	return {
 		incarnation: {host, started},
 		failureDomain,
@@ -19,7 +19,7 @@
 	};
 }
 
-export function configuration(upstreams: readonly string[] = ['u1', 'u2', 'u3'], failureDomain = 'a'): Configuration {
+export function createConfiguration(upstreams: readonly string[] = ['u1', 'u2', 'u3'], failureDomain = 'a'): Configuration {
 	return {
 		schema: 1,
 		revision: 1,
@@ -47,12 +47,12 @@
 	};
 }
 
-/** Takes events one after another at one time. */
-export function play(state: State, now: number, ...events: readonly Event[]): {readonly state: State; readonly effects: readonly Effect[]} {
+/** Applies events in order, all at the same time. */
+export function applyEvents(state: State, now: number, ...events: readonly Event[]): {readonly state: State; readonly effects: readonly Effect[]} {
 	let current = state;
 	const effects: Effect[] = [];
 	for (const event of events) {
-		const next = step(current, event, at(now));
+		const next = step(current, event, contextAt(now));
 		current = next.state;
 		effects.push(...next.effects);
 	}
@@ -60,14 +60,14 @@
 	return {state: current, effects};
 }
 
-/** A host that serves with a configuration in force. */
-export function serving(self: Member, document: Configuration = configuration()): State {
-	return play(initialState(self), 0, {
+/** Returns the state of a host that serves with a configuration in force. */
+export function createServingState(self: Member, document: Configuration = createConfiguration()): State {
+	return applyEvents(initialState(self), 0, {
 		type: 'configuration-received', source: {type: 'platform'}, configuration: document, digest: 'd', text: '',
 	}).state;
 }
 
-export function request(id: string, proof: Proof, more: Partial<Request> = {}): Request {
+export function createRequest(id: string, proof: Proof, overrides: Partial<Request> = {}): Request {
 	return {
 		id,
 		organisation: 'paper',
@@ -79,11 +79,11 @@
 		blocks: [],
 		proof,
 		fingerprint: 'f',
-		...more,
+		...overrides,
 	};
 }
 
-/** The effects of one type, in order. */
+/** Returns the effects of one type, in order. */
 export function effectsOf<T extends Effect['type']>(effects: readonly Effect[], type: T): ReadonlyArray<Extract<Effect, {readonly type: T}>> {
 	return effects.filter((each): each is Extract<Effect, {readonly type: T}> => each.type === type);
 }
--- a/src/core/__tests__/truth.property.test.ts
+++ b/src/core/__tests__/invariants.property.test.ts
@@ -5,7 +5,7 @@
 const seeds = fc.integer({min: 1, max: 1_000_000});
 
 describe('several hosts under faults', () => {
-	it('keep every invariant whatever the order of delivery, loss, repeats, pauses, restarts and partitions', () => {
+	it('keep every invariant under reordering, loss, repeats, pauses, restarts and partitions', () => {
 		fc.assert(fc.property(seeds, seed => {
 			expect(run({seed, length: 8000}).violations).toEqual([]);
 		}), {seed: 20_261_202, numRuns: 12});
@@ -13,7 +13,7 @@
 });
 
 describe('requests that crash each upstream that runs them', () => {
-	it('crash at most three upstreams of a failure domain while hosts live and are linked', () => {
+	it('crash at most three upstreams of a failure domain while all hosts are live and linked', () => {
 		fc.assert(fc.property(seeds, seed => {
 			expect(run({seed, length: 8000, faults: false}).violations).toEqual([]);
 		}), {seed: 20_261_202, numRuns: 8});
@@ -21,7 +21,7 @@
 });
 
 describe('several hosts without faults', () => {
-	it('serve every operation, also those of callers that only resend a key to any host', () => {
+	it('serve every operation, including those of callers that resend a key to random hosts', () => {
 		fc.assert(fc.property(seeds, seed => {
 			const {world, violations} = run({
 				seed, length: 5000, faults: false, killers: false,
--- a/src/core/__tests__/keys.test.ts
+++ b/src/core/__tests__/keys.test.ts
@@ -3,57 +3,57 @@
 import {mintedAt} from '../features/keys/queries.js';
 import {keyOf} from '../../../bench/fuzz/callers.js';
 import {
-	at, effectsOf, member, play, request, serving,
-} from './hosts.js';
+	applyEvents, contextAt, createMember, createRequest, createServingState, effectsOf,
+} from './fixtures.js';
 
-const peer = member('a2', 2);
+const peer = createMember('a2', 2);
 
-function arrival(id: string, mintedNow: number): Event {
-	return {type: 'request-arrived', request: request(id, {type: 'key', key: keyOf(at(mintedNow).wall, 1)}, {deadline: 60_000})};
+function createArrival(id: string, minted: number): Event {
+	return {type: 'request-arrived', request: createRequest(id, {type: 'key', key: keyOf(contextAt(minted).wall, 1)}, {deadline: 60_000})};
 }
 
-/** A host that has met its only peer at the start. */
-function joined(): State {
-	const listed = play(serving(member('a1')), 0, {type: 'hosts-listed', members: [peer], leaving: []}, {type: 'tick'});
-	const met: Event = {
+/** Returns the state of a host that completed the handshake with its only peer at the start. */
+function createJoinedState(): State {
+	const listed = applyEvents(createServingState(createMember('a1')), 0, {type: 'hosts-listed', members: [peer], leaving: []}, {type: 'tick'});
+	const joined: Event = {
 		type: 'peer-message', from: 'a2', message: {
 			type: 'key-joined', member: peer, members: [], ended: [],
 		},
 	};
-	return play(play(listed.state, 10, met).state, 10_000, {type: 'tick'}).state;
+	return applyEvents(applyEvents(listed.state, 10, joined).state, 10_000, {type: 'tick'}).state;
 }
 
-describe('a bare key', () => {
-	it('tells when it was made only as a UUID of version 7', () => {
-		expect(mintedAt(keyOf(at(5).wall, 7))).toBe(at(5).wall);
+describe('an idempotency key without a ticket', () => {
+	it('carries its creation time only as a UUID of version 7', () => {
+		expect(mintedAt(keyOf(contextAt(5).wall, 7))).toBe(contextAt(5).wall);
 		expect(mintedAt('0f8fad5b-d9cb-469f-a165-70867728950e')).toBeUndefined();
 	});
 
-	it('runs after the promise of every other host, and is sealed without it', () => {
-		const asked = play(joined(), 20_000, arrival('r1', 20_000));
+	it('runs after every other host has promised not to run it, and is sealed otherwise', () => {
+		const asked = applyEvents(createJoinedState(), 20_000, createArrival('r1', 20_000));
 		expect(effectsOf(asked.effects, 'send')).toHaveLength(0);
 		const answer: Event = {
 			type: 'peer-message', from: 'a2', message: {
-				type: 'key-answer', id: `k/paper/${keyOf(at(20_000).wall, 1)}`, claimant: member('a1').incarnation, answer: {type: 'unsure'},
+				type: 'key-answer', id: `k/paper/${keyOf(contextAt(20_000).wall, 1)}`, claimant: createMember('a1').incarnation, answer: {type: 'unsure'},
 			},
 		};
-		expect(effectsOf(play(asked.state, 20_010, answer).effects, 'send')).toHaveLength(1);
-		const silent = play(asked.state, 21_000, {type: 'tick'});
-		expect(effectsOf(silent.effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.sealed});
-		expect(effectsOf(play(silent.state, 21_010, answer).effects, 'send')).toHaveLength(0);
+		expect(effectsOf(applyEvents(asked.state, 20_010, answer).effects, 'send')).toHaveLength(1);
+		const timedOut = applyEvents(asked.state, 21_000, {type: 'tick'});
+		expect(effectsOf(timedOut.effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.sealed});
+		expect(effectsOf(applyEvents(timedOut.state, 21_010, answer).effects, 'send')).toHaveLength(0);
 	});
 
-	it('is unknown to a host that was paused and has not introduced itself anew', () => {
-		const woken = play(joined(), 20_000, {type: 'woken', pause: 9000}, arrival('r1', 20_000));
+	it('is unknown at a host that was paused and has not repeated its handshake', () => {
+		const woken = applyEvents(createJoinedState(), 20_000, {type: 'woken', pause: 9000}, createArrival('r1', 20_000));
 		expect(effectsOf(woken.effects, 'answer')[0]?.outcome).toMatchObject({type: 'unknown', code: codes.outcomeUnknown});
-		const claiming = play(joined(), 20_000, arrival('r1', 20_000));
-		const after = play(claiming.state, 40_000, {type: 'woken', pause: 19_000}, {type: 'tick'});
+		const claiming = applyEvents(createJoinedState(), 20_000, createArrival('r1', 20_000));
+		const after = applyEvents(claiming.state, 40_000, {type: 'woken', pause: 19_000}, {type: 'tick'});
 		expect(effectsOf(after.effects, 'answer')[0]?.outcome).toMatchObject({type: 'unknown', code: codes.outcomeUnknown});
 	});
 
-	it('is answered with a ticket if it tells no time, and not run if it comes from the future', () => {
-		const undated: Event = {type: 'request-arrived', request: request('r1', {type: 'key', key: 'order-17'})};
-		expect(effectsOf(play(joined(), 20_000, undated).effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.ticketRequired});
-		expect(effectsOf(play(joined(), 20_000, arrival('r1', 30_000)).effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.badHeader});
+	it('is answered with a ticket if it carries no time, and not run if its time is in the future', () => {
+		const undated: Event = {type: 'request-arrived', request: createRequest('r1', {type: 'key', key: 'order-17'})};
+		expect(effectsOf(applyEvents(createJoinedState(), 20_000, undated).effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.ticketRequired});
+		expect(effectsOf(applyEvents(createJoinedState(), 20_000, createArrival('r1', 30_000)).effects, 'answer')[0]?.outcome).toMatchObject({type: 'not-run', code: codes.badHeader});
 	});
 });
--- a/src/core/__tests__/load.test.ts
+++ b/src/core/__tests__/load.test.ts
@@ -3,20 +3,20 @@
 import {run, type Scenario} from '../../../bench/model/scenarios.js';
 
 const seeds = [1, 2];
-const duration = 90_000;
-const deadline = 120_000;
+const durationMs = 90_000;
+const deadlineMs = 120_000;
 
-function figures(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Figures {
-	return summary(run({...scenario, duration, deadline}).results, duration / 1000);
+function runScenario(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Figures {
+	return summary(run({...scenario, duration: durationMs, deadline: deadlineMs}).results, durationMs / 1000);
 }
 
-describe('decisions under load, in virtual time', () => {
-	it.each(seeds)('at 70% load short prompts hardly notice the others, and none is starved (seed %i)', seed => {
-		const mixed = figures({policy: 'cost', seed, load: 0.7});
-		const alone = figures({
+describe('decisions under load, in simulated time', () => {
+	it.each(seeds)('at 70% load, long prompts hardly slow down short ones, and no request starves (seed %i)', seed => {
+		const mixed = runScenario({policy: 'cost', seed, load: 0.7});
+		const alone = runScenario({
 			policy: 'cost', seed, load: 0.7, isShortAlone: true,
 		});
-		const turns = figures({policy: 'round-robin', seed, load: 0.7});
+		const turns = runScenario({policy: 'round-robin', seed, load: 0.7});
 		expect(mixed.short / alone.short).toBeLessThanOrEqual(1.35);
 		expect(mixed.short / alone.short).toBeLessThanOrEqual(turns.short / alone.short / 3);
 		expect(mixed.late).toBe(0);
@@ -24,11 +24,11 @@
 		expect(mixed.worst).toBeLessThan(1);
 	});
 
-	it.each(seeds)('at 130% load nothing admitted is late, and engines keep working (seed %i)', seed => {
+	it.each(seeds)('at 130% load, no admitted request is late, and few are given up (seed %i)', seed => {
 		const {results} = run({
-			policy: 'cost', seed, load: 1.3, duration, deadline,
+			policy: 'cost', seed, load: 1.3, duration: durationMs, deadline: deadlineMs,
 		});
-		const over = summary(results, duration / 1000);
+		const over = summary(results, durationMs / 1000);
 		expect(over.late).toBe(0);
 		expect(over.givenUp / over.requests).toBeLessThan(0.03);
 		expect(over.short).toBeLessThan(1000);
@@ -36,9 +36,9 @@
 		expect(refused.every(each => each.outcome?.type === 'not-run' && each.outcome.retryAfter! > 0)).toBe(true);
 	});
 
-	it('at twice the load, small organisations are served within their share however much large ones ask for', () => {
+	it('at 200% load, small organisations get their share regardless of the demand of large ones', () => {
 		const {results} = run({
-			policy: 'cost', seed: 3, load: 2, duration, deadline,
+			policy: 'cost', seed: 3, load: 2, duration: durationMs, deadline: deadlineMs,
 		});
 		const served = (part: string) => {
 			const all = results.filter(each => each.arrival.organisation.startsWith(part) && each.arrival.promptTokens < 100_000);
@@ -49,7 +49,7 @@
 		expect(served('small')).toBeGreaterThanOrEqual(served('large'));
 	});
 
-	it('decides the same for the same seed', () => {
+	it('makes the same decisions for the same seed', () => {
 		const again = () => JSON.stringify(run({
 			policy: 'cost', seed: 4, load: 0.7, duration: 10_000,
 		}).results);
--- a/src/core/__tests__/membership.test.ts
+++ b/src/core/__tests__/membership.test.ts
@@ -10,7 +10,7 @@
 import {longestRoute, nextHop} from '../features/membership/routes.js';
 import {documentOf, Network} from './network.js';
 
-function fleet(sizes: Readonly<Record<string, number>>, seed = 1) {
+function createFleet(sizes: Readonly<Record<string, number>>, seed = 1) {
 	const network = new Network(seed);
 	const hosts: string[] = [];
 	for (const [domain, size] of Object.entries(sizes)) {
@@ -35,7 +35,7 @@
 }
 
 describe('membership', () => {
-	it('hears of every host from a list that names one', () => {
+	it('discovers every host from a seed list with one', () => {
 		const network = new Network();
 		for (const host of ['a1', 'a2', 'a3', 'b1', 'b2']) {
 			network.add(host, host[0]!);
@@ -52,31 +52,31 @@
 		expect(reachableDomains(network.state('b2'))).toEqual(['a', 'b']);
 	});
 
-	it('keeps a peer that answers although the list drops it', () => {
-		const {network, hosts} = fleet({a: 3});
+	it('keeps a responsive peer that the host list drops', () => {
+		const {network, hosts} = createFleet({a: 3});
 		expect(network.run(5000, () => areAllLive(network, hosts))).toBe(true);
 		network.dispatch('a1', {type: 'hosts-listed', members: [], leaving: []});
 		network.run(20_000);
 		expect(areAllLive(network, hosts)).toBe(true);
 	});
 
-	it('suspects a dead host at once, a paused one by its silence, and takes it back when it wakes', () => {
-		const {network, hosts} = fleet({a: 4});
+	it('suspects a dead host at once and a paused one after a silence, and restores the paused one when it resumes', () => {
+		const {network, hosts} = createFleet({a: 4});
 		network.run(5000);
-		network.remove('a2');
+		network.removeHost('a2');
 		expect(statusOf(network, 'a1', 'a2')).toBe('suspect');
 		network.pause('a3');
 		expect(network.run(4000, () => statusOf(network, 'a1', 'a3') === 'suspect')).toBe(true);
 		network.run(20_000);
 		expect(statusOf(network, 'a1', 'a3')).toBe('gone');
 		expect(isCertainlyGone(network.state('a1'), network.nodes.get('a3')!.member.incarnation)).toBe(false);
-		network.wake('a3', 24_000);
+		network.resume('a3', 24_000);
 		const rest = hosts.filter(host => host !== 'a2');
 		expect(network.run(8000, () => rest.every(host => livePeers(network.state(host)).length === 2))).toBe(true);
 	});
 
-	it('knows a replaced incarnation as certainly gone, on hosts that never linked the new one too', () => {
-		const {network} = fleet({a: 3, b: 2});
+	it('considers a replaced incarnation certainly dead, also on hosts without a link to the new one', () => {
+		const {network} = createFleet({a: 3, b: 2});
 		network.run(5000);
 		const old = network.nodes.get('a2')!.member.incarnation;
 		network.add('a2', 'a');
@@ -91,8 +91,8 @@
 		expect(departures).toHaveLength(4);
 	});
 
-	it('leaves gracefully when it wakes to find its name taken', () => {
-		const {network} = fleet({a: 2});
+	it('leaves gracefully when a newer incarnation has its name', () => {
+		const {network} = createFleet({a: 2});
 		network.run(3000);
 		const {member} = network.nodes.get('a1')!;
 		const newer = {...member, incarnation: {host: 'a1', started: member.incarnation.started + 60_000}};
@@ -100,20 +100,20 @@
 		expect(network.state('a1').membership.phase).toBe('leaving');
 	});
 
-	it.each([1, 2, 3])('reconverges within seconds after an hour of partition without a platform (seed %i)', seed => {
-		const {network, hosts} = fleet({a: 3, b: 3, c: 3}, seed);
+	it.each([1, 2, 3])('reconverges within seconds after a partition of two minutes without a platform (seed %i)', seed => {
+		const {network, hosts} = createFleet({a: 3, b: 3, c: 3}, seed);
 		expect(network.run(8000, () => areAllLive(network, hosts))).toBe(true);
-		network.cut((a, b) => a.failureDomain !== b.failureDomain);
+		network.partition((a, b) => a.failureDomain !== b.failureDomain);
 		network.run(120_000);
 		expect(livePeers(network.state('a1'))).toHaveLength(2);
 		network.publish(documentOf(2), 'c1');
-		network.cut(() => false);
+		network.partition(() => false);
 		expect(network.run(10_000, () => areAllLive(network, hosts))).toBe(true);
 		expect(hosts.map(host => network.state(host).configuration.inForce?.revision)).toEqual(hosts.map(() => 2));
 	});
 
-	it('announces leaving at once, and is no serving host to anyone 3 s later', () => {
-		const {network, hosts} = fleet({a: 12, b: 3});
+	it('announces leaving at once, and no host considers it serving 1.5 s later', () => {
+		const {network, hosts} = createFleet({a: 12, b: 3});
 		network.run(30_000);
 		network.dispatch('a5', {type: 'stop-asked', grace: 60_000});
 		expect(network.effects.some(({host, effect}) => host === 'a5' && effect.type === 'ready' && !effect.ready)).toBe(true);
@@ -125,8 +125,8 @@
 		expect(network.run(3000, () => !network.nodes.has('a5'))).toBe(true);
 	});
 
-	it('finds the way to every host of a large domain and of others within the longest route', () => {
-		const {network, hosts} = fleet({a: 24, b: 12, c: 3});
+	it('finds a route to every host of a large failure domain and of others, within the maximum length', () => {
+		const {network, hosts} = createFleet({a: 24, b: 12, c: 3});
 		network.run(8000);
 		let longest = 0;
 		for (const from of hosts) {
@@ -146,8 +146,8 @@
 		expect(longest).toBeLessThanOrEqual(longestRoute);
 	});
 
-	it('publishes work as changes and whole from time to time, and forgets that of a lost host', () => {
-		const {network} = fleet({a: 3});
+	it('publishes changes of its work, and removes the work of a lost host', () => {
+		const {network} = createFleet({a: 3});
 		network.run(3000);
 		const attempt: Attempt = {
 			id: 'r.1', request: 'r', upstream: 'e', began: 0, prefill: 700, decode: 300, ahead: 0, length: 'short', written: false, received: 0,
@@ -166,7 +166,7 @@
 		});
 		network.run(1000);
 		expect(peersWork(network.state('a3'), 'e')).toBe(1000);
-		network.remove('a1');
+		network.removeHost('a1');
 		expect(peersWork(network.state('a3'), 'e')).toBe(0);
 	});
 });
--- a/src/core/__tests__/network.ts
+++ b/src/core/__tests__/network.ts
@@ -1,4 +1,4 @@
-/** Several cores on one clock, with links whose delays are random and whose messages keep their order. */
+/** Simulates several hosts on one clock, with links that delay messages at random but keep their order. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {
@@ -17,7 +17,7 @@
 type Node = {
 	readonly member: Member;
 	state: State;
-	readonly wanted: Map<string, number>;
+	readonly dialTargets: Map<string, number>;
 	isPaused: boolean;
 };
 
@@ -27,10 +27,10 @@
 	readonly run: () => void;
 };
 
-const tickInterval = 50;
+const tickIntervalMs = 50;
 
-/** Wall-clock time at the start. */
-export const epoch = 1_000_000;
+/** Wall-clock time at the start of a simulation. */
+export const startWallTimeMs = 1_000_000;
 
 export function documentOf(revision: number, changes: Partial<Configuration> = {}): Configuration {
 	return {
@@ -57,38 +57,38 @@
 	readonly nodes = new Map<string, Node>();
 	readonly effects: Array<{readonly at: number; readonly host: string; readonly effect: Effect}> = [];
 	readonly sent: Array<{readonly at: number; readonly from: string; readonly message: PeerMessage}> = [];
-	/** Carries out what a core asks of the world outside. */
-	outside: (host: string, effect: Effect) => void;
+	/** Handles effects other than those of links, documents and stops. */
+	handleEffect: (host: string, effect: Effect) => void;
 	readonly #links = new Map<string, number>();
 	readonly #queue: Delivery[] = [];
-	readonly #held = new Map<string, number>();
-	readonly #last = new Map<string, number>();
+	readonly #maxRevisions = new Map<string, number>();
+	readonly #lastDeliveryTimes = new Map<string, number>();
 	readonly #random: (least: number, most: number) => number;
-	#order = 0;
-	#port = 1;
-	#cut: (a: Member, b: Member) => boolean;
+	#nextLinkId = 0;
+	#nextPort = 1;
+	#isPartitioned: (a: Member, b: Member) => boolean;
 
 	constructor(seed = 1) {
 		const generator = xoroshiro128plus(seed);
 		this.#random = (least, most) => uniformInt(generator, least, most);
-		this.#cut = () => false;
-		this.outside = () => undefined;
+		this.#isPartitioned = () => false;
+		this.handleEffect = () => undefined;
 	}
 
-	add(host: string, failureDomain: string, started = epoch + this.now): Member {
-		const port = this.#port++;
+	add(host: string, failureDomain: string, started = startWallTimeMs + this.now): Member {
+		const port = this.#nextPort++;
 		const member = {
 			incarnation: {host, started}, failureDomain, peerAddress: {host: '127.0.0.1', port}, callerAddress: {host: '127.0.0.1', port: 10_000 + port},
 		};
-		this.remove(host);
+		this.removeHost(host);
 		this.nodes.set(host, {
-			member, state: initialState(member), wanted: new Map(), isPaused: false,
+			member, state: initialState(member), dialTargets: new Map(), isPaused: false,
 		});
 		return member;
 	}
 
-	/** The process ends; its links break. */
-	remove(host: string) {
+	/** Ends a host's process and breaks its links. */
+	removeHost(host: string) {
 		this.nodes.delete(host);
 		for (const key of this.#links.keys()) {
 			if (key.split(' ').includes(host)) {
@@ -97,8 +97,8 @@
 		}
 	}
 
-	cut(isCut: (a: Member, b: Member) => boolean) {
-		this.#cut = isCut;
+	partition(isPartitioned: (a: Member, b: Member) => boolean) {
+		this.#isPartitioned = isPartitioned;
 	}
 
 	state(host: string): State {
@@ -126,7 +126,7 @@
 			return;
 		}
 
-		const {state, effects} = step(node.state, event, {now: this.now, wall: epoch + this.now, random: {integer: this.#random}});
+		const {state, effects} = step(node.state, event, {now: this.now, wall: startWallTimeMs + this.now, random: {integer: this.#random}});
 		node.state = state;
 		for (const effect of effects) {
 			this.effects.push({at: this.now, host, effect});
@@ -134,12 +134,12 @@
 		}
 	}
 
-	/** Keeps documents above a revision from a host. */
-	holdRevision(host: string, revision: number | undefined) {
+	/** Withholds documents above a revision from a host; `undefined` lifts the limit. */
+	limitRevision(host: string, revision: number | undefined) {
 		if (revision === undefined) {
-			this.#held.delete(host);
+			this.#maxRevisions.delete(host);
 		} else {
-			this.#held.set(host, revision);
+			this.#maxRevisions.set(host, revision);
 		}
 	}
 
@@ -147,23 +147,23 @@
 		this.nodes.get(host)!.isPaused = true;
 	}
 
-	wake(host: string, pause: number) {
+	resume(host: string, pause: number) {
 		this.nodes.get(host)!.isPaused = false;
 		this.dispatch(host, {type: 'woken', pause});
 	}
 
-	/** Runs for a time, or until something holds. */
-	run(milliseconds: number, holds: () => boolean = () => false): boolean {
+	/** Runs for a time or until a condition is met, and returns whether it is met. */
+	run(milliseconds: number, isDone: () => boolean = () => false): boolean {
 		const end = this.now + milliseconds;
 		while (this.now < end) {
-			if (holds()) {
+			if (isDone()) {
 				return true;
 			}
 
-			this.now += tickInterval;
-			this.#deliver();
-			this.#break();
-			this.#connect();
+			this.now += tickIntervalMs;
+			this.#deliverDue();
+			this.#breakLinks();
+			this.#connectHosts();
 			for (const [host, node] of this.nodes) {
 				if (!node.isPaused) {
 					this.dispatch(host, {type: 'tick'});
@@ -171,25 +171,25 @@
 			}
 		}
 
-		return holds();
+		return isDone();
 	}
 
-	/** Something happens to a host within the next few ticks; a paused host hears of it when it wakes. */
-	later(host: string, event: Event) {
-		this.#later(host, event);
+	/** Dispatches an event to a host within the next few ticks, or after its pause if the host is paused. */
+	dispatchLater(host: string, event: Event) {
+		this.#schedule(host, event);
 	}
 
 	#execute(node: Node, effect: Effect) {
 		const {host} = node.member.incarnation;
 		switch (effect.type) {
 			case 'connect': {
-				node.wanted.set(effect.host, effect.address.port);
+				node.dialTargets.set(effect.host, effect.address.port);
 				break;
 			}
 
 			case 'disconnect': {
-				node.wanted.delete(effect.host);
-				this.#unlink(this.#key(host, effect.host));
+				node.dialTargets.delete(effect.host);
+				this.#unlink(this.#linkKey(host, effect.host));
 				break;
 			}
 
@@ -201,54 +201,54 @@
 
 			case 'parse-configuration': {
 				const configuration = configurationSchema.parse(JSON.parse(effect.text));
-				if (configuration.revision > (this.#held.get(host) ?? Number.POSITIVE_INFINITY)) {
+				if (configuration.revision > (this.#maxRevisions.get(host) ?? Number.POSITIVE_INFINITY)) {
 					break;
 				}
 
-				this.#later(host, {
+				this.#schedule(host, {
 					type: 'configuration-received', source: effect.source, configuration, digest: digestOf(effect.text), text: effect.text,
 				});
 				break;
 			}
 
 			case 'stopped': {
-				this.remove(host);
+				this.removeHost(host);
 				break;
 			}
 
 			default: {
-				this.outside(host, effect);
+				this.handleEffect(host, effect);
 				break;
 			}
 		}
 	}
 
-	#key(a: string, b: string) {
+	#linkKey(a: string, b: string) {
 		return [a, b].toSorted().join(' ');
 	}
 
 	#send(from: string, to: string, message: PeerMessage) {
-		const link = this.#links.get(this.#key(from, to));
+		const link = this.#links.get(this.#linkKey(from, to));
 		if (link !== undefined) {
-			this.#later(to, {type: 'peer-message', from, message}, () => this.#links.get(this.#key(from, to)) === link);
+			this.#schedule(to, {type: 'peer-message', from, message}, () => this.#links.get(this.#linkKey(from, to)) === link);
 		}
 	}
 
-	/** What one host sends another keeps its order; everything else may overtake. */
-	#later(host: string, event: Event, isStill: () => boolean = () => true) {
+	/** Schedules an event. Messages between two hosts keep their order, and so do other events of a host; the two kinds may overtake each other. */
+	#schedule(host: string, event: Event, isStillValid: () => boolean = () => true) {
 		const stream = event.type === 'peer-message' ? `${event.from} ${host}` : host;
-		const at = Math.max(this.#last.get(stream) ?? 0, this.now + this.#random(0, 2 * tickInterval));
-		this.#last.set(stream, at);
+		const at = Math.max(this.#lastDeliveryTimes.get(stream) ?? 0, this.now + this.#random(0, 2 * tickIntervalMs));
+		this.#lastDeliveryTimes.set(stream, at);
 		this.#queue.push({
 			at, host, run: () => {
-				if (isStill()) {
+				if (isStillValid()) {
 					this.dispatch(host, event);
 				}
 			},
 		});
 	}
 
-	#deliver() {
+	#deliverDue() {
 		const isDue = (each: Delivery) => each.at <= this.now && this.nodes.get(each.host)?.isPaused !== true;
 		for (let due = this.#queue.filter(each => isDue(each)); due.length > 0; due = this.#queue.filter(each => isDue(each))) {
 			this.#queue.splice(0, this.#queue.length, ...this.#queue.filter(each => !due.includes(each)));
@@ -266,44 +266,44 @@
 		}
 	}
 
-	#break() {
+	#breakLinks() {
 		for (const key of this.#links.keys()) {
 			const [a, b] = key.split(' ').map(host => this.nodes.get(host)!);
-			if (this.#cut(a!.member, b!.member)) {
+			if (this.#isPartitioned(a!.member, b!.member)) {
 				this.#unlink(key);
 			}
 		}
 	}
 
-	#connect() {
+	#connectHosts() {
 		for (const node of this.nodes.values()) {
-			for (const [meant, port] of node.wanted) {
+			for (const [expectedHost, port] of node.dialTargets) {
 				const other = [...this.nodes.values()].find(each => each.member.peerAddress.port === port);
-				if (other !== undefined && !this.#cut(node.member, other.member) && !node.isPaused && !other.isPaused) {
-					this.#link(node, other, meant);
+				if (other !== undefined && !this.#isPartitioned(node.member, other.member) && !node.isPaused && !other.isPaused) {
+					this.#link(node, other, expectedHost);
 				}
 			}
 		}
 	}
 
-	#link(node: Node, other: Node, meant: string) {
+	#link(node: Node, other: Node, expectedHost: string) {
 		const [a, b] = [node.member.incarnation.host, other.member.incarnation.host];
-		const key = this.#key(a, b);
+		const key = this.#linkKey(a, b);
 		if (this.#links.has(key) || a === b) {
 			return;
 		}
 
-		if (meant === b) {
-			this.#links.set(key, this.#order++);
+		if (expectedHost === b) {
+			this.#links.set(key, this.#nextLinkId++);
 			this.dispatch(a, {type: 'peer-connected', host: b});
 			this.dispatch(b, {type: 'peer-connected', host: a});
-			this.dispatch(b, {type: 'peer-message', from: a, message: this.#hello(node)});
+			this.dispatch(b, {type: 'peer-message', from: a, message: this.#createHello(node)});
 		}
 
-		this.dispatch(a, {type: 'peer-message', from: b, message: this.#hello(other)});
+		this.dispatch(a, {type: 'peer-message', from: b, message: this.#createHello(other)});
 	}
 
-	#hello(node: Node): PeerMessage {
+	#createHello(node: Node): PeerMessage {
 		const {phase} = node.state.membership;
 		return {
 			type: 'hello', member: node.member, phase, revision: node.state.configuration.inForce?.revision ?? 0,
--- a/src/core/__tests__/placement.test.ts
+++ b/src/core/__tests__/placement.test.ts
@@ -10,17 +10,17 @@
 } from '../index.js';
 import {orderers} from '../features/placement/queries.js';
 import {isStopping} from '../features/stops/queries.js';
-import {documentOf, epoch, Network} from './network.js';
+import {documentOf, Network, startWallTimeMs} from './network.js';
 
-const loadTime = 1000;
+const loadTimeMs = 1000;
 
-function targetOf(version: string): Target {
+function createTarget(version: string): Target {
 	return {
 		model: 'm', version, adapters: [], role: 'mixed',
 	};
 }
 
-function engineOf(id: string, version: string, fencing = true): Engine {
+function createEngine(id: string, version: string, fencing = true): Engine {
 	return {
 		kind: 'engine',
 		id,
@@ -32,22 +32,22 @@
 		decodeInterval: 1,
 		batch: 1,
 		fencing,
-		target: targetOf(version),
+		target: createTarget(version),
 	};
 }
 
-function documentWith(revision: number, engines: readonly Engine[], readyEngines = 1, loadsPerSecond?: number) {
-	const wanted = modelServiceSchema.parse({
+function createPlacementDocument(revision: number, engines: readonly Engine[], readyEngines = 1, loadsPerSecond?: number) {
+	const service = modelServiceSchema.parse({
 		kind: 'model', id: 's', model: 'm', deadline: {default: 1000, most: 1000}, idempotent: true, readyEngines,
 	});
 	return documentOf(revision, {
-		services: [wanted],
+		services: [service],
 		upstreams: engines,
 		...(loadsPerSecond !== undefined && {weightStore: {address: {host: '127.0.0.1', port: 2}, loadsPerSecond}}),
 	});
 }
 
-/** An engine that loads for a second and checks numbers if it is told to. */
+/** Engine that takes a second to load a target, and refuses orders with outdated fencing numbers if `fencing` is set. */
 class FakeEngine {
 	highest: OrderNumber | undefined;
 	current: Target | undefined;
@@ -60,14 +60,14 @@
 		this.current = current;
 	}
 
-	settle(now: number) {
+	finishLoading(now: number) {
 		if (this.loading !== undefined && now >= this.loading.until) {
 			this.current = this.loading.target;
 			this.loading = undefined;
 		}
 	}
 
-	take(order: Order, now: number): boolean {
+	handleOrder(order: Order, now: number): boolean {
 		const {counter, host} = order.number;
 		if (this.fencing) {
 			if (this.highest !== undefined && (counter < this.highest.counter || (counter === this.highest.counter && host < this.highest.host))) {
@@ -79,14 +79,14 @@
 
 		if (order.type === 'load') {
 			this.loads.push({at: now, host, target: order.target});
-			this.loading = {target: order.target, until: now + loadTime};
+			this.loading = {target: order.target, until: now + loadTimeMs};
 		}
 
 		return true;
 	}
 }
 
-function reportOf(upstream: string, engine: FakeEngine): Report {
+function createReport(upstream: string, engine: FakeEngine): Report {
 	return {
 		upstream,
 		incarnation: '1',
@@ -103,13 +103,13 @@
 	};
 }
 
-class Bench {
+class PlacementSimulation {
 	readonly network = new Network();
 	readonly engines = new Map<string, FakeEngine>();
 	readonly hosts = ['a1', 'a2', 'a3'];
-	/** Orders that hosts have sent and that have not arrived. */
-	readonly held: Array<{readonly host: string; readonly effect: Extract<Effect, {readonly type: 'order'}>}> = [];
-	holding: string | undefined;
+	/** Orders sent by the delayed host that have not arrived. */
+	readonly delayedOrders: Array<{readonly host: string; readonly effect: Extract<Effect, {readonly type: 'order'}>}> = [];
+	delayedHost: string | undefined;
 
 	constructor(engines: Readonly<Record<string, FakeEngine>>) {
 		for (const [id, engine] of Object.entries(engines)) {
@@ -121,182 +121,182 @@
 		}
 
 		this.network.list(...this.hosts);
-		this.network.outside = (host, effect) => {
-			this.#execute(host, effect);
+		this.network.handleEffect = (host, effect) => {
+			this.#handleEffect(host, effect);
 		};
 	}
 
-	run(milliseconds: number, holds: () => boolean = () => false): boolean {
+	run(milliseconds: number, isReached: () => boolean = () => false): boolean {
 		const end = this.network.now + milliseconds;
-		while (this.network.now < end && !holds()) {
+		while (this.network.now < end && !isReached()) {
 			this.network.run(50);
 			for (const [id, engine] of this.engines) {
-				engine.settle(this.network.now);
-				this.#report(id, engine);
+				engine.finishLoading(this.network.now);
+				this.#sendReports(id, engine);
 			}
 		}
 
-		return holds();
+		return isReached();
 	}
 
-	deliver(host: string, effect: Extract<Effect, {readonly type: 'order'}>): boolean {
+	deliverOrder(host: string, effect: Extract<Effect, {readonly type: 'order'}>): boolean {
 		const engine = this.engines.get(effect.upstream)!;
-		const accepted = engine.take(effect.order, this.network.now);
-		this.network.later(host, {
+		const accepted = engine.handleOrder(effect.order, this.network.now);
+		this.network.dispatchLater(host, {
 			type: 'order-answered', upstream: effect.upstream, order: effect.order, accepted, seen: engine.highest,
 		});
 		return accepted;
 	}
 
-	isDone(version: string): boolean {
+	isDeployed(version: string): boolean {
 		return [...this.engines.values()].every(engine => engine.current?.version === version && engine.loading === undefined);
 	}
 
-	ready(): number {
+	countReadyEngines(): number {
 		return [...this.engines.values()].filter(engine => engine.current !== undefined && engine.loading === undefined).length;
 	}
 
-	orderer(document: ReturnType<typeof documentWith>, id: string): string {
+	findOrderer(document: ReturnType<typeof createPlacementDocument>, id: string): string {
 		const engine = document.upstreams.find(each => each.id === id);
 		return engine?.kind === 'engine' ? orderers(this.network.state(this.hosts[0]!))(engine)! : '';
 	}
 
-	#execute(host: string, effect: Effect) {
+	#handleEffect(host: string, effect: Effect) {
 		if (effect.type === 'order') {
-			if (this.holding === host) {
-				this.held.push({host, effect});
+			if (this.delayedHost === host) {
+				this.delayedOrders.push({host, effect});
 			} else {
-				this.deliver(host, effect);
+				this.deliverOrder(host, effect);
 			}
 		} else if (effect.type === 'read-orders') {
 			const engine = this.engines.get(effect.upstream)!;
-			this.network.later(host, {
+			this.network.dispatchLater(host, {
 				type: 'orders-read', upstream: effect.upstream, known: true, highest: engine.highest, current: engine.current, loading: engine.loading?.target,
 			});
 		}
 	}
 
-	/** Reports lag: they are delivered within the next ticks. */
-	#report(id: string, engine: FakeEngine) {
+	/** Sends reports, which arrive with a delay of some ticks. */
+	#sendReports(id: string, engine: FakeEngine) {
 		if (this.network.now % 250 === 0) {
 			for (const host of this.network.nodes.keys()) {
-				this.network.later(host, {
-					type: 'report-received', report: reportOf(id, engine),
+				this.network.dispatchLater(host, {
+					type: 'report-received', report: createReport(id, engine),
 				});
 			}
 		}
 	}
 }
 
-function fakes(count: number, current: Target | undefined, fencing = true): Readonly<Record<string, FakeEngine>> {
+function createFakeEngines(count: number, current: Target | undefined, fencing = true): Readonly<Record<string, FakeEngine>> {
 	return Object.fromEntries(Array.from({length: count}, (_, index) => [`e${index}`, new FakeEngine(fencing, current)]));
 }
 
-function enginesOf(bench: Bench, version: string): readonly Engine[] {
-	return [...bench.engines].map(([id, {fencing}]) => engineOf(id, version, fencing));
+function engineConfigurations(simulation: PlacementSimulation, version: string): readonly Engine[] {
+	return [...simulation.engines].map(([id, {fencing}]) => createEngine(id, version, fencing));
 }
 
 describe('placement', () => {
 	it('loads each empty engine once, through one orderer', () => {
-		const bench = new Bench(fakes(8, undefined));
-		bench.network.publish(documentWith(1, enginesOf(bench, 'v1')), ...bench.hosts);
-		expect(bench.run(20_000, () => bench.isDone('v1'))).toBe(true);
-		expect([...bench.engines.values()].map(engine => engine.loads.length)).toEqual(Array.from({length: 8}, () => 1));
-		expect(new Set([...bench.engines.values()].map(engine => engine.loads[0]!.host)).size).toBeGreaterThan(1);
+		const simulation = new PlacementSimulation(createFakeEngines(8, undefined));
+		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1')), ...simulation.hosts);
+		expect(simulation.run(20_000, () => simulation.isDeployed('v1'))).toBe(true);
+		expect([...simulation.engines.values()].map(engine => engine.loads.length)).toEqual(Array.from({length: 8}, () => 1));
+		expect(new Set([...simulation.engines.values()].map(engine => engine.loads[0]!.host)).size).toBeGreaterThan(1);
 	});
 
-	it('keeps enough engines ready while the version changes, and takes no new work to those that change', () => {
-		const bench = new Bench(fakes(6, targetOf('v1')));
-		bench.network.publish(documentWith(1, enginesOf(bench, 'v1'), 5), ...bench.hosts);
-		bench.run(6000);
-		bench.network.publish(documentWith(2, enginesOf(bench, 'v2'), 5), 'a2');
+	it('keeps enough engines ready while the version changes, and sends no new work to engines that change', () => {
+		const simulation = new PlacementSimulation(createFakeEngines(6, createTarget('v1')));
+		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 5), ...simulation.hosts);
+		simulation.run(6000);
+		simulation.network.publish(createPlacementDocument(2, engineConfigurations(simulation, 'v2'), 5), 'a2');
 		let least = 6;
 		let isMarked = true;
-		bench.run(60_000, () => {
-			least = Math.min(least, bench.ready());
-			for (const [id, engine] of bench.engines) {
-				const fresh = engine.loads.find(load => load.at === bench.network.now);
-				isMarked &&= fresh === undefined || isStopping(bench.network.state(fresh.host), id);
+		simulation.run(60_000, () => {
+			least = Math.min(least, simulation.countReadyEngines());
+			for (const [id, engine] of simulation.engines) {
+				const fresh = engine.loads.find(load => load.at === simulation.network.now);
+				isMarked &&= fresh === undefined || isStopping(simulation.network.state(fresh.host), id);
 			}
 
-			return bench.isDone('v2');
+			return simulation.isDeployed('v2');
 		});
-		expect(bench.isDone('v2')).toBe(true);
+		expect(simulation.isDeployed('v2')).toBe(true);
 		expect(least).toBe(5);
 		expect(isMarked).toBe(true);
 	});
 
-	it('changes nothing when an engine too many must stay ready', () => {
-		const bench = new Bench(fakes(3, targetOf('v1')));
-		bench.network.publish(documentWith(1, enginesOf(bench, 'v2'), 3), ...bench.hosts);
-		bench.run(15_000);
-		expect([...bench.engines.values()].flatMap(engine => engine.loads)).toEqual([]);
+	it('changes nothing when all engines must stay ready', () => {
+		const simulation = new PlacementSimulation(createFakeEngines(3, createTarget('v1')));
+		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v2'), 3), ...simulation.hosts);
+		simulation.run(15_000);
+		expect([...simulation.engines.values()].flatMap(engine => engine.loads)).toEqual([]);
 	});
 
-	it.each([[2], [4]])('stays within %i loads a second of the weight store', loadsPerSecond => {
-		const bench = new Bench(fakes(12, undefined));
-		bench.network.publish(documentWith(1, enginesOf(bench, 'v1'), 1, loadsPerSecond), ...bench.hosts);
-		expect(bench.run(120_000, () => bench.isDone('v1'))).toBe(true);
-		const times = [...bench.engines.values()].flatMap(engine => engine.loads.map(load => load.at)).toSorted((a, b) => a - b);
+	it.each([[2], [4]])('stays within the weight store\'s limit of %i loads per second', loadsPerSecond => {
+		const simulation = new PlacementSimulation(createFakeEngines(12, undefined));
+		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 1, loadsPerSecond), ...simulation.hosts);
+		expect(simulation.run(120_000, () => simulation.isDeployed('v1'))).toBe(true);
+		const times = [...simulation.engines.values()].flatMap(engine => engine.loads.map(load => load.at)).toSorted((a, b) => a - b);
 		for (const [index, time] of times.entries()) {
 			const within = times.slice(index).filter(each => each < time + 5000).length;
 			expect(within).toBeLessThanOrEqual((loadsPerSecond * 5 / 3) + 3);
 		}
 	});
 
-	it.each([true, false])('refuses or repairs the order of a host that was paused before it arrived (numbers checked: %s)', fencing => {
-		const bench = new Bench(fakes(1, targetOf('v0'), fencing));
-		const first = documentWith(1, [engineOf('e0', 'v0', fencing)], 0);
-		bench.network.publish(first, ...bench.hosts);
-		bench.run(8000);
-		const paused = bench.orderer(first, 'e0');
-		const others = bench.hosts.filter(host => host !== paused);
-		bench.holding = paused;
-		bench.network.publish(documentWith(2, [engineOf('e0', 'v1', fencing)], 0), ...bench.hosts);
-		expect(bench.run(10_000, () => bench.held.some(({effect}) => effect.order.type === 'load'))).toBe(true);
-		const late = bench.held.find(({effect}) => effect.order.type === 'load')!;
-		bench.network.pause(paused);
-		bench.network.publish(documentWith(3, [engineOf('e0', 'v2', fencing)], 0), ...others);
-		expect(bench.run(30_000, () => bench.isDone('v2'))).toBe(true);
-		expect(bench.deliver(paused, late.effect)).toBe(!fencing);
-		bench.holding = undefined;
-		bench.network.wake(paused, 30_000);
-		const loads = bench.engines.get('e0')!.loads.length;
-		expect(bench.run(5000, () => bench.isDone('v2') && bench.engines.get('e0')!.loading === undefined)).toBe(true);
-		bench.run(20_000);
-		expect(bench.isDone('v2')).toBe(true);
-		expect(bench.engines.get('e0')!.loads.length - loads).toBe(fencing ? 0 : 1);
+	it.each([true, false])('refuses or corrects an order that arrives after its sender was paused and replaced (fencing: %s)', fencing => {
+		const simulation = new PlacementSimulation(createFakeEngines(1, createTarget('v0'), fencing));
+		const first = createPlacementDocument(1, [createEngine('e0', 'v0', fencing)], 0);
+		simulation.network.publish(first, ...simulation.hosts);
+		simulation.run(8000);
+		const paused = simulation.findOrderer(first, 'e0');
+		const others = simulation.hosts.filter(host => host !== paused);
+		simulation.delayedHost = paused;
+		simulation.network.publish(createPlacementDocument(2, [createEngine('e0', 'v1', fencing)], 0), ...simulation.hosts);
+		expect(simulation.run(10_000, () => simulation.delayedOrders.some(({effect}) => effect.order.type === 'load'))).toBe(true);
+		const late = simulation.delayedOrders.find(({effect}) => effect.order.type === 'load')!;
+		simulation.network.pause(paused);
+		simulation.network.publish(createPlacementDocument(3, [createEngine('e0', 'v2', fencing)], 0), ...others);
+		expect(simulation.run(30_000, () => simulation.isDeployed('v2'))).toBe(true);
+		expect(simulation.deliverOrder(paused, late.effect)).toBe(!fencing);
+		simulation.delayedHost = undefined;
+		simulation.network.resume(paused, 30_000);
+		const loads = simulation.engines.get('e0')!.loads.length;
+		expect(simulation.run(5000, () => simulation.isDeployed('v2') && simulation.engines.get('e0')!.loading === undefined)).toBe(true);
+		simulation.run(20_000);
+		expect(simulation.isDeployed('v2')).toBe(true);
+		expect(simulation.engines.get('e0')!.loads.length - loads).toBe(fencing ? 0 : 1);
 	});
 
-	it('seals at a takeover, though there is nothing to order', () => {
-		const bench = new Bench(fakes(1, targetOf('v1')));
-		const document = documentWith(1, enginesOf(bench, 'v1'), 0);
-		bench.network.publish(document, ...bench.hosts);
-		bench.run(8000);
-		const engine = bench.engines.get('e0')!;
+	it('seals the engine when another host takes over its orders, even without a target change', () => {
+		const simulation = new PlacementSimulation(createFakeEngines(1, createTarget('v1')));
+		const document = createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 0);
+		simulation.network.publish(document, ...simulation.hosts);
+		simulation.run(8000);
+		const engine = simulation.engines.get('e0')!;
 		const before = engine.highest!;
-		const orderer = bench.orderer(document, 'e0');
-		bench.network.remove(orderer);
-		bench.run(8000);
+		const orderer = simulation.findOrderer(document, 'e0');
+		simulation.network.removeHost(orderer);
+		simulation.run(8000);
 		expect(engine.highest!.counter).toBeGreaterThan(before.counter);
-		expect(engine.take({type: 'load', number: {counter: before.counter, host: 'z'}, target: targetOf('v0')}, 0)).toBe(false);
+		expect(engine.handleOrder({type: 'load', number: {counter: before.counter, host: 'z'}, target: createTarget('v0')}, 0)).toBe(false);
 	});
 });
 
 describe('planned stops', () => {
-	it('stop upstreams of a service and domain one after another, alike on all hosts', () => {
-		const bench = new Bench(fakes(3, targetOf('v1')));
+	it('stop upstreams of a service and failure domain one after another, in the same order on all hosts', () => {
+		const simulation = new PlacementSimulation(createFakeEngines(3, createTarget('v1')));
 		const document = {
-			...documentWith(1, enginesOf(bench, 'v1'), 0),
+			...createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 0),
 			plannedStops: ['e2', 'e0'].map((id, index) => ({
-				id: `s${index}`, target: {kind: 'upstream', id}, notBefore: epoch + 5000, grace: 4000,
+				id: `s${index}`, target: {kind: 'upstream', id}, notBefore: startWallTimeMs + 5000, grace: 4000,
 			} as const)),
 		};
-		bench.network.publish(document, ...bench.hosts);
+		simulation.network.publish(document, ...simulation.hosts);
 		const seen: string[] = [];
-		const stoppingAt = (host: string) => [...bench.engines.keys()].filter(id => isStopping(bench.network.state(host), id)).join(',');
-		bench.run(20_000, () => {
-			const stopping = bench.hosts.map(host => stoppingAt(host));
+		const stoppingAt = (host: string) => [...simulation.engines.keys()].filter(id => isStopping(simulation.network.state(host), id)).join(',');
+		simulation.run(20_000, () => {
+			const stopping = simulation.hosts.map(host => stoppingAt(host));
 			if (new Set(stopping).size === 1 && seen.at(-1) !== stopping[0]) {
 				seen.push(stopping[0]!);
 			}
@@ -306,7 +306,7 @@
 		expect(seen).toEqual(['', 'e2', 'e0', '']);
 	});
 
-	it('stop hosts of a domain one after another, each once the one before is back', () => {
+	it('stop hosts of a failure domain one after another, each once the previous one serves again', () => {
 		const network = new Network();
 		const hosts = ['a1', 'a2', 'a3', 'b1'];
 		for (const host of hosts) {
@@ -316,7 +316,7 @@
 		network.list(...hosts);
 		const document = documentOf(1, {
 			plannedStops: hosts.map(id => ({
-				id: `stop ${id}`, target: {kind: 'host', id}, notBefore: epoch + 6000, grace: 3000,
+				id: `stop ${id}`, target: {kind: 'host', id}, notBefore: startWallTimeMs + 6000, grace: 3000,
 			} as const)),
 		});
 		network.publish(document, ...hosts);
--- a/src/core/__tests__/takeover.test.ts
+++ b/src/core/__tests__/takeover.test.ts
@@ -4,12 +4,12 @@
 } from '../index.js';
 import {servedBy} from '../features/takeover/queries.js';
 import {
-	configuration, member, request, serving,
-} from './hosts.js';
+	createConfiguration, createMember, createRequest, createServingState,
+} from './fixtures.js';
 import {Network} from './network.js';
 
-function documentWith(revision: number, takeovers: readonly Takeover[]): Configuration {
-	const base = configuration();
+function createTakeoverDocument(revision: number, takeovers: readonly Takeover[]): Configuration {
+	const base = createConfiguration();
 	return {
 		...base,
 		revision,
@@ -22,7 +22,7 @@
 
 const toLegacy: readonly Takeover[] = [{service: 'bookings', servedBy: 'legacy'}];
 
-describe('who serves', () => {
+describe('the serving system', () => {
 	it.each([
 		[[], 'cranberrytide'],
 		[toLegacy, 'legacy'],
@@ -30,8 +30,8 @@
 		[[...toLegacy, {service: 'bookings', failureDomain: 'b', servedBy: 'cranberrytide'}], 'legacy'],
 		[[{service: 'bookings', organisation: 'paper', servedBy: 'legacy'}, {service: 'bookings', failureDomain: 'a', servedBy: 'cranberrytide'}], 'legacy'],
 		[[{service: 'other', servedBy: 'legacy'}], 'cranberrytide'],
-	] as const)('is found by the narrowest rule (%#)', (takeovers, expected) => {
-		const state = serving(member('a1'), documentWith(1, takeovers));
+	] as const)('is that of the most specific rule (%#)', (takeovers, expected) => {
+		const state = createServingState(createMember('a1'), createTakeoverDocument(1, takeovers));
 		expect(servedBy(state, {service: 'bookings', organisation: 'paper'})).toBe(expected);
 	});
 });
@@ -42,16 +42,16 @@
 	readonly ending: Ending['type'];
 };
 
-/** Hosts that pass requests on to each other and send them to upstreams whose answers differ. */
-class Move {
+/** Hosts that forward requests to each other and send them to upstreams with random outcomes. */
+class TakeoverSimulation {
 	readonly network: Network;
 	readonly runs: Run[] = [];
 	readonly tickets: Ticket[] = [];
 	readonly hosts = ['a1', 'a2', 'a3'];
 	readonly #random: (most: number) => number;
-	readonly #waiting = new Map<string, {readonly host: string; readonly request: string}>();
+	readonly #forwards = new Map<string, {readonly host: string; readonly request: string}>();
 	readonly #requests = new Map<string, Request>();
-	#next = 0;
+	#nextId = 0;
 
 	constructor(seed: number) {
 		this.network = new Network(seed);
@@ -65,31 +65,31 @@
 			this.network.add(host, 'a');
 		}
 
-		this.network.outside = (host, effect) => {
-			this.#execute(host, effect);
+		this.network.handleEffect = (host, effect) => {
+			this.#handleEffect(host, effect);
 		};
 
 		this.network.list(...this.hosts);
 	}
 
-	/** A caller shows a ticket or a key at some host, perhaps not for the first time. */
-	show(proof: Request['proof'], right: string) {
-		this.#arrive(this.hosts[this.#random(this.hosts.length)]!, proof, right);
+	/** Sends a request with a ticket or key, which may have been used before, to a random host. */
+	sendToRandomHost(proof: Request['proof'], right: string) {
+		this.#sendRequest(this.hosts[this.#random(this.hosts.length)]!, proof, right);
 	}
 
-	pick(most: number): number {
+	randomBelow(most: number): number {
 		return this.#random(most);
 	}
 
-	#arrive(host: string, proof: Request['proof'], right: string, deadline = this.network.now + 5000): string {
-		const id = `r${this.#next++}`;
-		const made = request(id, proof, {fingerprint: right, arrival: this.network.now, deadline});
+	#sendRequest(host: string, proof: Request['proof'], right: string, deadline = this.network.now + 5000): string {
+		const id = `r${this.#nextId++}`;
+		const made = createRequest(id, proof, {fingerprint: right, arrival: this.network.now, deadline});
 		this.#requests.set(id, made);
 		this.network.dispatch(host, {type: 'request-arrived', request: made});
 		return id;
 	}
 
-	#execute(host: string, effect: Effect) {
+	#handleEffect(host: string, effect: Effect) {
 		switch (effect.type) {
 			case 'issue-ticket': {
 				this.tickets.push(effect.ticket);
@@ -98,20 +98,20 @@
 
 			case 'forward': {
 				const {proof, fingerprint, deadline} = this.#requests.get(effect.request)!;
-				const id = this.#arrive(effect.host, proof, fingerprint, deadline);
-				this.#waiting.set(`${effect.host} ${id}`, {host, request: effect.request});
+				const id = this.#sendRequest(effect.host, proof, fingerprint, deadline);
+				this.#forwards.set(`${effect.host} ${id}`, {host, request: effect.request});
 				break;
 			}
 
 			case 'send': {
-				this.#run(host, effect);
+				this.#runAttempt(host, effect);
 				break;
 			}
 
 			case 'answer': {
-				const waiting = this.#waiting.get(`${host} ${effect.request}`);
+				const waiting = this.#forwards.get(`${host} ${effect.request}`);
 				if (waiting !== undefined) {
-					this.network.later(waiting.host, {type: 'forward-ended', request: waiting.request, ending: {type: 'done', tokens: 0}});
+					this.network.dispatchLater(waiting.host, {type: 'forward-ended', request: waiting.request, ending: {type: 'done', tokens: 0}});
 				}
 
 				break;
@@ -123,7 +123,7 @@
 		}
 	}
 
-	#run(host: string, effect: Extract<Effect, {readonly type: 'send'}>) {
+	#runAttempt(host: string, effect: Extract<Effect, {readonly type: 'send'}>) {
 		const endings: readonly Ending[] = [
 			{type: 'done', tokens: 1},
 			{type: 'failed', code: 3001, detail: ''},
@@ -140,44 +140,44 @@
 			side: effect.upstream === 'old' ? 'legacy' : 'cranberrytide',
 			ending: ending.type,
 		});
-		this.network.later(host, {type: 'attempt-ended', attempt: effect.attempt, ending});
+		this.network.dispatchLater(host, {type: 'attempt-ended', attempt: effect.attempt, ending});
 	}
 }
 
-describe('moving in while hosts adopt at different moments', () => {
-	it('runs no non-idempotent request on both sides, nor twice on one', () => {
+describe('a takeover while hosts adopt the configuration at different times', () => {
+	it('runs no non-idempotent request on both systems, nor twice on one', () => {
 		const sides = new Set<string>();
 		for (let seed = 1; seed <= 20; seed++) {
-			const move = new Move(seed);
-			move.network.publish(documentWith(1, toLegacy), ...move.hosts);
-			move.network.run(3000);
-			// One host is held at the old revision: it neither reads the platform nor hears its peers' documents.
-			const held = move.hosts[move.pick(3)]!;
-			for (const host of move.hosts) {
-				move.network.dispatch(host, {type: 'ticket-wanted', request: `w${host}`, organisation: 'paper'});
+			const simulation = new TakeoverSimulation(seed);
+			simulation.network.publish(createTakeoverDocument(1, toLegacy), ...simulation.hosts);
+			simulation.network.run(3000);
+			// One host stays at the old revision: it receives documents neither from the platform nor from its peers.
+			const held = simulation.hosts[simulation.randomBelow(3)]!;
+			for (const host of simulation.hosts) {
+				simulation.network.dispatch(host, {type: 'ticket-wanted', request: `w${host}`, organisation: 'paper'});
 			}
 
 			const proofs: ReadonlyArray<readonly [Request['proof'], string]> = [
-				...move.tickets.map(ticket => [{type: 'ticket', ticket}, `ticket of ${ticket.keeper.host}`] as const),
+				...simulation.tickets.map(ticket => [{type: 'ticket', ticket}, `ticket of ${ticket.keeper.host}`] as const),
 				...['k1', 'k2', 'k3'].map(key => [{type: 'key', key}, key] as const),
 			];
 			for (let round = 0; round < 40; round++) {
-				const [proof, right] = proofs[move.pick(proofs.length)]!;
-				move.show(proof, right);
-				move.network.run(50);
+				const [proof, right] = proofs[simulation.randomBelow(proofs.length)]!;
+				simulation.sendToRandomHost(proof, right);
+				simulation.network.run(50);
 				if (round === 10) {
-					move.network.holdRevision(held, 1);
-					move.network.publish(documentWith(2, []), ...move.hosts.filter(host => host !== held));
+					simulation.network.limitRevision(held, 1);
+					simulation.network.publish(createTakeoverDocument(2, []), ...simulation.hosts.filter(host => host !== held));
 				}
 
 				if (round === 30) {
-					move.network.holdRevision(held, undefined);
+					simulation.network.limitRevision(held, undefined);
 				}
 			}
 
-			move.network.run(3000);
-			expect(move.hosts.map(host => move.network.state(host).configuration.inForce?.revision)).toEqual([2, 2, 2]);
-			const run = move.runs.filter(each => each.ending !== 'not-run');
+			simulation.network.run(3000);
+			expect(simulation.hosts.map(host => simulation.network.state(host).configuration.inForce?.revision)).toEqual([2, 2, 2]);
+			const run = simulation.runs.filter(each => each.ending !== 'not-run');
 			expect(new Set(run.map(each => each.right)).size).toBe(run.length);
 			for (const each of run) {
 				sides.add(each.side);
--- a/src/core/types/configuration.ts
+++ b/src/core/types/configuration.ts
@@ -1,69 +1,69 @@
 /**
- * The configuration document: one schema for the daemon, the console and the command line.
- * Times are in milliseconds, sizes in tokens unless a field says otherwise.
+ * Schema of the configuration document, shared by the daemon, the console and the command line.
+ * Times are in milliseconds and sizes in tokens, unless a field says otherwise.
  */
 import {z} from 'zod';
 
-const name = z.string().min(1).max(64).regex(/^[\w.\-]+$/v, 'Only letters, digits, dots, hyphens and underscores are allowed');
-const milliseconds = z.number().int().positive();
-const tokens = z.number().int().positive();
-const address = z.object({
+const nameSchema = z.string().min(1).max(64).regex(/^[\w.\-]+$/v, 'Only letters, digits, dots, hyphens and underscores are allowed');
+const millisecondsSchema = z.number().int().positive();
+const tokensSchema = z.number().int().positive();
+const addressSchema = z.object({
 	host: z.string().min(1),
 	port: z.number().int().min(1).max(65_535),
 }).readonly();
 
-/** How an upstream is chosen for a request. The last three are baselines. */
+/** Policy that chooses an upstream for a request. All but `cost` are baselines for comparison. */
 export const policySchema = z.enum(['cost', 'random', 'round-robin', 'least-requests']);
 
-/** What a caller must show before a non-idempotent request runs. */
+/** Proof required to run a non-idempotent request: a ticket only, or an idempotency key as well. */
 export const ticketRuleSchema = z.enum(['ticket', 'key']);
 
-const serviceCommon = {
-	id: name,
-	/** Time a request may take when its caller names none, and the most it may ask for. */
-	deadline: z.object({default: milliseconds, most: milliseconds}).readonly(),
-	/** Whether a request may be repeated when its caller does not say. */
+const commonServiceFields = {
+	id: nameSchema,
+	/** Time limit of a request whose caller sets none, and the longest that a caller may set. */
+	deadline: z.object({default: millisecondsSchema, most: millisecondsSchema}).readonly(),
+	/** Whether a request may be repeated, unless its caller says otherwise. */
 	idempotent: z.boolean(),
 	ticketRule: ticketRuleSchema.default('key'),
-	/** Retries as a share of requests, and how many may be saved up. */
+	/** Retries earned by each request, and the maximum number that can accumulate. */
 	retryBudget: z.object({ratio: z.number().min(0).max(1), burst: z.number().int().nonnegative()}).readonly()
 		.default({ratio: 0.1, burst: 10}),
-	/** Requests that may wait at one host. */
+	/** Maximum number of requests queued at one host. */
 	queueLimit: z.number().int().positive().default(1000),
 	policy: policySchema.default('cost'),
 };
 
 export const modelServiceSchema = z.object({
-	...serviceCommon,
+	...commonServiceFields,
 	kind: z.literal('model'),
-	model: name,
-	/** Prompts up to `short` tokens are short, from `long` on they are long. */
-	lengthClasses: z.object({short: tokens, long: tokens}).readonly().default({short: 4096, long: 100_000}),
-	/** What the service's users weigh: slowdown of short requests against time to first token of all lengths. */
+	model: nameSchema,
+	/** Prompts of at most `short` tokens are short, those of at least `long` tokens are long. */
+	lengthClasses: z.object({short: tokensSchema, long: tokensSchema}).readonly().default({short: 4096, long: 100_000}),
+	/** Weights of the placement cost: slowdown of short requests, and time to first token of requests of all lengths. */
 	weights: z.object({slowdown: z.number().min(0), firstToken: z.number().min(0)}).readonly()
 		.default({slowdown: 1, firstToken: 1}),
-	/** Decode length expected before one has been learnt. */
-	expectedOutput: tokens.default(256),
-	/** Engines of a failure domain that must stay ready while others change. */
+	/** Decode length assumed until one has been observed. */
+	expectedOutput: tokensSchema.default(256),
+	/** Minimum number of engines of a failure domain that stay ready while others change their target. */
 	readyEngines: z.number().int().nonnegative().default(1),
 }).readonly();
 
 export const plainServiceSchema = z.object({
-	...serviceCommon,
+	...commonServiceFields,
 	kind: z.literal('plain'),
 }).readonly();
 
 export const serviceSchema = z.discriminatedUnion('kind', [modelServiceSchema, plainServiceSchema]);
 
 export const organisationSchema = z.object({
-	id: name,
+	id: nameSchema,
 	/** SHA-256 of each API key, in lower-case hexadecimal. */
 	keyHashes: z.array(z.string().regex(/^[\da-f]{64}$/v, 'A SHA-256 has 64 hexadecimal digits in lower case')).readonly(),
-	/** Lower runs first. */
+	/** Lower values run first. */
 	priority: z.number().int().min(0).max(9).default(5),
-	/** Share among organisations of the same priority. */
+	/** Relative share among organisations of the same priority. */
 	weight: z.number().positive().default(1),
-	/** Limits over the whole fleet. */
+	/** Limits across all hosts. */
 	limits: z.object({
 		requestsPerSecond: z.number().positive().optional(),
 		tokensPerSecond: z.number().positive().optional(),
@@ -71,98 +71,98 @@
 	}).readonly().default({}),
 }).readonly();
 
-const upstreamCommon = {
-	id: name,
-	failureDomain: name,
-	address,
+const commonUpstreamFields = {
+	id: nameSchema,
+	failureDomain: nameSchema,
+	address: addressSchema,
 };
 
-/** What a placement asks an engine to hold. */
+/** Model, version and adapters that an engine is to load, and its role. */
 export const targetSchema = z.object({
-	model: name,
-	version: name,
-	adapters: z.array(name).readonly().default([]),
+	model: nameSchema,
+	version: nameSchema,
+	adapters: z.array(nameSchema).readonly().default([]),
 	role: z.enum(['mixed', 'prefill', 'decode']).default('mixed'),
 }).readonly();
 
 export const engineSchema = z.object({
-	...upstreamCommon,
+	...commonUpstreamFields,
 	kind: z.literal('engine'),
-	service: name,
-	/** Tokens of KV cache that fit into the engine's memory. */
-	memory: tokens,
-	/** Speeds assumed until learnt. */
+	service: nameSchema,
+	/** Capacity of the KV cache. */
+	memory: tokensSchema,
+	/** Speeds assumed until observed: prefill tokens per second, and time per decoded token. */
 	prefillRate: z.number().positive().default(10_000),
 	decodeInterval: z.number().positive().default(25),
-	/** Requests the engine runs in one batch. */
+	/** Maximum number of requests in one batch. */
 	batch: z.number().int().positive().default(32),
-	/** Whether the engine refuses an order with an old fencing number. */
+	/** Whether the engine refuses orders with an outdated fencing number. */
 	fencing: z.boolean(),
 	target: targetSchema.optional(),
 }).readonly();
 
 export const plainUpstreamSchema = z.object({
-	...upstreamCommon,
+	...commonUpstreamFields,
 	kind: z.literal('plain'),
-	service: name,
-	/** Requests that may run at once. */
+	service: nameSchema,
+	/** Maximum number of concurrent requests. */
 	concurrent: z.number().int().positive().default(64),
 }).readonly();
 
-/** An endpoint of the scripts that cranberrytide replaces. */
+/** Endpoint of the legacy scripts that cranberrytide replaces. */
 export const legacyUpstreamSchema = z.object({
-	...upstreamCommon,
+	...commonUpstreamFields,
 	kind: z.literal('legacy'),
-	service: name,
+	service: nameSchema,
 	concurrent: z.number().int().positive().default(64),
 }).readonly();
 
 export const upstreamSchema = z.discriminatedUnion('kind', [engineSchema, plainUpstreamSchema, legacyUpstreamSchema]);
 
 export const failureDomainSchema = z.object({
-	id: name,
-	region: name,
+	id: nameSchema,
+	region: nameSchema,
 }).readonly();
 
-/** A key that signs tickets and stream positions; the first signs, all verify. */
+/** Key for tickets and stream positions. The first key of the document signs; all keys verify. */
 export const tokenKeySchema = z.object({
-	id: name,
+	id: nameSchema,
 	/** 32 bytes or more, in hexadecimal. */
 	secret: z.string().regex(/^[\da-f]{64,}$/v, 'A secret has 64 or more hexadecimal digits in lower case'),
 }).readonly();
 
 export const plannedStopSchema = z.object({
-	id: name,
+	id: nameSchema,
 	/** Host or upstream that stops. */
-	target: z.object({kind: z.enum(['host', 'upstream']), id: name}).readonly(),
-	/** When it may start, in milliseconds since 1970. */
+	target: z.object({kind: z.enum(['host', 'upstream']), id: nameSchema}).readonly(),
+	/** Earliest start, in milliseconds since 1970. */
 	notBefore: z.number().int().nonnegative(),
-	/** Time given to running requests. */
-	grace: milliseconds.default(600_000),
+	/** Time that running requests have to finish. */
+	grace: millisecondsSchema.default(600_000),
 }).readonly();
 
-/** How many members of one service and failure domain may stop at a time. */
+/** Maximum number of hosts of a failure domain, and of upstreams of a service and failure domain, that may stop at a time. */
 export const stopRuleSchema = z.object({
 	concurrentHosts: z.number().int().positive().default(1),
 	concurrentUpstreams: z.number().int().positive().default(1),
 }).readonly();
 
-/** Who serves a service, failure domain and organisation; an absent field stands for all. */
+/** System that serves a service, failure domain and organisation. An absent field matches all. */
 export const takeoverSchema = z.object({
-	service: name,
-	failureDomain: name.optional(),
-	organisation: name.optional(),
+	service: nameSchema,
+	failureDomain: nameSchema.optional(),
+	organisation: nameSchema.optional(),
 	servedBy: z.enum(['cranberrytide', 'legacy']),
 }).readonly();
 
 export const weightStoreSchema = z.object({
-	address,
-	/** Loads a second that the store accepts from everyone together. */
+	address: addressSchema,
+	/** Maximum rate of model loads, over all engines together. */
 	loadsPerSecond: z.number().positive(),
 }).readonly();
 
-/** The key that signs and the one before it. */
-const mostTokenKeys = 2;
+/** The current signing key and its predecessor. */
+const maxTokenKeys = 2;
 
 export const configurationSchema = z.object({
 	schema: z.literal(1),
@@ -171,14 +171,14 @@
 	services: z.array(serviceSchema).readonly(),
 	organisations: z.array(organisationSchema).readonly(),
 	upstreams: z.array(upstreamSchema).readonly(),
-	tokenKeys: z.array(tokenKeySchema).min(1).max(mostTokenKeys).readonly(),
+	tokenKeys: z.array(tokenKeySchema).min(1).max(maxTokenKeys).readonly(),
 	plannedStops: z.array(plannedStopSchema).readonly().default([]),
 	stopRule: stopRuleSchema.default({concurrentHosts: 1, concurrentUpstreams: 1}),
 	takeovers: z.array(takeoverSchema).readonly().default([]),
 	weightStore: weightStoreSchema.optional(),
 }).readonly();
 
-export type Address = z.infer<typeof address>;
+export type Address = z.infer<typeof addressSchema>;
 export type Policy = z.infer<typeof policySchema>;
 export type ModelService = z.infer<typeof modelServiceSchema>;
 export type PlainService = z.infer<typeof plainServiceSchema>;
--- a/src/core/types/effect.ts
+++ b/src/core/types/effect.ts
@@ -1,17 +1,17 @@
-/** Everything the core asks of the world. Effects are plain data. */
+/** Effects that the core asks its driver to carry out. Effects are plain data. */
 import {type Address} from './configuration.js';
 import {type Outcome, type Ticket} from './request.js';
 import {type Order} from './upstream.js';
 import {type PeerMessage} from './peer.js';
 import {type Event, type Source} from './event.js';
 
-/** How a candidate was scored; lower is better. */
+/** Upstream considered for a request, with its score; lower is better. */
 export type Candidate = {
 	readonly upstream: string;
 	readonly score: number;
 };
 
-/** A decision as it is written to the log. */
+/** Decision, in the form written to the log. */
 export type Decision
 	= | {
 		readonly type: 'routed';
@@ -35,17 +35,17 @@
 	| {readonly type: 'suspected'; readonly fingerprint: string; readonly change: string; readonly reason: string}
 	| {readonly type: 'stopping'; readonly target: string; readonly reason: string};
 
-/** One engine's part of a prompt that is larger than an engine. */
+/** Part of a prompt held by one engine, where the prompt exceeds the memory of a single engine. */
 export type Segment = {
 	readonly upstream: string;
 	readonly hold: string;
-	/** Range of prompt tokens, the end excluded. */
+	/** Range of prompt tokens; the end is exclusive. */
 	readonly from: number;
 	readonly to: number;
 };
 
 export type Effect
-	/** Send the request's body to an upstream. */
+	/** Sends the request's body to an upstream. */
 	= | {
 		readonly type: 'send';
 		readonly attempt: string;
@@ -57,23 +57,23 @@
 		/** Present for a prompt held by several engines; the last one decodes. */
 		readonly segments?: readonly Segment[];
 	}
-	/** Stop an attempt at its upstream, and say so again until the upstream confirms. */
+	/** Cancels an attempt at its upstream, repeating the call until the upstream confirms. */
 	| {readonly type: 'cancel'; readonly attempt: string; readonly upstream: string; readonly address: Address}
-	/** Pass the whole request to another host, which answers through this one. */
+	/** Forwards the whole request to another host, whose answer is relayed through this host. */
 	| {readonly type: 'forward'; readonly request: string; readonly address: Address; readonly host: string; readonly deadline: number; readonly reason: 'keeper' | 'spill'}
-	/** The final answer. */
+	/** Sends the final answer to the caller. */
 	| {readonly type: 'answer'; readonly request: string; readonly outcome: Outcome; readonly ticket?: Ticket}
-	/** Send a request's recorded answer, or attach it to the one that is running. */
+	/** Answers a repeated request with the recorded answer of the original, or attaches it to the original if that still runs. */
 	| {readonly type: 'replay'; readonly request: string; readonly original: string}
 	| {readonly type: 'issue-ticket'; readonly request: string; readonly ticket: Ticket}
-	/** The recorded answer of a finished request is wanted no longer. */
+	/** Discards the recorded answer of a finished request. */
 	| {readonly type: 'forget'; readonly request: string}
 	| {readonly type: 'hold'; readonly hold: string; readonly upstream: string; readonly address: Address; readonly tokens: number; readonly deadline: number}
 	| {readonly type: 'release'; readonly hold: string; readonly upstream: string; readonly address: Address}
 	| {readonly type: 'order'; readonly upstream: string; readonly address: Address; readonly order: Order}
-	/** Ask an engine for its orders afresh; answered by `orders-read`. */
+	/** Reads an engine's current orders from the engine itself; answered by `orders-read`. */
 	| {readonly type: 'read-orders'; readonly upstream: string; readonly address: Address}
-	/** Parse and validate a document's text; answered by `configuration-received` or `configuration-refused` with the same source. */
+	/** Parses and validates a document; answered by `configuration-received` or `configuration-refused` with the same source. */
 	| {readonly type: 'parse-configuration'; readonly source: Source; readonly text: string}
 	| {readonly type: 'connect'; readonly host: string; readonly address: Address}
 	| {readonly type: 'disconnect'; readonly host: string}
@@ -82,5 +82,5 @@
 	| {readonly type: 'stopped'}
 	| {readonly type: 'log'; readonly decision: Decision}
 	| {readonly type: 'count'; readonly name: string; readonly value: number; readonly tags?: Readonly<Record<string, string>>}
-	/** Taken by the core itself: given to every feature within the same step. */
+	/** Handled by the core itself: passes the event to every feature within the same step. */
 	| {readonly type: 'raise'; readonly event: Event};
--- a/src/core/types/event.ts
+++ b/src/core/types/event.ts
@@ -1,4 +1,4 @@
-/** Everything that can happen to the core. Events are plain data. */
+/** Events that the core handles. Events are plain data. */
 import {
 	type Attempt, type Ending, type Incarnation, type Outcome, type Request,
 } from './request.js';
@@ -9,14 +9,14 @@
 } from './upstream.js';
 import {type Member, type PeerMessage} from './peer.js';
 
-/** Where a configuration document came from. */
+/** Origin of a configuration document. */
 export type Source
 	= | {readonly type: 'platform'}
 		| {readonly type: 'peer'; readonly host: string}
 		| {readonly type: 'file'};
 
 export type Event
-	/** Time passed; sent every few milliseconds. */
+	/** Timer event, sent every few milliseconds. */
 	= | {readonly type: 'tick'}
 	// From callers.
 		| {readonly type: 'request-arrived'; readonly request: Request}
@@ -30,14 +30,14 @@
 		| {readonly type: 'forward-progressed'; readonly request: string}
 		| {readonly type: 'forward-ended'; readonly request: string; readonly ending: Ending}
 	// From upstreams.
-		| {readonly type: 'report-received'; readonly report: Report; /** Read by another host. */ readonly isRelayed?: true}
+		| {readonly type: 'report-received'; readonly report: Report; /** Set if another host polled the upstream. */ readonly isRelayed?: true}
 		| {readonly type: 'upstream-unreachable'; readonly upstream: string}
 		| {readonly type: 'cache-changed'; readonly upstream: string; readonly incarnation: string; readonly changes: readonly CacheChange[]; readonly gap: boolean}
 		| {readonly type: 'holds-listed'; readonly upstream: string; readonly holds: readonly Hold[]}
 		| {readonly type: 'hold-answered'; readonly hold: string; readonly upstream: string; readonly granted: boolean}
 		| {readonly type: 'hold-released'; readonly hold: string; readonly upstream: string}
 		| {readonly type: 'order-answered'; readonly upstream: string; readonly order: Order; readonly accepted: boolean; readonly seen?: OrderNumber}
-	/** What an engine says of its orders when asked, not lagged as reports are; `known` is false if it did not answer. */
+	/** Orders read directly from an engine, without the delay of reports; `known` is false if the engine did not answer. */
 		| {
 			readonly type: 'orders-read';
 			readonly upstream: string;
@@ -52,7 +52,7 @@
 		| {readonly type: 'hosts-listed'; readonly members: readonly Member[]; readonly leaving: readonly string[]}
 		| {readonly type: 'platform-unreachable'}
 	// From the settings.
-	/** Peer addresses to ask when the platform's list is out of reach. */
+	/** Peer addresses to contact while the platform's host list is unavailable. */
 		| {readonly type: 'seeds-given'; readonly addresses: readonly Address[]}
 	// From peers.
 		| {readonly type: 'peer-connected'; readonly host: string}
@@ -60,22 +60,22 @@
 		| {readonly type: 'peer-message'; readonly from: string; readonly message: PeerMessage}
 	// From operators and the machine.
 		| {readonly type: 'stop-asked'; readonly grace: number}
-	/** The clock jumped: the process was paused for this many milliseconds. */
+	/** The process was paused for this many milliseconds, detected by a jump of the clock. */
 		| {readonly type: 'woken'; readonly pause: number}
 	// Raised by one feature for the others, within the same step.
 		| {readonly type: 'request-cleared'; readonly request: Request}
-	/** Taken in: it waits in a queue or runs at once. */
+	/** The request was accepted; it is queued or sent at once. */
 		| {readonly type: 'request-admitted'; readonly request: Request}
 		| {readonly type: 'request-retried'; readonly request: Request}
-	/** The request needs the memory of several engines; answered by one of the two that follow. */
+	/** The request needs the memory of several engines; answered by `group-held` or `group-failed`. */
 		| {readonly type: 'group-wanted'; readonly request: Request}
 		| {readonly type: 'group-held'; readonly request: Request; readonly segments: readonly Segment[]}
 		| {readonly type: 'group-failed'; readonly request: Request}
-	/** An upstream may have room for a request that waits. */
+	/** An upstream may have capacity for a queued request. */
 		| {readonly type: 'dispatch-wanted'; readonly service: string}
-	/** A hold is needed no longer; it is asked back until the engine confirms. */
+	/** A hold is no longer needed; its release is repeated until the engine confirms. */
 		| {readonly type: 'release-wanted'; readonly hold: string; readonly upstream: string}
-	/** Sealed while it waited: it must never be sent. */
+	/** The request was sealed while it was queued and must never be sent. */
 		| {readonly type: 'request-sealed'; readonly request: string}
 		| {readonly type: 'request-concluded'; readonly request: Request; readonly outcome: Outcome; readonly attempt?: Attempt}
 		| {readonly type: 'attempt-began'; readonly request: Request; readonly attempt: Attempt}
--- a/src/core/types/peer.ts
+++ b/src/core/types/peer.ts
@@ -1,17 +1,17 @@
-/** Messages between the hosts of the system. */
+/** Messages between hosts. */
 import {type Address} from './configuration.js';
 import {type Incarnation} from './request.js';
 import {type Report} from './upstream.js';
 
 export type Phase = 'starting' | 'serving' | 'leaving';
 
-/** Work a host has in flight at one upstream. */
+/** Work of a host in flight at one upstream, in tokens. */
 export type Load = {
 	readonly upstream: string;
 	readonly requests: number;
 	readonly prefill: number;
 	readonly decode: number;
-	/** Prefill of short prompts, which engines take first; absent when there is none. */
+	/** Prefill of short prompts, which engines run first; absent for 0. */
 	readonly urgent?: number;
 };
 
@@ -22,7 +22,7 @@
 	readonly tokensPerSecond: number;
 };
 
-/** Work that arrives at a host for one model service, in tokens per second by prompt length. */
+/** Arrival rate of one model service at a host, in tokens per second for each length class of prompts. */
 export type Mix = {
 	readonly service: string;
 	readonly short: number;
@@ -30,41 +30,42 @@
 	readonly long: number;
 };
 
-/** A request that is believed to crash upstreams. */
+/** Upstream crashes held against a request that may be a poison request, one that crashes the upstreams that run it. */
 export type Suspicion = {
 	readonly fingerprint: string;
-	/** Upstream incarnations that ended while it ran. */
+	/** Ids of upstream incarnations that ended, or seem to have ended, while the request ran there. */
 	readonly crashes: readonly string[];
 	/** Wall-clock time in milliseconds since 1970. */
 	readonly expires: number;
 };
 
-/** A host as others know it. */
+/** Identity and addresses of a host. */
 export type Member = {
 	readonly incarnation: Incarnation;
 	readonly failureDomain: string;
-	/** Peer link and caller address. */
+	/** Address for connections from peers. */
 	readonly peerAddress: Address;
+	/** Address for requests from callers and forwarding hosts. */
 	readonly callerAddress: Address;
 };
 
-/** What a host last said of itself, passed on by another where the two have no link. */
+/** Last known state of a host, relayed to peers that have no link to it. */
 export type Digest = {
 	readonly incarnation: Incarnation;
-	/** Of its last heartbeat that was heard of. */
+	/** Sequence number of the last heartbeat known to the sender. */
 	readonly sequence: number;
 	readonly phase: Phase;
 	readonly revision: number;
-	/** Set when nothing was heard since, and a link to it was lost. */
+	/** Set if the sender suspects that the host has failed, because it lost the link or receives no updates. */
 	readonly silent?: boolean;
-	/** The heaviest of its loads. */
+	/** The heaviest loads of the host. */
 	readonly loads: readonly Load[];
 	readonly demands: readonly Demand[];
 	readonly mixes?: readonly Mix[];
 };
 
 export type PeerMessage
-	/** First message on a link, both ways. */
+	/** First message on a link, sent in both directions. */
 	= | {readonly type: 'hello'; readonly member: Member; readonly phase: Phase; readonly revision: number}
 		| {
 			readonly type: 'heartbeat';
@@ -72,58 +73,58 @@
 			readonly phase: Phase;
 			readonly revision: number;
 			readonly digest: string;
-			/** Whole in-flight work, or only what changed since the last heartbeat. */
+			/** Whether `loads` lists all work in flight, or only what changed since the last heartbeat. */
 			readonly whole: boolean;
 			readonly loads: readonly Load[];
 			readonly demands: readonly Demand[];
-			/** Absent when it has hardly changed. */
+			/** Sent only with some heartbeats, since mixes change slowly. */
 			readonly mixes?: readonly Mix[];
 			readonly suspicions: readonly Suspicion[];
-			/** Members this host hears of, a few at a time. */
+			/** Some of the members known to the sender, in rotation. */
 			readonly members: readonly Member[];
-			/** Hosts of the same failure domain, a few at a time, where it is too large for links between all. */
+			/** State of some other hosts, in rotation, for receivers that have no link to them. */
 			readonly relayed: readonly Digest[];
 		}
-		/** Load reports that the sender read itself, for hosts of the same failure domain. */
+		/** Load reports that the sender polled itself, for hosts of the same failure domain. */
 		| {readonly type: 'reports'; readonly reports: readonly Report[]}
 		| {readonly type: 'configuration-wanted'; readonly above: number}
-	/** A whole document, as text so that its digest is the same everywhere. */
+	/** A complete document, as text so that its digest is the same on all hosts. */
 		| {readonly type: 'configuration'; readonly text: string}
-	/** Suspicions that peers should not learn only with the next heartbeat. */
+	/** New suspicions, sent without waiting for the next heartbeat. */
 		| {readonly type: 'suspected'; readonly suspicions: readonly Suspicion[]}
 		| RelayedMessage
-	/** Passed on to a host that the sender has no link to. */
+	/** Message for a host to which the sender has no link. */
 		| {readonly type: 'relay'; readonly from: string; readonly to: string; readonly hops: number; readonly message: RelayedMessage};
 
-/** Messages that reach also a host without a link, through one that has it. */
+/** Messages that other hosts relay if the sender has no link to the receiver. */
 export type RelayedMessage
 	= | KeyMessage
-	/** A right is to be marked never to run, if it has not. */
+	/** Requests that the keeper seal an unused right (the entitlement of a ticket or key to run once), so that it never runs. */
 		| {readonly type: 'seal'; readonly id: string; readonly right: string; readonly expires: number; readonly keeper: Incarnation}
 		| {readonly type: 'sealed'; readonly id: string; readonly answer: SealAnswer};
 
-/** Messages by which hosts agree on who runs an idempotency key. */
+/** Messages by which hosts agree on the host that runs an idempotency key. */
 export type KeyMessage
-	/** The sender wants to run keys; it may once everyone it knows has answered. The digest is of whom it knows. */
+	/** Handshake of a host that is to run keys, which it may do once every known peer has answered. `digest` covers its known peers. */
 	= | {readonly type: 'key-join'; readonly member: Member; readonly digest: number}
-	/** Whom the sender knows, and who of these is over for certain; nobody where the digests agree. */
+	/** Answers `key-join` with the sender's known peers, and those of them that have ended; both are empty if the digests agree. */
 		| {readonly type: 'key-joined'; readonly member: Member; readonly members: readonly Member[]; readonly ended: readonly Incarnation[]}
-	/** The claimant asks for a promise that the key never runs at the receiver. */
+	/** Requests a promise that the key will never run at the receiver. */
 		| {readonly type: 'key-claim'; readonly id: string; readonly minted: number; readonly claimant: Member}
 		| {readonly type: 'key-answer'; readonly id: string; readonly claimant: Incarnation; readonly answer: KeyAnswer};
 
 export type KeyAnswer
-	/** Promised never to run here, and certain that it never ran anywhere. */
+	/** Promised never to run here, and known never to have run anywhere. */
 	= | {readonly type: 'yielded'}
-	/** Promised never to run here; this host is too young to know whether it ran. */
+	/** Promised never to run here; this host started too recently to know whether it ran elsewhere. */
 		| {readonly type: 'unsure'}
-	/** A host keeps it, and alone can say what became of it. */
+	/** The named host keeps the key; no other host knows its outcome. */
 		| {readonly type: 'kept'; readonly by: Member}
-	/** Nothing was promised. */
+	/** No promise was made. */
 		| {readonly type: 'refused'};
 
 export type SealAnswer
-	/** Will never run. */
+	/** The right will never run. */
 	= | {readonly type: 'sealed'}
-	/** Already sent to an upstream, or already over. */
+	/** The request was already sent to an upstream, or has already ended. */
 		| {readonly type: 'used'};
--- a/src/core/types/request.ts
+++ b/src/core/types/request.ts
@@ -1,12 +1,12 @@
-/** A caller's request as the core sees it, the attempts made for it and the ways it may end. */
+/** A caller's request as the core sees it, its attempts and its possible outcomes. */
 import {type Address} from './configuration.js';
 
 export type LengthClass = 'short' | 'middle' | 'long';
 
-/** One run of a host's process. A restarted host has another incarnation. */
+/** One run of a host's process. A restarted host has a new incarnation. */
 export type Incarnation = {
 	readonly host: string;
-	/** Unique to the process: the time of its start, in milliseconds since 1970. */
+	/** Start of the process in milliseconds since 1970, which identifies it among the host's runs. */
 	readonly started: number;
 };
 
@@ -21,11 +21,11 @@
 	readonly expires: number;
 };
 
-/** What the caller showed for a request. */
+/** Proof that a request may run: whether it is idempotent, and otherwise the ticket or key that the caller presented. */
 export type Proof
 	/** The request may be repeated. */
 	= | {readonly type: 'idempotent'}
-	/** It may not, and the caller showed nothing. */
+	/** The request may not be repeated, and the caller presented neither ticket nor key. */
 		| {readonly type: 'none'}
 		| {readonly type: 'ticket'; readonly ticket: Ticket}
 		| {readonly type: 'key'; readonly key: string};
@@ -34,49 +34,49 @@
 	readonly id: string;
 	readonly organisation: string;
 	readonly service: string;
-	/** Lower runs first. */
+	/** Lower values run first. */
 	readonly priority: number;
 	/** Both in milliseconds of the core's clock. */
 	readonly arrival: number;
 	readonly deadline: number;
 	readonly promptTokens: number;
-	/** The most tokens the caller takes, if it said. */
+	/** Maximum number of output tokens; absent if the caller set none. */
 	readonly outputLimit?: number;
-	/** Chained hashes of the prompt's blocks, first block first. */
+	/** Chained hashes of the prompt's blocks, in order. */
 	readonly blocks: readonly string[];
 	readonly proof: Proof;
-	/** Hash of organisation, service and body: equal for a request sent again. */
+	/** Hash of organisation, service and body, equal for repeats of a request. */
 	readonly fingerprint: string;
-	/** Domain the request was spilled from, where another host passed it on. */
+	/** Failure domain from which another host spilled the request. */
 	readonly spilledFrom?: string;
-	/** Hosts that passed it on before this one; absent for 0. */
+	/** Number of hosts that forwarded the request before this one; absent for 0. */
 	readonly hops?: number;
 };
 
-/** Prefill that one engine of several does for an attempt, in tokens. */
+/** Prefill of one of several engines that share an attempt, in tokens. */
 export type Part = {
 	readonly upstream: string;
 	readonly prefill: number;
 };
 
-/** One sending of a request to one upstream. */
+/** One attempt to run a request at an upstream. */
 export type Attempt = {
 	readonly id: string;
 	readonly request: string;
 	readonly upstream: string;
 	/** In milliseconds of the core's clock. */
 	readonly began: number;
-	/** Upstream incarnation as last reported when the attempt began. */
+	/** Last reported incarnation of the upstream when the attempt began. */
 	readonly upstreamIncarnation?: string;
-	/** Tokens of work estimated when it was sent: uncached prefill and expected decode. */
+	/** Work in tokens, estimated when the attempt was sent: uncached prefill and expected decode. */
 	readonly prefill: number;
 	readonly decode: number;
-	/** Tokens of prefill that the upstream had before it when it was sent. */
+	/** Prefill tokens queued at the upstream ahead of the attempt when it was sent. */
 	readonly ahead: number;
 	readonly length: LengthClass;
-	/** Parts of the work at the engines that hold the prompt together; absent when one engine holds it all. */
+	/** Prefill of each engine, where several hold the prompt together; absent where one engine holds all of it. */
 	readonly parts?: readonly Part[];
-	/** Set once at least one byte was written to the upstream. */
+	/** Whether at least one byte was written to the upstream. */
 	readonly written: boolean;
 	/** Time of the first frame. */
 	readonly firstFrame?: number;
@@ -84,22 +84,22 @@
 	readonly received: number;
 };
 
-/** What is provably true of an attempt that is over. */
+/** Proven result of an attempt. */
 export type Ending
 	/** The whole answer was received. */
 	= | {readonly type: 'done'; readonly tokens: number; readonly cachedTokens?: number}
-	/** The upstream answered that it failed after taking the request. */
+	/** The upstream accepted the request and reported a failure. */
 		| {readonly type: 'failed'; readonly code: number; readonly detail: string}
-	/** The upstream provably did not run it; `overload` tells a refusal for load from a broken connection. */
+	/** The upstream provably did not run the request. `overload` distinguishes a refusal under load from a failed connection. */
 		| {readonly type: 'not-run'; readonly code: number; readonly overload: boolean; readonly detail: string}
-	/** Some byte was sent and the end was not seen. */
+	/** At least one byte was sent, and the end was not received. `relayed`: part of the answer was relayed to the caller. */
 		| {readonly type: 'unknown'; readonly code: number; readonly detail: string; readonly relayed: boolean}
 		| {readonly type: 'cancelled'};
 
-/** What a caller is told at the end. */
+/** Final outcome reported to the caller. */
 export type Outcome
 	= | {readonly type: 'done'}
 		| {readonly type: 'failed'; readonly code: number; readonly detail?: string}
-	/** Never ran and never will under this request. */
+	/** The request never ran and never will. */
 		| {readonly type: 'not-run'; readonly code: number; readonly detail?: string; readonly retryAfter?: number}
 		| {readonly type: 'unknown'; readonly code: number; readonly detail?: string};
--- a/src/core/types/state.ts
+++ b/src/core/types/state.ts
@@ -1,4 +1,4 @@
-/** The core's state: one read-only part for each feature, and what a step needs and gives. */
+/** The core's state, with one read-only slice per feature, and the types of a step. */
 import {type CircuitsState} from '../features/circuits/types.js';
 import {type ConfigurationState} from '../features/configuration/types.js';
 import {type HoldsState} from '../features/holds/types.js';
@@ -44,10 +44,10 @@
 	readonly routing: RoutingState;
 };
 
-/** Uniform whole numbers; seeded by whoever drives the core. */
+/** Source of uniformly distributed integers. The driver of the core seeds it. */
 export type Random = {
-	/** A whole number from `least` to `most`, both included. */
-	readonly integer: (least: number, most: number) => number;
+	/** Returns an integer between `min` and `max`, both inclusive. */
+	readonly integer: (min: number, max: number) => number;
 };
 
 export type Context = {
@@ -58,14 +58,15 @@
 	readonly random: Random;
 };
 
+/** Result of handling an event: the next state and the effects to carry out, in order. */
 export type Step = {
 	readonly state: State;
 	readonly effects: readonly Effect[];
 };
 
-/** A part of the core that plugs in beside the others. */
+/** Module of the core that owns one slice of the state. */
 export type Feature = {
 	readonly name: string;
-	/** Returns the next state and the effects of one event; events that are not its own leave the state as it is. */
+	/** Returns the next state and the effects of an event. Ignores events of other features. */
 	readonly handle: (state: State, event: Event, context: Context) => Step;
 };
--- a/src/core/types/upstream.ts
+++ b/src/core/types/upstream.ts
@@ -1,29 +1,29 @@
-/** What upstreams publish: reports, cache events and holds. All of it arrives late and may be missing. */
+/** Data published by upstreams: reports, cache events and holds. It arrives with a delay and may be incomplete. */
 import {type Incarnation} from './request.js';
 import {type Target} from './configuration.js';
 
-/** A fencing number: the counter first, then the host breaks a tie. */
+/** Fencing number of an order. Compared by counter, then by host. */
 export type OrderNumber = {
 	readonly counter: number;
 	readonly host: string;
 };
 
-/** An engine's own account of its load. */
+/** Load of an upstream, as reported by the upstream itself. */
 export type Report = {
 	readonly upstream: string;
 	/** Changes when the engine restarts. */
 	readonly incarnation: string;
-	/** Age of the figures when they were sent, in milliseconds. */
+	/** Age of the report when it was sent, in milliseconds. */
 	readonly age: number;
 	readonly ready: boolean;
 	readonly running: number;
 	readonly waiting: number;
-	/** Prefill tokens not yet worked on. */
+	/** Prefill tokens not yet processed. */
 	readonly queuedPrefill: number;
-	/** Tokens of KV memory in use by running requests and holds, and in all. */
+	/** KV memory in tokens: used by running requests and holds, and in total. */
 	readonly usedMemory: number;
 	readonly memory: number;
-	/** What the engine holds now, and what it is loading. */
+	/** Target that the engine serves now, and the one that it is loading. */
 	readonly current?: Target;
 	readonly loading?: Target;
 	readonly orderNumber?: OrderNumber;
@@ -45,7 +45,7 @@
 	readonly deadline: number;
 };
 
-/** An order to an engine. */
+/** Order to an engine: to load a target, or only to refuse orders with a lower number. */
 export type Order
 	= | {readonly type: 'load'; readonly number: OrderNumber; readonly target: Target}
 		| {readonly type: 'seal'; readonly number: OrderNumber};
