--- a/src/core/__tests__/regressions.test.ts
+++ b/src/core/__tests__/regressions.test.ts
@@ -43,7 +43,17 @@
 		const crash = (fingerprint: string, upstream: string, began: number): readonly Event[] => {
 			const poisonRequest = createRequest(fingerprint, {type: 'idempotent'}, {fingerprint});
 			const attempt: Attempt = {
-				id: `${fingerprint}.${upstream}`, request: poisonRequest.id, upstream, upstreamIncarnation: 'i1', began, prefill: 1, decode: 1, ahead: 0, length: 'short', written: true, received: 0,
+				id: `${fingerprint}.${upstream}`,
+				request: poisonRequest.id,
+				upstream,
+				upstreamIncarnation: 'i1',
+				began,
+				prefill: 1,
+				decode: 1,
+				ahead: 0,
+				length: 'short',
+				written: true,
+				received: 0,
 			};
 			return [
 				{type: 'attempt-began', request: poisonRequest, attempt},
--- a/src/core/__tests__/suspicion.test.ts
+++ b/src/core/__tests__/suspicion.test.ts
@@ -20,19 +20,19 @@
 	return createServingState(createMember('a1'), createConfiguration(['u1', 'u2', 'u3', 'u4', 'u5']));
 }
 
-function createAttempt(of: Request, upstream: string, began: number): Attempt {
+function createAttempt(request: Request, upstream: string, began: number): Attempt {
 	return {
-		id: `${of.id}.${upstream}.${began}`, request: of.id, upstream, began, upstreamIncarnation: 'i1', prefill: 1, decode: 1, ahead: 0, length: 'short', written: true, received: 0,
+		id: `${request.id}.${upstream}.${began}`, request: request.id, upstream, began, upstreamIncarnation: 'i1', prefill: 1, decode: 1, ahead: 0, length: 'short', written: true, received: 0,
 	};
 }
 
-function createAttemptStart(of: Request, upstream: string, now = 0): Event {
-	return {type: 'attempt-began', request: of, attempt: createAttempt(of, upstream, now)};
+function createAttemptStart(request: Request, upstream: string, now = 0): Event {
+	return {type: 'attempt-began', request, attempt: createAttempt(request, upstream, now)};
 }
 
-function createAttemptEnd(of: Request, upstream: string, ending: Ending, now = 0): Event {
+function createAttemptEnd(request: Request, upstream: string, ending: Ending, now = 0): Event {
 	return {
-		type: 'attempt-over', request: of, attempt: createAttempt(of, upstream, now), ending,
+		type: 'attempt-over', request, attempt: createAttempt(request, upstream, now), ending,
 	};
 }
 
--- a/src/core/__tests__/takeover.test.ts
+++ b/src/core/__tests__/takeover.test.ts
@@ -152,7 +152,7 @@
 			simulation.network.publish(createTakeoverDocument(1, toLegacy), ...simulation.hosts);
 			simulation.network.run(3000);
 			// One host stays at the old revision: it receives documents neither from the platform nor from its peers.
-			const held = simulation.hosts[simulation.randomBelow(3)]!;
+			const outdatedHost = simulation.hosts[simulation.randomBelow(3)]!;
 			for (const host of simulation.hosts) {
 				simulation.network.dispatch(host, {type: 'ticket-wanted', request: `w${host}`, organisation: 'paper'});
 			}
@@ -166,12 +166,12 @@
 				simulation.sendToRandomHost(proof, right);
 				simulation.network.run(50);
 				if (round === 10) {
-					simulation.network.limitRevision(held, 1);
-					simulation.network.publish(createTakeoverDocument(2, []), ...simulation.hosts.filter(host => host !== held));
+					simulation.network.limitRevision(outdatedHost, 1);
+					simulation.network.publish(createTakeoverDocument(2, []), ...simulation.hosts.filter(host => host !== outdatedHost));
 				}
 
 				if (round === 30) {
-					simulation.network.limitRevision(held, undefined);
+					simulation.network.limitRevision(outdatedHost, undefined);
 				}
 			}
 
