--- a/src/entry/__tests__/clock.test.ts
+++ b/src/entry/__tests__/clock.test.ts
@@ -1,32 +1,32 @@
-/** Time that passes while a host is suspended or its time of day is set. */
+/** Guards against measuring too little time when a host is suspended or its wall clock is set back. */
 import {expect, it} from 'vitest';
 import {Clock} from '../clock.js';
 
-class SetClock extends Clock {
-	monotonic = 1000;
-	day = 50_000;
+class ManualClock extends Clock {
+	monotonicTime = 1000;
+	wallTime = 50_000;
 
 	override now(): number {
-		return this.monotonic;
+		return this.monotonicTime;
 	}
 
 	override wall(): number {
-		return this.day;
+		return this.wallTime;
 	}
 }
 
-it('counts a suspension in which the monotonic clock stood still', () => {
-	const clock = new SetClock();
+it('counts a suspension during which the monotonic clock stopped', () => {
+	const clock = new ManualClock();
 	const before = clock.moment();
-	clock.monotonic += 10;
-	clock.day += 3010;
+	clock.monotonicTime += 10;
+	clock.wallTime += 3010;
 	expect(clock.since(before)).toBe(3010);
 });
 
-it('counts what has passed though the time of day was set back', () => {
-	const clock = new SetClock();
+it('counts the elapsed time when the wall clock was set back', () => {
+	const clock = new ManualClock();
 	const before = clock.moment(100);
-	clock.monotonic += 500;
-	clock.day -= 4000;
+	clock.monotonicTime += 500;
+	clock.wallTime -= 4000;
 	expect(clock.since(before)).toBe(600);
 });
--- a/src/entry/admin/decisions.ts
+++ b/src/entry/admin/decisions.ts
@@ -1,22 +1,22 @@
-/** Recent decisions, kept for operators to look up. */
+/** Keeps recent decisions for operators to query. */
 import {type Decision} from '../../core/index.js';
 
-export type DatedDecision = {
+export type TimedDecision = {
 	/** Milliseconds since 1970. */
 	readonly time: number;
 	readonly decision: Decision;
 };
 
-/** A bounded list: the oldest decisions make room for new ones. */
-export class Decisions {
+/** A bounded history that drops the oldest decisions. */
+export class DecisionHistory {
 	readonly #limit: number;
 	readonly #clock: {readonly wall: () => number};
-	#kept: DatedDecision[] = [];
-	#isDropped = false;
+	#decisions: TimedDecision[] = [];
+	#hasDropped = false;
 
 	/**
-	 * @param limit - Decisions kept.
-	 * @param clock - Time.
+	 * @param limit - Number of decisions kept; up to twice as many are held between trims.
+	 * @param clock - Source of the wall-clock time.
 	 */
 	constructor(limit: number, clock: {readonly wall: () => number}) {
 		this.#limit = limit;
@@ -24,30 +24,28 @@
 	}
 
 	/** Whether older decisions have been dropped. */
-	get isDropped(): boolean {
-		return this.#isDropped;
+	get hasDropped(): boolean {
+		return this.#hasDropped;
 	}
 
-	/**
-	 * @param decision - Decision to keep.
-	 */
+	/** Adds a decision with the current time. */
 	add(decision: Decision): void {
-		this.#kept.push({time: this.#clock.wall(), decision});
-		if (this.#kept.length >= this.#limit * 2) {
-			this.#kept = this.#kept.slice(-this.#limit);
-			this.#isDropped = true;
+		this.#decisions.push({time: this.#clock.wall(), decision});
+		if (this.#decisions.length >= this.#limit * 2) {
+			this.#decisions = this.#decisions.slice(-this.#limit);
+			this.#hasDropped = true;
 		}
 	}
 
 	/**
-	 * @param request - Request, or undefined for all.
-	 * @param limit - The most to return.
+	 * @param request - Request id; undefined matches every decision.
+	 * @param limit - Maximum number of decisions returned.
 	 * @returns The latest decisions, oldest first.
 	 */
-	latest(request: string | undefined, limit: number): readonly DatedDecision[] {
+	findLatest(request: string | undefined, limit: number): readonly TimedDecision[] {
 		const found = request === undefined
-			? this.#kept
-			: this.#kept.filter(({decision}) => 'request' in decision && decision.request === request);
+			? this.#decisions
+			: this.#decisions.filter(({decision}) => 'request' in decision && decision.request === request);
 		return found.slice(-limit);
 	}
 }
--- a/src/entry/admin/server.ts
+++ b/src/entry/admin/server.ts
@@ -1,4 +1,4 @@
-/** The listener that operators' tools connect to. */
+/** HTTP server for operators' tools: status, configuration, decisions, cost and drain. */
 import {type IncomingMessage} from 'node:http';
 import process from 'node:process';
 import restify, {
@@ -26,65 +26,64 @@
 import {statusOf as httpStatusOf} from '../callers/statuses.js';
 import {type Clock} from '../clock.js';
 import {Listener} from '../listener.js';
-import {type Usage} from '../driver.js';
+import {type EventUsage} from '../driver.js';
 import {type Settings} from '../settings.js';
-import {type Decisions} from './decisions.js';
-import {statusOf} from './status.js';
+import {type DecisionHistory} from './decisions.js';
+import {describeStatus} from './status.js';
 
-/** Counts of the daemon's own cost. */
+/** Resource usage of the daemon itself. */
 export type Cost = {
-	/** Milliseconds in the core and number of events, by type of event. */
-	readonly core: Readonly<Record<string, Usage>>;
-	/** Bytes over peer links. */
+	/** Milliseconds spent in the core and number of events, by event type. */
+	readonly core: Readonly<Record<string, EventUsage>>;
+	/** Bytes transferred over peer links. */
 	readonly peerBytes: {readonly sent: number; readonly received: number};
+	/** Number of requests sent to the platform. */
 	readonly platformCalls: number;
 };
 
-/** What the listener needs of the daemon. */
-export type Office = {
+export type AdminServerOptions = {
 	readonly settings: Settings;
 	readonly clock: Clock;
-	readonly decisions: Decisions;
+	readonly decisions: DecisionHistory;
 	readonly state: () => State;
 	readonly dispatch: (event: Event) => void;
 	readonly cost: () => Cost;
 };
 
-const bodyLimit = 10_000;
+const maxBodyBytes = 10_000;
 
 export class AdminServer implements AsyncDisposable {
-	readonly #office: Office;
+	readonly #options: AdminServerOptions;
 	readonly #listener = new Listener('cranberrytide-admin');
 
-	/**
-	 * @param office - Parts of the daemon.
-	 */
-	constructor(office: Office) {
-		this.#office = office;
+	constructor(options: AdminServerOptions) {
+		this.#options = options;
 		this.#listener.server.use(restify.plugins.queryParser());
-		this.#routes();
+		this.#addRoutes();
 	}
 
 	/**
-	 * @returns The port that operators' tools reach.
+	 * Starts listening at the address in the settings.
+	 *
+	 * @returns The port listened at.
 	 */
 	async listen(): Promise<number> {
-		return this.#listener.listen(this.#office.settings.admin);
+		return this.#listener.listen(this.#options.settings.admin);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		await this.#listener[Symbol.asyncDispose]();
 	}
 
-	#routes(): void {
-		this.#answer('get', '/admin/status', async () => statusOf(this.#office.state(), this.#office.clock.now()));
-		this.#answer('get', '/admin/configuration', async () => this.#inForce());
-		this.#answer('get', '/admin/decisions', async request => this.#find(request));
-		this.#answer('get', '/admin/cost', async () => this.#cost());
-		this.#answer('post', '/admin/drain', async request => this.#drain(request), 202);
+	#addRoutes(): void {
+		this.#addRoute('get', '/admin/status', async () => describeStatus(this.#options.state(), this.#options.clock.now()));
+		this.#addRoute('get', '/admin/configuration', async () => this.#getConfiguration());
+		this.#addRoute('get', '/admin/decisions', async request => this.#findDecisions(request));
+		this.#addRoute('get', '/admin/cost', async () => this.#getCost());
+		this.#addRoute('post', '/admin/drain', async request => this.#startDrain(request), 202);
 	}
 
-	#answer(method: 'get' | 'post', path: string, handle: (request: RestifyRequest) => Promise<unknown>, status = 200): void {
+	#addRoute(method: 'get' | 'post', path: string, handle: (request: RestifyRequest) => Promise<unknown>, status = 200): void {
 		this.#listener.server[method](path, async (request: RestifyRequest, response: RestifyResponse) => {
 			try {
 				response.send(status, await handle(request));
@@ -96,35 +95,35 @@
 		});
 	}
 
-	#inForce(): InForce {
-		const {inForce, digest, text} = this.#office.state().configuration;
+	#getConfiguration(): InForce {
+		const {inForce, digest, text} = this.#options.state().configuration;
 		if (inForce === undefined) {
 			return raise('notConfigured');
 		}
 
 		return {
-			host: this.#office.settings.host,
+			host: this.#options.settings.host,
 			revision: inForce.revision,
 			digest,
 			text,
 		};
 	}
 
-	#find(request: RestifyRequest) {
-		const {request: id, limit: most} = decisionsQuery(request.query);
-		const {decisions, settings} = this.#office;
-		return {host: settings.host, decisions: decisions.latest(id, most), dropped: decisions.isDropped};
+	#findDecisions(request: RestifyRequest) {
+		const {request: id, limit: maxCount} = parseDecisionsQuery(request.query);
+		const {decisions, settings} = this.#options;
+		return {host: settings.host, decisions: decisions.findLatest(id, maxCount), dropped: decisions.hasDropped};
 	}
 
-	#cost() {
+	#getCost() {
 		const {user, system} = process.cpuUsage();
-		return {...this.#office.cost(), processor: {user, system}, memory: process.memoryUsage()};
+		return {...this.#options.cost(), processor: {user, system}, memory: process.memoryUsage()};
 	}
 
-	async #drain(request: IncomingMessage): Promise<Drain> {
-		const wanted = readDrain(await readBody(request, bodyLimit));
-		const {dispatch, settings, state} = this.#office;
-		dispatch({type: 'stop-asked', grace: wanted.grace ?? settings.drainGrace});
+	async #startDrain(request: IncomingMessage): Promise<Drain> {
+		const drainRequest = parseDrainRequest(await readBody(request, maxBodyBytes));
+		const {dispatch, settings, state} = this.#options;
+		dispatch({type: 'stop-asked', grace: drainRequest.grace ?? settings.drainGrace});
 		const {membership, requests} = state();
 		return {host: settings.host, phase: membership.phase, unfinished: requests.admissions.size};
 	}
@@ -135,12 +134,12 @@
 	limit: z.coerce.number().int().positive().default(decisionsKept),
 });
 
-function decisionsQuery(query: unknown): z.infer<typeof querySchema> {
+function parseDecisionsQuery(query: unknown): z.infer<typeof querySchema> {
 	const result = querySchema.safeParse(query);
 	return result.success ? result.data : raise('badArgument', result.error.message);
 }
 
-function readDrain(body: Uint8Array): DrainWanted {
+function parseDrainRequest(body: Uint8Array): DrainWanted {
 	try {
 		return drainWantedSchema.parse(body.byteLength === 0 ? {} : JSON.parse(decode(body)));
 	} catch (error) {
--- a/src/entry/admin/status.ts
+++ b/src/entry/admin/status.ts
@@ -1,9 +1,9 @@
-/** What operators are told of a host. */
+/** Describes a host's state for operators. */
 import {type Admission} from '../../core/features/requests/types.js';
 import {type State, type Upstream} from '../../core/index.js';
 import {type Status} from '../../protocol/admin.js';
 
-function peers(state: State, now: number): Status['peers'] {
+function describePeers(state: State, now: number): Status['peers'] {
 	return [...state.membership.peers.values()].map(peer => ({
 		incarnation: peer.member.incarnation,
 		failureDomain: peer.member.failureDomain,
@@ -14,7 +14,7 @@
 	}));
 }
 
-function upstream(state: State, {id, kind, service, failureDomain}: Upstream, now: number): Status['upstreams'][number] {
+function describeUpstream(state: State, {id, kind, service, failureDomain}: Upstream, now: number): Status['upstreams'][number] {
 	const view = state.upstreams.views.get(id);
 	const report = view?.report;
 	return {
@@ -32,7 +32,7 @@
 	};
 }
 
-function queue(service: string, admissions: readonly Admission[], now: number): Status['queues'][number] {
+function describeQueue(service: string, admissions: readonly Admission[], now: number): Status['queues'][number] {
 	const waits = admissions.flatMap(({progress}) => progress.type === 'queued' ? [now - progress.since] : []);
 	return {
 		service,
@@ -45,9 +45,9 @@
 /**
  * @param state - Core state.
  * @param now - Monotonic time in milliseconds.
- * @returns The host's status.
+ * @returns Status of the host, its peers, upstreams and queues; times in milliseconds.
  */
-export function statusOf(state: State, now: number): Status {
+export function describeStatus(state: State, now: number): Status {
 	const {inForce, digest} = state.configuration;
 	const admissions = [...state.requests.admissions.values()];
 	return {
@@ -56,9 +56,9 @@
 		phase: state.membership.phase,
 		revision: inForce?.revision ?? 0,
 		digest,
-		peers: peers(state, now),
-		upstreams: (inForce?.upstreams ?? []).map(each => upstream(state, each, now)),
+		peers: describePeers(state, now),
+		upstreams: (inForce?.upstreams ?? []).map(each => describeUpstream(state, each, now)),
 		queues: (inForce?.services ?? []).map(({id}) =>
-			queue(id, admissions.filter(({request}) => request.service === id), now)),
+			describeQueue(id, admissions.filter(({request}) => request.service === id), now)),
 	};
 }
--- a/src/entry/clock.ts
+++ b/src/entry/clock.ts
@@ -1,4 +1,4 @@
-/** Time for the core. */
+/** Monotonic and wall-clock time. */
 import {performance} from 'node:perf_hooks';
 
 /** A point in time on both clocks, in milliseconds. */
@@ -7,7 +7,6 @@
 	readonly wall: number;
 };
 
-/** Monotonic and wall-clock time, both in milliseconds. */
 export class Clock {
 	/**
 	 * @returns Monotonic time in milliseconds.
@@ -24,18 +23,18 @@
 	}
 
 	/**
-	 * @param age - Milliseconds that it lies in the past.
-	 * @returns The point in time.
+	 * @param age - How far in the past the point in time lies, in milliseconds.
+	 * @returns The point in time on both clocks.
 	 */
 	moment(age = 0): Moment {
 		return {monotonic: this.now() - age, wall: this.wall() - age};
 	}
 
 	/**
-	 * The monotonic clock may stop while the host is suspended, and the time of day may be set back: the one that says more counts.
+	 * Measures the time since a moment on both clocks and takes the larger value, because the monotonic clock may stop while the
+	 * host is suspended and the wall clock may be set back.
 	 *
-	 * @param moment - Point in time.
-	 * @returns Milliseconds since then, at the least what has really passed unless both clocks fail at once.
+	 * @returns Elapsed milliseconds; never too few unless both clocks are wrong at once.
 	 */
 	since(moment: Moment): number {
 		return Math.max(this.now() - moment.monotonic, this.wall() - moment.wall);
--- a/src/entry/container.ts
+++ b/src/entry/container.ts
@@ -1,8 +1,8 @@
-/** Wires the daemon's parts together. */
+/** Wires the daemon's services together. */
 import {Container} from 'inversify';
 import {Platform} from '../configuration-service/client.js';
 import {AdminServer, type Cost} from './admin/server.js';
-import {Decisions} from './admin/decisions.js';
+import {DecisionHistory} from './admin/decisions.js';
 import {Directory} from './callers/directory.js';
 import {Exchanges} from './callers/exchange.js';
 import {Resumption} from './callers/resumption.js';
@@ -16,13 +16,13 @@
 import {type Settings} from './settings.js';
 import {tokens} from './tokens.js';
 
-/** Seeds are whole numbers below this. */
+/** Exclusive upper bound of random seeds. */
 const seedLimit = 2 ** 31;
 
 /**
  * @param settings - Settings of the daemon.
- * @param cost - Counts of its cost.
- * @returns A container that makes each part once.
+ * @param cost - Measures the daemon's resource usage.
+ * @returns A container that creates each service once, on first use.
  */
 export function createContainer(settings: Settings, cost: () => Cost): Container {
 	const container = new Container({defaultScope: 'Singleton'});
@@ -34,7 +34,7 @@
 	container.bind(tokens.exchanges).toDynamicValue(() => new Exchanges());
 	container.bind(tokens.lifecycle).toDynamicValue(() => new Lifecycle());
 	container.bind(tokens.platform).toDynamicValue(() => new Platform(settings.platform));
-	container.bind(tokens.decisions).toDynamicValue(({get}) => new Decisions(settings.decisionsKept, get(tokens.clock)));
+	container.bind(tokens.decisions).toDynamicValue(({get}) => new DecisionHistory(settings.decisionsKept, get(tokens.clock)));
 	container.bind(tokens.driver).toDynamicValue(({get}) => {
 		const seed = settings.seed ?? Math.floor(Math.random() * seedLimit);
 		return new Driver(get(tokens.clock), seed, settings.pauseThreshold);
@@ -44,12 +44,12 @@
 		clock: get(tokens.clock),
 		log: get(tokens.log),
 		metrics: get(tokens.metrics),
-		...core(get(tokens.driver)),
+		...createCoreAccess(get(tokens.driver)),
 	}));
 	container.bind(tokens.resumption).toDynamicValue(({get}) => new Resumption({
 		clock: get(tokens.clock),
 		metrics: get(tokens.metrics),
-		...core(get(tokens.driver)),
+		...createCoreAccess(get(tokens.driver)),
 	}));
 	container.bind(tokens.callers).toDynamicValue(({get}) => {
 		const lifecycle = get(tokens.lifecycle);
@@ -65,7 +65,7 @@
 			abandon(request) {
 				relays.abandon(request);
 			},
-			...core(get(tokens.driver)),
+			...createCoreAccess(get(tokens.driver)),
 		});
 	});
 	container.bind(tokens.admin).toDynamicValue(({get}) => new AdminServer({
@@ -73,12 +73,12 @@
 		clock: get(tokens.clock),
 		decisions: get(tokens.decisions),
 		cost,
-		...core(get(tokens.driver)),
+		...createCoreAccess(get(tokens.driver)),
 	}));
 	return container;
 }
 
-function core(driver: Driver): Pick<Driver, 'dispatch'> & {readonly state: () => Driver['state']} {
+function createCoreAccess(driver: Driver): Pick<Driver, 'dispatch'> & {readonly state: () => Driver['state']} {
 	return {
 		state: () => driver.state,
 		dispatch(event) {
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -1,4 +1,4 @@
-/** Runs one entry host from its first listener to its end. */
+/** Starts the entry daemon of one host: its listeners, the core and the watches. */
 import {setInterval} from 'node:timers';
 import {type Container} from 'inversify';
 import {
@@ -14,42 +14,44 @@
 import {Links} from './peers/links.js';
 import {type Settings} from './settings.js';
 import {tokens} from './tokens.js';
-import {watchConfiguration, watchHosts} from './watch/configuration.js';
-import {UpstreamWatch} from './watch/upstreams.js';
+import {watchConfiguration, watchHostList} from './watch/configuration.js';
+import {EnginePoller} from './watch/engines.js';
 
 /** A running entry host. */
 export type Daemon = AsyncDisposable & {
-	/** Asks the host to leave: it takes nothing new and finishes what it has. */
+	/** Starts to drain the host: it accepts no new requests and finishes the running ones. */
 	readonly stop: () => void;
-	/** Settles once the host has left. */
+	/** Resolves once the host has left. */
 	readonly finished: Promise<void>;
 };
 
-type Ports = {
+type ListenerPorts = {
 	readonly caller: number;
 	readonly admin: number;
 	readonly peer: number;
 };
 
 /**
+ * Starts a daemon. If a step fails, everything started before it is disposed of.
+ *
  * @param settings - Settings of the daemon.
  * @returns The running daemon.
  */
 export async function startDaemon(settings: Settings): Promise<Daemon> {
-	const parts = new Disposal();
+	const resources = new Disposal();
 	try {
-		return await assemble(settings, parts);
+		return await assemble(settings, resources);
 	} catch (error) {
-		await parts[Symbol.asyncDispose]();
+		await resources[Symbol.asyncDispose]();
 		throw error;
 	}
 }
 
-async function assemble(settings: Settings, parts: Disposal): Promise<Daemon> {
-	const container = createContainer(settings, () => costOf(container, links));
+async function assemble(settings: Settings, resources: Disposal): Promise<Daemon> {
+	const container = createContainer(settings, () => getCost(container, links));
 	const driver = container.get(tokens.driver);
 	const started = container.get(tokens.clock).wall();
-	const links = parts.use(await Links.listen({
+	const links = resources.use(await Links.listen({
 		listen: settings.peer,
 		hello: () => ({
 			type: 'hello',
@@ -64,35 +66,35 @@
 			container.get(tokens.log).write({event: 'link', peer: host, reason});
 		},
 	}));
-	parts.use(container.get(tokens.metrics));
-	const ports = await openPorts(container, parts, links);
-	const self = memberOf(settings, ports, started);
+	resources.use(container.get(tokens.metrics));
+	const ports = await startListeners(container, resources, links);
+	const self = createMember(settings, ports, started);
 	driver.start(self, createExecutor(container, links));
-	parts.use(container.get(tokens.relays));
+	resources.use(container.get(tokens.relays));
 	driver.dispatch({type: 'seeds-given', addresses: settings.seeds});
-	startWatches(parts, container, settings, driver);
-	announce(container, settings, self, ports);
+	startWatches(resources, container, settings, driver);
+	logListening(container, settings, self, ports);
 	return {
 		stop() {
 			driver.dispatch({type: 'stop-asked', grace: settings.drainGrace});
 		},
 		finished: container.get(tokens.lifecycle).finished,
-		[Symbol.asyncDispose]: async () => parts[Symbol.asyncDispose](),
+		[Symbol.asyncDispose]: async () => resources[Symbol.asyncDispose](),
 	};
 }
 
-/** A listener is disposed of only once it listens. */
-async function openPorts(container: Container, parts: Disposal, links: Links): Promise<Ports> {
+/** Registers each listener for disposal only once it listens. */
+async function startListeners(container: Container, resources: Disposal, links: Links): Promise<ListenerPorts> {
 	const callers = container.get(tokens.callers);
 	const admin = container.get(tokens.admin);
 	const callerPort = await callers.listen();
-	parts.use(callers);
+	resources.use(callers);
 	const adminPort = await admin.listen();
-	parts.use(admin);
+	resources.use(admin);
 	return {caller: callerPort, admin: adminPort, peer: links.port};
 }
 
-function memberOf(settings: Settings, ports: Ports, started: number): Member {
+function createMember(settings: Settings, ports: ListenerPorts, started: number): Member {
 	const callerAddress: Address = settings.advertised.caller ?? {host: settings.caller.host, port: ports.caller};
 	const peerAddress: Address = settings.advertised.peer ?? {host: settings.peer.host, port: ports.peer};
 	return {
@@ -121,21 +123,21 @@
 			lifecycle.setReady(isReady);
 		},
 		stop() {
-			lifecycle.stop();
+			lifecycle.markStopped();
 		},
 	});
 }
 
-function startWatches(parts: Disposal, container: Container, settings: Settings, driver: Driver): void {
+function startWatches(resources: Disposal, container: Container, settings: Settings, driver: Driver): void {
 	const platform = container.get(tokens.platform);
 	const state = () => driver.state;
 	const dispatch = (event: Event) => {
 		driver.dispatch(event);
 	};
 
-	parts.use(watchConfiguration(platform, settings.watchWait, state, dispatch));
-	parts.use(watchHosts(platform, settings.hostsInterval, dispatch));
-	parts.use(new UpstreamWatch({
+	resources.use(watchConfiguration(platform, settings.watchWait, state, dispatch));
+	resources.use(watchHostList(platform, settings.hostsInterval, dispatch));
+	resources.use(new EnginePoller({
 		clock: container.get(tokens.clock),
 		interval: settings.reportInterval,
 		state,
@@ -144,12 +146,12 @@
 	const ticks = setInterval(() => {
 		driver.dispatch({type: 'tick'});
 	}, settings.tickInterval);
-	parts.defer(() => {
+	resources.defer(() => {
 		clearInterval(ticks);
 	});
 }
 
-function announce(container: Container, settings: Settings, self: Member, ports: Ports): void {
+function logListening(container: Container, settings: Settings, self: Member, ports: ListenerPorts): void {
 	container.get(tokens.log).write({
 		event: 'listening',
 		failureDomain: self.failureDomain,
@@ -160,7 +162,7 @@
 	});
 }
 
-function costOf(container: Container, links: Links): Cost {
+function getCost(container: Container, links: Links): Cost {
 	return {
 		core: Object.fromEntries(container.get(tokens.driver).usage),
 		peerBytes: links.traffic,
--- a/src/entry/disposal.ts
+++ b/src/entry/disposal.ts
@@ -1,29 +1,28 @@
-/** Parts that are disposed of together, the newest first. The platform's own stack comes only with later versions of Node. */
-
+/** Disposes of resources together, the newest first. Node.js 20 has no `AsyncDisposableStack`. */
 export class Disposal implements AsyncDisposable {
-	readonly #parts: Array<() => Promise<void>> = [];
+	readonly #callbacks: Array<() => Promise<void>> = [];
 
 	/**
-	 * @param part - Disposed of with the others.
-	 * @returns The same part.
+	 * Adds a resource, which is disposed of with the others from now on.
+	 *
+	 * @param resource - The resource.
+	 * @returns The same resource.
 	 */
-	use<T extends AsyncDisposable>(part: T): T {
-		this.#parts.push(async () => part[Symbol.asyncDispose]());
-		return part;
+	use<T extends AsyncDisposable>(resource: T): T {
+		this.#callbacks.push(async () => resource[Symbol.asyncDispose]());
+		return resource;
 	}
 
-	/**
-	 * @param end - Called with the others.
-	 */
-	defer(end: () => void): void {
-		this.#parts.push(async () => {
-			end();
+	/** Adds a callback, which is called in turn with the disposal of the resources. */
+	defer(callback: () => void): void {
+		this.#callbacks.push(async () => {
+			callback();
 		});
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		for (let part = this.#parts.pop(); part !== undefined; part = this.#parts.pop()) {
-			await part();
+		for (let callback = this.#callbacks.pop(); callback !== undefined; callback = this.#callbacks.pop()) {
+			await callback();
 		}
 	}
 }
--- a/src/entry/driver.ts
+++ b/src/entry/driver.ts
@@ -1,4 +1,4 @@
-/** Drives the core: gives it events with the time, keeps its state and has its effects carried out. */
+/** Runs the core: passes it events with the current time, keeps its state and executes its effects. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {
@@ -13,13 +13,12 @@
 } from '../core/index.js';
 import {type Clock} from './clock.js';
 
-/** Carries out effects. */
 export type Executor = {
 	readonly execute: (effect: Effect) => void;
 };
 
 /** Time spent in the core on one type of event. */
-export type Usage = {
+export type EventUsage = {
 	readonly events: number;
 	readonly milliseconds: number;
 };
@@ -29,22 +28,22 @@
 	readonly #random: Random;
 	readonly #pauseThreshold: number;
 	readonly #pending: Event[] = [];
-	readonly #usage = new Map<Event['type'], Usage>();
+	readonly #usage = new Map<Event['type'], EventUsage>();
 	#state: State | undefined;
-	#seen = Number.POSITIVE_INFINITY;
+	#lastEventTime = Number.POSITIVE_INFINITY;
 	#executor: Executor | undefined;
-	#isBusy = false;
+	#isProcessing = false;
 
 	/**
-	 * @param clock - Time.
-	 * @param seed - Seed of the random source.
-	 * @param pauseThreshold - Milliseconds without an event from which on the process counts as paused.
+	 * @param clock - Source of the time passed to the core.
+	 * @param seed - Seed of the core's random source.
+	 * @param pauseThreshold - Milliseconds without an event after which the process counts as having been paused.
 	 */
 	constructor(clock: Clock, seed: number, pauseThreshold: number) {
 		this.#clock = clock;
 		this.#pauseThreshold = pauseThreshold;
 		const generator = xoroshiro128plus(seed);
-		this.#random = {integer: (least, most) => uniformInt(generator, least, most)};
+		this.#random = {integer: (min, max) => uniformInt(generator, min, max)};
 	}
 
 	/**
@@ -56,16 +55,16 @@
 		return this.#state ?? raise('notConfigured');
 	}
 
-	/** Time spent in the core by type of event. */
-	get usage(): ReadonlyMap<Event['type'], Usage> {
+	/** Time spent in the core by event type. */
+	get usage(): ReadonlyMap<Event['type'], EventUsage> {
 		return this.#usage;
 	}
 
 	/**
-	 * Starts with the addresses that the listeners got.
+	 * Initializes the core. Must be called once the listeners are open, as the core needs their addresses.
 	 *
-	 * @param self - This host.
-	 * @param executor - Carries out the effects.
+	 * @param self - This host with its addresses.
+	 * @param executor - Executes the effects.
 	 */
 	start(self: Member, executor: Executor): void {
 		this.#state = initialState(self);
@@ -73,44 +72,43 @@
 	}
 
 	/**
-	 * Takes an event. One that comes while effects are carried out waits until they are.
-	 *
-	 * @param event - What happened.
+	 * Passes an event to the core and executes the resulting effects. An event dispatched by an effect is queued until the effects
+	 * before it are done.
 	 */
 	dispatch(event: Event): void {
-		this.#noticePause();
+		this.#detectPause();
 		this.#pending.push(event);
-		if (this.#isBusy) {
+		if (this.#isProcessing) {
 			return;
 		}
 
-		this.#isBusy = true;
+		this.#isProcessing = true;
 		try {
-			this.#drain();
+			this.#processPending();
 		} finally {
-			this.#isBusy = false;
+			this.#isProcessing = false;
 		}
 	}
 
-	/** Whatever runs first after a pause, the core hears of the pause before it. */
-	#noticePause(): void {
+	/** Queues a `woken` event ahead of the first event after a pause, whatever that event is. */
+	#detectPause(): void {
 		const now = this.#clock.now();
-		const gap = now - this.#seen;
-		this.#seen = now;
+		const gap = now - this.#lastEventTime;
+		this.#lastEventTime = now;
 		if (gap > this.#pauseThreshold) {
 			this.#pending.push({type: 'woken', pause: gap});
 		}
 	}
 
-	#drain(): void {
+	#processPending(): void {
 		for (let event = this.#pending.shift(); event !== undefined; event = this.#pending.shift()) {
-			for (const effect of this.#take(event)) {
+			for (const effect of this.#processEvent(event)) {
 				this.#executor?.execute(effect);
 			}
 		}
 	}
 
-	#take(event: Event): readonly Effect[] {
+	#processEvent(event: Event): readonly Effect[] {
 		const began = this.#clock.now();
 		const {state, effects} = step(this.state, event, {
 			now: began,
@@ -118,10 +116,10 @@
 			random: this.#random,
 		});
 		this.#state = state;
-		const before = this.#usage.get(event.type) ?? {events: 0, milliseconds: 0};
+		const usage = this.#usage.get(event.type) ?? {events: 0, milliseconds: 0};
 		this.#usage.set(event.type, {
-			events: before.events + 1,
-			milliseconds: before.milliseconds + this.#clock.now() - began,
+			events: usage.events + 1,
+			milliseconds: usage.milliseconds + this.#clock.now() - began,
 		});
 		return effects;
 	}
--- a/src/entry/executor.ts
+++ b/src/entry/executor.ts
@@ -1,4 +1,4 @@
-/** Carries out the core's effects. */
+/** Executes the core's effects. */
 import {
 	assertNever,
 	keepsAnswer,
@@ -15,50 +15,42 @@
 	releaseHold,
 	takeHold,
 } from '../upstream/control.js';
-import {type Decisions} from './admin/decisions.js';
+import {type DecisionHistory} from './admin/decisions.js';
 import {type Exchanges} from './callers/exchange.js';
 import {type Log} from './logs.js';
 import {type Metrics} from './metrics.js';
 import {type Relays} from './relays/relays.js';
-import {documentEvent} from './watch/configuration.js';
+import {createDocumentEvent} from './watch/configuration.js';
 
 type EffectOf<T extends Effect['type']> = Extract<Effect, {readonly type: T}>;
 
-/** Links to other hosts. */
-export type Peers = {
+export type PeerLinks = {
 	readonly connect: (host: string, address: Address) => void;
 	readonly disconnect: (host: string) => void;
 	readonly send: (host: string, message: PeerMessage) => void;
 };
 
-/** What effects act on. */
-export type Parts = {
+export type CoreExecutorOptions = {
 	readonly exchanges: Exchanges;
 	readonly relays: Relays;
-	readonly peers: Peers;
+	readonly peers: PeerLinks;
 	readonly log: Log;
 	readonly metrics: Metrics;
-	readonly decisions: Decisions;
+	readonly decisions: DecisionHistory;
 	readonly state: () => State;
 	readonly dispatch: (event: Event) => void;
 	readonly setReady: (ready: boolean) => void;
 	readonly stop: () => void;
 };
 
-/** Carries out each effect as it comes; none of them waits. */
+/** Executes each effect without waiting for it; results come back to the core as events. */
 export class CoreExecutor {
-	readonly #parts: Parts;
+	readonly #options: CoreExecutorOptions;
 
-	/**
-	 * @param parts - What effects act on.
-	 */
-	constructor(parts: Parts) {
-		this.#parts = parts;
+	constructor(options: CoreExecutorOptions) {
+		this.#options = options;
 	}
 
-	/**
-	 * @param effect - What the core wants done.
-	 */
 	execute(effect: Effect): void {
 		const {
 			exchanges,
@@ -67,7 +59,7 @@
 			metrics,
 			setReady,
 			stop,
-		} = this.#parts;
+		} = this.#options;
 		switch (effect.type) {
 			case 'send': {
 				relays.send(effect);
@@ -85,7 +77,7 @@
 			}
 
 			case 'answer': {
-				this.#answer(effect);
+				this.#sendAnswer(effect);
 				break;
 			}
 
@@ -95,7 +87,7 @@
 			}
 
 			case 'issue-ticket': {
-				exchanges.issue(effect.request, signTicket(this.#keys(), effect.ticket), effect.ticket.expires);
+				exchanges.issue(effect.request, signTicket(this.#getTokenKeys(), effect.ticket), effect.ticket.expires);
 				break;
 			}
 
@@ -105,17 +97,17 @@
 			}
 
 			case 'hold': {
-				void this.#hold(effect);
+				void this.#takeHold(effect);
 				break;
 			}
 
 			case 'release': {
-				void this.#release(effect);
+				void this.#releaseHold(effect);
 				break;
 			}
 
 			case 'order': {
-				void this.#order(effect);
+				void this.#giveOrder(effect);
 				break;
 			}
 
@@ -125,7 +117,7 @@
 			}
 
 			case 'parse-configuration': {
-				this.#parts.dispatch(documentEvent(effect.text, effect.source));
+				this.#options.dispatch(createDocumentEvent(effect.text, effect.source));
 				break;
 			}
 
@@ -155,7 +147,7 @@
 			}
 
 			case 'log': {
-				this.#record(effect);
+				this.#recordDecision(effect);
 				break;
 			}
 
@@ -165,7 +157,7 @@
 			}
 
 			case 'raise': {
-				// The core takes these itself.
+				// Handled within the core.
 				break;
 			}
 
@@ -175,24 +167,24 @@
 		}
 	}
 
-	#answer({request, outcome, ticket}: EffectOf<'answer'>): void {
-		const {exchanges, state} = this.#parts;
-		exchanges.end(request, {outcome, ticket: ticket && signTicket(this.#keys(), ticket)}, original => keepsAnswer(state(), original));
+	#sendAnswer({request, outcome, ticket}: EffectOf<'answer'>): void {
+		const {exchanges, state} = this.#options;
+		exchanges.end(request, {outcome, ticket: ticket && signTicket(this.#getTokenKeys(), ticket)}, original => keepsAnswer(state(), original));
 	}
 
-	#keys() {
-		return this.#parts.state().configuration.inForce?.tokenKeys ?? [];
+	#getTokenKeys() {
+		return this.#options.state().configuration.inForce?.tokenKeys ?? [];
 	}
 
-	#record({decision}: EffectOf<'log'>): void {
+	#recordDecision({decision}: EffectOf<'log'>): void {
 		const {type, ...fields} = decision;
-		this.#parts.decisions.add(decision);
-		this.#parts.log.write({event: type, ...fields});
+		this.#options.decisions.add(decision);
+		this.#options.log.write({event: type, ...fields});
 	}
 
-	async #hold(effect: EffectOf<'hold'>): Promise<void> {
+	async #takeHold(effect: EffectOf<'hold'>): Promise<void> {
 		const {hold, upstream, address, tokens, deadline} = effect;
-		const owner = this.#parts.state().self.incarnation;
+		const owner = this.#options.state().self.incarnation;
 		let granted = false;
 		try {
 			granted = await takeHold(address, {
@@ -202,10 +194,10 @@
 				deadline,
 			});
 		} catch {
-			// Not known to be granted: the core releases it.
+			// The engine may have granted the hold, so the core releases it.
 		}
 
-		this.#parts.dispatch({
+		this.#options.dispatch({
 			type: 'hold-answered',
 			hold,
 			upstream,
@@ -213,17 +205,17 @@
 		});
 	}
 
-	async #release({hold, upstream, address}: EffectOf<'release'>): Promise<void> {
+	async #releaseHold({hold, upstream, address}: EffectOf<'release'>): Promise<void> {
 		try {
 			await releaseHold(address, hold);
-			this.#parts.dispatch({type: 'hold-released', hold, upstream});
+			this.#options.dispatch({type: 'hold-released', hold, upstream});
 		} catch {
-			// The core asks again until the engine confirms.
+			// The core retries until the engine confirms.
 		}
 	}
 
 	async #readOrders({upstream, address}: EffectOf<'read-orders'>): Promise<void> {
-		const {dispatch} = this.#parts;
+		const {dispatch} = this.#options;
 		try {
 			const {highest, current, loading} = await readOrders(address);
 			dispatch({
@@ -239,17 +231,17 @@
 		}
 	}
 
-	async #order({upstream, address, order}: EffectOf<'order'>): Promise<void> {
+	async #giveOrder({upstream, address, order}: EffectOf<'order'>): Promise<void> {
 		try {
 			const answer = await giveOrder(address, order);
-			this.#parts.dispatch({
+			this.#options.dispatch({
 				type: 'order-answered',
 				upstream,
 				order,
 				...answer,
 			});
 		} catch {
-			// The core orders again when the engine's report still differs.
+			// The core sends the order again if the engine's report still differs.
 		}
 	}
 }
--- a/src/entry/exit.ts
+++ b/src/entry/exit.ts
@@ -1,4 +1,4 @@
-/** Result codes of daemons that end by an error. */
+/** Result codes for errors that end a daemon. */
 import {codes, isFailure} from '../core/index.js';
 
 function isSystemError(error: unknown): error is NodeJS.ErrnoException {
@@ -6,8 +6,8 @@
 }
 
 /**
- * @param error - What ended the daemon.
- * @returns Its result code.
+ * @param error - The error that ended the daemon.
+ * @returns The code of a failure, `portInUse` for a port in use, otherwise `internal`.
  */
 export function codeOf(error: unknown): number {
 	if (isFailure(error)) {
--- a/src/entry/ignore.ts
+++ b/src/entry/ignore.ts
@@ -1,6 +1,4 @@
-/** A callback for what needs no answer. */
-
-/** Does nothing. */
+/** A callback that does nothing, for events and errors that need no handling. */
 export function ignore(): void {
-	// Nothing depends on it.
+	// Does nothing.
 }
--- a/src/entry/lifecycle.ts
+++ b/src/entry/lifecycle.ts
@@ -1,35 +1,32 @@
-/** Whether the daemon is ready, and when it is over. */
+/** Tracks whether the daemon is ready for callers and when it has stopped. */
 export class Lifecycle {
-	readonly #finish: () => void;
+	readonly #resolveFinished: () => void;
 	readonly #finished: Promise<void>;
 	#isReady = false;
 
 	constructor() {
 		const {promise, resolve} = withResolvers();
 		this.#finished = promise;
-		this.#finish = resolve;
+		this.#resolveFinished = resolve;
 	}
 
-	/** Whether callers may be sent here. */
+	/** Whether callers may send requests to this host. */
 	get isReady(): boolean {
 		return this.#isReady;
 	}
 
-	/** Settles once the core has stopped. */
+	/** Resolves once the core has stopped. */
 	get finished(): Promise<void> {
 		return this.#finished;
 	}
 
-	/**
-	 * @param isReady - Whether callers may be sent here.
-	 */
 	setReady(isReady: boolean): void {
 		this.#isReady = isReady;
 	}
 
-	/** The core has stopped. */
-	stop(): void {
-		this.#finish();
+	/** Resolves `finished`. */
+	markStopped(): void {
+		this.#resolveFinished();
 	}
 }
 
--- a/src/entry/listener.ts
+++ b/src/entry/listener.ts
@@ -4,13 +4,12 @@
 import {ignore} from './ignore.js';
 import {portOf} from './ports.js';
 
-/** Milliseconds that an idle connection stays open: longer than balancers keep theirs, so that none is closed as it is used. */
-const idleTimeout = 75_000;
+/** Longer than the idle timeout of load balancers, so that a connection isn't closed just as a balancer reuses it. */
+const idleTimeoutMs = 75_000;
 
-/** Where to listen. */
-export type Place = {
+export type ListenAddress = {
 	readonly host: string;
-	/** Port 0 takes a free one. */
+	/** Port 0 picks a free port. */
 	readonly port: number;
 };
 
@@ -18,20 +17,20 @@
 	readonly server: Server;
 
 	/**
-	 * @param name - Told in the `server` header.
+	 * @param name - Value of the `server` header.
 	 */
 	constructor(name: string) {
 		this.server = restify.createServer({name});
-		this.server.server.keepAliveTimeout = idleTimeout;
-		// Whoever listens is told by a rejection; without this restify would throw the error a second time.
+		this.server.server.keepAliveTimeout = idleTimeoutMs;
+		// The promise of `listen` rejects with the error; without a handler restify would also throw it.
 		this.server.on('error', ignore);
 	}
 
 	/**
-	 * @param place - Where to listen.
+	 * @param address - Address to listen at.
 	 * @returns The port listened at.
 	 */
-	async listen({host, port}: Place): Promise<number> {
+	async listen({host, port}: ListenAddress): Promise<number> {
 		this.server.listen(port, host);
 		await once(this.server.server, 'listening');
 		return portOf(this.server.server);
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -10,8 +10,8 @@
 import {Log} from './logs.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-const badSettingsExit = 2;
-const failedExit = 1;
+const invalidSettingsExitCode = 2;
+const errorExitCode = 1;
 
 async function run(settings: Settings): Promise<void> {
 	await using daemon = await startDaemon(settings);
@@ -34,7 +34,7 @@
 			process.exitCode = 0;
 		} catch (error) {
 			new Log('').write({event: 'failed', code: codeOf(error), detail: messageOf(error)}, 'error');
-			process.exitCode = isFailure(error) ? badSettingsExit : failedExit;
+			process.exitCode = isFailure(error) ? invalidSettingsExitCode : errorExitCode;
 		}
 	});
 
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -1,17 +1,14 @@
-/** Metrics over StatsD. */
+/** Sends metrics over StatsD. */
 import {StatsD} from 'hot-shots';
 import {ignore} from './ignore.js';
 import {type Settings} from './settings.js';
 
 export type Tags = Readonly<Record<string, string>>;
 
-/** Sends counters, gauges and timings; sends nothing where no StatsD address is set. */
+/** Sends counters, gauges and timings; sends nothing if the settings have no StatsD address. */
 export class Metrics implements AsyncDisposable {
 	readonly #client: StatsD;
 
-	/**
-	 * @param settings - Settings of the daemon.
-	 */
 	constructor(settings: Settings) {
 		this.#client = new StatsD({
 			host: settings.statsd?.host ?? '127.0.0.1',
@@ -19,14 +16,16 @@
 			prefix: settings.statsd?.prefix ?? 'cranberrytide.',
 			mock: settings.statsd === undefined,
 			globalTags: {host: settings.host, domain: settings.failureDomain},
-			// A lost metric is no reason to stop serving.
+			// A lost metric must not interrupt serving.
 			errorHandler: ignore,
 		});
 	}
 
 	/**
-	 * @param name - Counter.
-	 * @param value - Added to it.
+	 * Increments a counter.
+	 *
+	 * @param name - Name of the counter.
+	 * @param value - Amount to add.
 	 * @param tags - Dimensions.
 	 */
 	count(name: string, value: number, tags: Tags = {}): void {
@@ -34,8 +33,10 @@
 	}
 
 	/**
-	 * @param name - Gauge.
-	 * @param value - Its value now.
+	 * Sets a gauge.
+	 *
+	 * @param name - Name of the gauge.
+	 * @param value - Current value.
 	 * @param tags - Dimensions.
 	 */
 	gauge(name: string, value: number, tags: Tags = {}): void {
@@ -43,8 +44,10 @@
 	}
 
 	/**
-	 * @param name - Timing.
-	 * @param milliseconds - Time taken.
+	 * Records a duration.
+	 *
+	 * @param name - Name of the timing.
+	 * @param milliseconds - Duration in milliseconds.
 	 * @param tags - Dimensions.
 	 */
 	timing(name: string, milliseconds: number, tags: Tags = {}): void {
--- a/src/entry/peers/__tests__/cost.test.ts
+++ b/src/entry/peers/__tests__/cost.test.ts
@@ -4,7 +4,7 @@
 import {encodeFrame} from '../../../protocol/peers.js';
 
 describe('cost of membership', () => {
-	it.each([7, 42])('of a host in a domain of %i stays under 10 KB a second', size => {
+	it.each([7, 42])('stays under 10 KB per second for a host in a failure domain of %i hosts', size => {
 		const network = new Network();
 		const hosts = [...Array.from({length: size}, (_, index) => `a${index}`), 'b1', 'b2', 'c1', 'c2'];
 		for (const host of hosts) {
--- a/src/entry/peers/__tests__/links.test.ts
+++ b/src/entry/peers/__tests__/links.test.ts
@@ -6,7 +6,7 @@
 import {Links, type LinkEvent} from '../links.js';
 import {encodeFrame, messageReader} from '../../../protocol/peers.js';
 
-function helloOf(host: string, started: number, port = 1): Hello {
+function createHello(host: string, started: number, port = 1): Hello {
 	return {
 		type: 'hello',
 		member: {
@@ -20,13 +20,13 @@
 	};
 }
 
-class End implements AsyncDisposable {
-	static async open(host: string, started = 1): Promise<End> {
+class TestHost implements AsyncDisposable {
+	static async open(host: string, started = 1): Promise<TestHost> {
 		const events: LinkEvent[] = [];
 		const reasons: string[] = [];
 		const links = await Links.listen({
 			listen: {host: '127.0.0.1', port: 0},
-			hello: () => helloOf(host, started),
+			hello: () => createHello(host, started),
 			emit(event) {
 				events.push(event);
 			},
@@ -34,7 +34,7 @@
 				reasons.push(reason);
 			},
 		});
-		return new End(host, links, events, reasons);
+		return new TestHost(host, links, events, reasons);
 	}
 
 	readonly host: string;
@@ -53,7 +53,7 @@
 		return {host: '127.0.0.1', port: this.links.port};
 	}
 
-	dial(other: End) {
+	dial(other: TestHost) {
 		this.links.connect(other.host, other.address);
 	}
 
@@ -66,14 +66,14 @@
 	}
 }
 
-function seal(id: string) {
+function createSeal(id: string) {
 	return {
 		type: 'seal', id, right: 't/1', expires: 1, keeper: {host: 'a', started: 1},
 	} as const;
 }
 
-async function until(holds: () => boolean): Promise<void> {
-	while (!holds()) {
+async function waitUntil(condition: () => boolean): Promise<void> {
+	while (!condition()) {
 		await new Promise(resolve => {
 			setTimeout(resolve, 5);
 		});
@@ -81,96 +81,96 @@
 }
 
 function ignore() {
-	// Not looked at.
+	// These tests don't check the events.
 }
 
-function count(end: End, type: LinkEvent['type']): number {
+function countEvents(end: TestHost, type: LinkEvent['type']): number {
 	return end.events.filter(event => event.type === type).length;
 }
 
 describe('links', () => {
-	it('greets both ways and carries messages in order', async () => {
-		await using a = await End.open('a');
-		await using b = await End.open('b');
+	it('exchanges hellos and delivers messages in order', async () => {
+		await using a = await TestHost.open('a');
+		await using b = await TestHost.open('b');
 		a.dial(b);
-		await until(() => a.links.count === 1 && b.links.count === 1);
+		await waitUntil(() => a.links.count === 1 && b.links.count === 1);
 		expect(a.events.slice(0, 2).map(event => event.type)).toEqual(['peer-connected', 'peer-message']);
 		for (const id of ['1', '2', '3']) {
-			a.links.send('b', seal(id));
+			a.links.send('b', createSeal(id));
 		}
 
-		await until(() => b.messages().length === 3);
+		await waitUntil(() => b.messages().length === 3);
 		expect(b.messages()).toEqual(['1', '2', '3']);
 		expect(b.links.traffic.received).toBe(a.links.traffic.sent);
 	});
 
-	it('keeps one link when both dial at once, and loses nothing sent meanwhile', async () => {
+	it('keeps one link when both hosts dial at the same time, without losing messages', async () => {
 		for (let round = 0; round < 10; round++) {
-			await using a = await End.open('a');
-			await using b = await End.open('b');
+			await using a = await TestHost.open('a');
+			await using b = await TestHost.open('b');
 			a.dial(b);
 			b.dial(a);
-			await until(() => a.links.count === 1 && b.links.count === 1);
+			await waitUntil(() => a.links.count === 1 && b.links.count === 1);
 			let sent = 0;
 			for (let index = 0; index < 50; index++) {
-				sent += a.links.send('b', seal(String(index))) ? 1 : 0;
+				sent += a.links.send('b', createSeal(String(index))) ? 1 : 0;
 				await new Promise(resolve => {
 					setImmediate(resolve);
 				});
 			}
 
-			await until(() => b.messages().length === sent);
-			expect([count(a, 'peer-connected'), count(b, 'peer-connected')]).toEqual([1, 1]);
-			expect([count(a, 'peer-lost'), count(b, 'peer-lost')]).toEqual([0, 0]);
+			await waitUntil(() => b.messages().length === sent);
+			expect([countEvents(a, 'peer-connected'), countEvents(b, 'peer-connected')]).toEqual([1, 1]);
+			expect([countEvents(a, 'peer-lost'), countEvents(b, 'peer-lost')]).toEqual([0, 0]);
 		}
 	});
 
-	it('dials again after a loss until it is told to stop', async () => {
-		await using a = await End.open('a');
-		const first = await End.open('b');
+	it('redials a lost host until it is disconnected', async () => {
+		await using a = await TestHost.open('a');
+		const first = await TestHost.open('b');
 		a.dial(first);
-		await until(() => a.links.count === 1);
+		await waitUntil(() => a.links.count === 1);
 		const {port} = first.links;
 		await first[Symbol.asyncDispose]();
-		await until(() => count(a, 'peer-lost') === 1);
-		await using again = await Links.listen({listen: {host: '127.0.0.1', port}, hello: () => helloOf('b', 2), emit: ignore});
-		await until(() => a.links.count === 1);
+		await waitUntil(() => countEvents(a, 'peer-lost') === 1);
+		await using restarted = await Links.listen({listen: {host: '127.0.0.1', port}, hello: () => createHello('b', 2), emit: ignore});
+		await waitUntil(() => a.links.count === 1);
 		a.links.disconnect('b');
-		await until(() => a.links.count === 0 && again.count === 0);
-		expect(count(a, 'peer-connected')).toBe(2);
+		await waitUntil(() => a.links.count === 0 && restarted.count === 0);
+		expect(countEvents(a, 'peer-connected')).toBe(2);
 	});
 
 	it('refuses an older incarnation and lets a newer one take over', async () => {
-		await using a = await End.open('a');
-		await using current = await End.open('b', 5);
-		await using stale = await End.open('b', 4);
-		await using newer = await End.open('b', 6);
+		await using a = await TestHost.open('a');
+		await using current = await TestHost.open('b', 5);
+		await using stale = await TestHost.open('b', 4);
+		await using newer = await TestHost.open('b', 6);
 		current.dial(a);
-		await until(() => a.links.count === 1);
+		await waitUntil(() => a.links.count === 1);
 		stale.dial(a);
-		await until(() => a.reasons.includes('an older incarnation'));
-		expect(count(a, 'peer-lost')).toBe(0);
+		await waitUntil(() => a.reasons.includes('an older incarnation'));
+		expect(countEvents(a, 'peer-lost')).toBe(0);
 		newer.dial(a);
-		await until(() => count(a, 'peer-connected') === 2);
-		expect(count(a, 'peer-lost')).toBe(1);
+		await waitUntil(() => countEvents(a, 'peer-connected') === 2);
+		expect(countEvents(a, 'peer-lost')).toBe(1);
 	});
 
-	it('tells of another host at the dialled address without linking it', async () => {
-		await using a = await End.open('a');
-		await using c = await End.open('c');
+	it('reports another host at the dialled address without linking it', async () => {
+		await using a = await TestHost.open('a');
+		await using c = await TestHost.open('c');
 		a.links.connect('b', c.address);
-		await until(() => a.events.length > 0);
+		await waitUntil(() => a.events.length > 0);
 		expect(a.events[0]).toMatchObject({type: 'peer-message', from: 'c', message: {type: 'hello'}});
 		expect(a.links.count).toBe(0);
 	});
 
 	it.each([
-		['what is not CBOR', Buffer.from([0, 0, 0, 2, 0xFF, 0xFF])],
+		['bytes that are not CBOR', Buffer.from([0, 0, 0, 2, 0xFF, 0xFF])],
 		['a message that is too long', Buffer.from([0xFF, 0xFF, 0xFF, 0xFF])],
 		['an unknown message', Buffer.from([0, 0, 0, 1, 0xA0])],
-		['a first message that is no hello', Buffer.from(encodeFrame(seal('1')))],
-	])('closes a connection that brings %s', async (_name, bytes) => {
-		await using a = await End.open('a');
+		['a first message other than a hello', Buffer.from(encodeFrame(createSeal('1')))],
+	])('closes a connection that sends %s', async (_name, bytes) => {
+		await using a = await TestHost.open('a');
 		const socket = connect(a.links.port, '127.0.0.1');
 		socket.resume();
 		socket.write(bytes);
@@ -181,8 +181,8 @@
 });
 
 describe('frames', () => {
-	it('are read alike however the stream is cut', () => {
-		const stream = Buffer.concat([encodeFrame(helloOf('a', 1)), encodeFrame(seal('1')), encodeFrame({type: 'configuration', text: 'x'.repeat(70_000)})]);
+	it('are decoded the same way wherever the stream is split', () => {
+		const stream = Buffer.concat([encodeFrame(createHello('a', 1)), encodeFrame(createSeal('1')), encodeFrame({type: 'configuration', text: 'x'.repeat(70_000)})]);
 		for (const size of [1, 3, 1000, stream.length]) {
 			const reader = messageReader();
 			const messages = [];
--- a/src/entry/peers/connection.ts
+++ b/src/entry/peers/connection.ts
@@ -1,79 +1,80 @@
-/** One TCP connection to another host: frames in and out, silence and buffers bounded. */
+/** One TCP connection to another host, with a silence timeout and a bounded send buffer. */
 import {type Socket} from 'node:net';
 import {isFailure, type PeerMessage} from '../../core/index.js';
 import {encodeFrame, messageReader} from '../../protocol/peers.js';
 
 export type Hello = Extract<PeerMessage, {readonly type: 'hello'}>;
 
-/** Who opened a connection. */
+/** Whether this host opened a connection or accepted it. */
 export type Side = 'dialled' | 'accepted';
 
-/** Bytes over every connection since the start. */
+/** Bytes transferred over all connections since the start. */
 export type Traffic = {
 	sent: number;
 	received: number;
 };
 
-export type Events = {
+export type ConnectionEvents = {
 	readonly hello: (connection: Connection, hello: Hello) => void;
 	readonly message: (connection: Connection, message: PeerMessage) => void;
 	readonly closed: (connection: Connection, reason: string) => void;
 };
 
-/** Bytes that may wait for a slow peer before its connection is given up. */
-const sendBuffer = 4_000_000;
+/** Bytes buffered for a slow peer before its connection is closed. */
+const maxSendBufferBytes = 4_000_000;
 
-/** Milliseconds until the first message must have come, and of silence after it. */
-const helloTimeout = 2000;
-const silenceTimeout = 8000;
+/** Timeout for the first message, and for silence after it. */
+const helloTimeoutMs = 2000;
+const silenceTimeoutMs = 8000;
 
-/** Milliseconds that a connection stays open after another has taken its place, so that both ends know the other. */
-const retirement = 500;
+/** How long a replaced connection stays open, so that both ends have switched to its replacement. */
+const retireDelayMs = 500;
 
-/** A connection from its first byte to its last. */
 export class Connection implements AsyncDisposable {
 	readonly side: Side;
 	readonly #socket: Socket;
 	readonly #reader = messageReader();
-	readonly #events: Events;
+	readonly #events: ConnectionEvents;
 	readonly #traffic: Traffic;
-	#greeting: Hello | undefined;
-	#reason = 'closed by the peer';
-	#retiring: NodeJS.Timeout | undefined;
+	#peerHello: Hello | undefined;
+	#closeReason = 'closed by the peer';
+	#retireTimer: NodeJS.Timeout | undefined;
 
-	constructor(socket: Socket, side: Side, events: Events, traffic: Traffic) {
+	constructor(socket: Socket, side: Side, events: ConnectionEvents, traffic: Traffic) {
 		this.side = side;
 		this.#socket = socket;
 		this.#events = events;
 		this.#traffic = traffic;
 		socket.setNoDelay(true);
-		socket.setTimeout(helloTimeout);
+		socket.setTimeout(helloTimeoutMs);
 		socket.on('data', chunk => {
-			this.#read(chunk);
+			this.#handleData(chunk);
 		});
 		socket.on('timeout', () => {
 			this.destroy('silent');
 		});
 		socket.on('error', error => {
-			this.#reason = error.message;
+			this.#closeReason = error.message;
 		});
 		socket.on('end', () => {
 			socket.end();
 		});
 		socket.on('close', () => {
-			clearTimeout(this.#retiring);
-			events.closed(this, this.#reason);
+			clearTimeout(this.#retireTimer);
+			events.closed(this, this.#closeReason);
 		});
 	}
 
-	/** The peer's first message, once it has come. */
-	get greeting(): Hello | undefined {
-		return this.#greeting;
+	/** The peer's first message; undefined until it arrives. */
+	get peerHello(): Hello | undefined {
+		return this.#peerHello;
 	}
 
 	/**
+	 * Queues a message. Closes the connection if the send buffer would overflow.
+	 *
 	 * @param message - Message to send.
-	 * @returns Whether it was queued; a peer that takes nothing loses its connection.
+	 * @returns Whether the message was queued.
 	 */
 	send(message: PeerMessage): boolean {
 		if (!this.#socket.writable) {
@@ -81,7 +82,7 @@
 		}
 
 		const frame = encodeFrame(message);
-		if (this.#socket.writableLength + frame.length > sendBuffer) {
+		if (this.#socket.writableLength + frame.length > maxSendBufferBytes) {
 			this.destroy('too slow');
 			return false;
 		}
@@ -91,26 +92,26 @@
 		return true;
 	}
 
-	/** Sends no more and closes once the peer has read everything; what the peer still sends is taken. */
+	/** Half-closes the connection after the queued messages. Messages from the peer are still handled until it closes its side. */
 	finish(): void {
 		this.#socket.end();
 	}
 
-	/** Finishes a little later, as another connection to the same host has taken its place. */
+	/** Finishes the connection after a delay, because another connection to the same host has replaced it. */
 	retire(): void {
-		this.#retiring ??= setTimeout(() => {
+		this.#retireTimer ??= setTimeout(() => {
 			this.finish();
-		}, retirement);
+		}, retireDelayMs);
 	}
 
 	/**
-	 * Closes at once.
+	 * Closes the connection immediately.
 	 *
-	 * @param reason - Why, for the log.
+	 * @param reason - Reason for the log.
 	 */
 	destroy(reason: string): void {
 		if (!this.#socket.destroyed) {
-			this.#reason = reason;
+			this.#closeReason = reason;
 			this.#socket.destroy();
 		}
 	}
@@ -129,23 +130,23 @@
 		await closed;
 	}
 
-	#read(chunk: Uint8Array): void {
+	#handleData(chunk: Uint8Array): void {
 		this.#traffic.received += chunk.length;
 		try {
 			for (const message of this.#reader.push(chunk)) {
-				this.#take(message);
+				this.#handleMessage(message);
 			}
 		} catch (error) {
 			this.destroy(isFailure(error) ? `${error.code} ${error.message}` : String(error));
 		}
 	}
 
-	#take(message: PeerMessage): void {
+	#handleMessage(message: PeerMessage): void {
 		if (this.#socket.destroyed) {
 			return;
 		}
 
-		if (this.#greeting !== undefined) {
+		if (this.#peerHello !== undefined) {
 			this.#events.message(this, message);
 			return;
 		}
@@ -155,8 +156,8 @@
 			return;
 		}
 
-		this.#greeting = message;
-		this.#socket.setTimeout(silenceTimeout);
+		this.#peerHello = message;
+		this.#socket.setTimeout(silenceTimeoutMs);
 		this.#events.hello(this, message);
 	}
 }
--- a/src/entry/peers/links.ts
+++ b/src/entry/peers/links.ts
@@ -1,4 +1,4 @@
-/** Links to other hosts: at most one for each, whichever of the two opened it. */
+/** Links to other hosts: at most one connection per host, regardless of which side opened it. */
 import {once} from 'node:events';
 import {
 	createServer, type Server, type Socket,
@@ -10,73 +10,70 @@
 	type Side,
 	type Traffic,
 } from './connection.js';
-import {Dial} from './dial.js';
+import {Dialer} from './dialer.js';
 
 export type LinkEvent = EventOf<'peer-connected' | 'peer-lost' | 'peer-message'>;
 
-export type Listening = {
-	/** Address to listen at; port 0 takes a free one. */
+export type LinksOptions = {
+	/** Address to listen at; port 0 picks a free port. */
 	readonly listen: Address;
-	/** This host's first message on a link, made anew for each. */
+	/** Creates this host's first message on a connection. */
 	readonly hello: () => Hello;
-	/** Takes what happens on the links. */
+	/** Receives the events of all links. */
 	readonly emit: (event: LinkEvent) => void;
-	/** Takes the reason why a connection was refused or given up. */
+	/** Receives the reason when a connection is refused or closed. */
 	readonly report?: (host: string, reason: string) => void;
 };
 
-/** Connections that may be open at a time, those without a hello included. */
-const connectionLimit = 512;
+/** Maximum number of open connections, including those that haven't sent a hello yet. */
+const maxConnections = 512;
 
-/** Hosts whose newest incarnation is remembered. */
-const incarnationLimit = 4096;
+/** Maximum number of hosts whose newest incarnation is remembered. */
+const maxRememberedIncarnations = 4096;
 
 /**
  * The links of one host.
  *
- * Two hosts that dial each other at once keep the connection that the host with the lower name opened. A connection of
- * an older incarnation than one already seen is refused.
+ * If two hosts dial each other at the same time, they keep the connection that the host with the lower name opened. A connection
+ * from an older incarnation than one already seen is refused.
  */
 export class Links implements AsyncDisposable {
-	/**
-	 * @param listening - Address and callbacks.
-	 * @returns Links that accept connections.
-	 */
-	static async listen(listening: Listening): Promise<Links> {
-		const links = new Links(listening);
-		links.#server.listen(listening.listen.port, listening.listen.host);
+	/** Starts listening and resolves to links that accept connections. */
+	static async listen(options: LinksOptions): Promise<Links> {
+		const links = new Links(options);
+		links.#server.listen(options.listen.port, options.listen.host);
 		await once(links.#server, 'listening');
 		return links;
 	}
 
 	readonly traffic: Readonly<Traffic>;
-	readonly #listening: Listening;
+	readonly #options: LinksOptions;
 	readonly #server: Server;
 	readonly #traffic: Traffic = {sent: 0, received: 0};
-	readonly #open = new Set<Connection>();
+	readonly #connections = new Set<Connection>();
 	readonly #links = new Map<string, Connection>();
-	readonly #dials = new Map<string, Dial>();
-	/** Host that a dialled connection was meant for. */
-	readonly #meant = new Map<Connection, string>();
-	readonly #newest = new Map<string, number>();
+	readonly #dialers = new Map<string, Dialer>();
+	/** The host expected at the other end of each dialled connection. */
+	readonly #expectedHosts = new Map<Connection, string>();
+	readonly #newestIncarnations = new Map<string, number>();
 	#isClosed = false;
 
-	private constructor(listening: Listening) {
-		this.#listening = listening;
+	private constructor(options: LinksOptions) {
+		this.#options = options;
 		this.traffic = this.#traffic;
 		this.#server = createServer({allowHalfOpen: true}, socket => {
-			this.#adopt(socket, 'accepted');
+			this.#addConnection(socket, 'accepted');
 		});
-		this.#server.maxConnections = connectionLimit;
+		this.#server.maxConnections = maxConnections;
 	}
 
-	/** The port that is listened at. */
+	/** The port listened at. */
 	get port(): number {
 		const address = this.#server.address();
 		return typeof address === 'object' ? (address?.port ?? 0) : 0;
 	}
 
-	/** Number of hosts linked now. */
+	/** Number of linked hosts. */
 	get count(): number {
 		return this.#links.size;
 	}
@@ -88,33 +85,35 @@
 	 * @param address - Its peer address.
 	 */
 	connect(host: string, address: Address): void {
-		const known = this.#dials.get(host);
-		if (known?.address.host === address.host && known.address.port === address.port) {
+		const existing = this.#dialers.get(host);
+		if (existing?.address.host === address.host && existing.address.port === address.port) {
 			return;
 		}
 
-		known?.[Symbol.dispose]();
-		const dial = new Dial(address, () => !this.#links.has(host), socket => {
-			this.#meant.set(this.#adopt(socket, 'dialled'), host);
+		existing?.[Symbol.dispose]();
+		const dialer = new Dialer(address, () => !this.#links.has(host), socket => {
+			this.#expectedHosts.set(this.#addConnection(socket, 'dialled'), host);
 		});
-		this.#dials.set(host, dial);
+		this.#dialers.set(host, dialer);
 	}
 
 	/**
-	 * Closes the link to a host and no longer dials it.
+	 * Closes the link to a host and stops dialling it.
 	 *
-	 * @param host - Host.
+	 * @param host - Name of the host.
 	 */
 	disconnect(host: string): void {
-		this.#dials.get(host)?.[Symbol.dispose]();
-		this.#dials.delete(host);
+		this.#dialers.get(host)?.[Symbol.dispose]();
+		this.#dialers.delete(host);
 		this.#links.get(host)?.finish();
 	}
 
 	/**
-	 * @param host - Host to send to.
-	 * @param message - Message.
-	 * @returns Whether a link took it; the link may still be lost before the host reads it.
+	 * Sends a message to a linked host.
+	 *
+	 * @param host - Name of the host.
+	 * @param message - Message to send.
+	 * @returns Whether the message was queued; it is lost if the link closes before the host reads it.
 	 */
 	send(host: string, message: PeerMessage): boolean {
 		return this.#links.get(host)?.send(message) ?? false;
@@ -122,127 +121,127 @@
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		this.#isClosed = true;
-		for (const dial of this.#dials.values()) {
-			dial[Symbol.dispose]();
+		for (const dialer of this.#dialers.values()) {
+			dialer[Symbol.dispose]();
 		}
 
 		const closed = once(this.#server, 'close');
 		this.#server.close();
-		await Promise.all([...this.#open].map(async connection => connection[Symbol.asyncDispose]()));
+		await Promise.all([...this.#connections].map(async connection => connection[Symbol.asyncDispose]()));
 		await closed;
 	}
 
-	#adopt(socket: Socket, side: Side): Connection {
+	#addConnection(socket: Socket, side: Side): Connection {
 		const connection = new Connection(socket, side, {
 			hello: (from, hello) => {
-				this.#greet(from, hello);
+				this.#handleHello(from, hello);
 			},
 			message: (from, message) => {
-				this.#take(from, message);
+				this.#handleMessage(from, message);
 			},
 			closed: (from, reason) => {
-				this.#forget(from, reason);
+				this.#handleClosed(from, reason);
 			},
 		}, this.#traffic);
-		this.#open.add(connection);
-		connection.send(this.#listening.hello());
+		this.#connections.add(connection);
+		connection.send(this.#options.hello());
 		return connection;
 	}
 
-	#greet(connection: Connection, hello: Hello): void {
+	#handleHello(connection: Connection, hello: Hello): void {
 		const {host, started} = hello.member.incarnation;
-		if (host === this.#listening.hello().member.incarnation.host) {
+		if (host === this.#options.hello().member.incarnation.host) {
 			connection.destroy('this host itself');
 			return;
 		}
 
-		if (started < (this.#newest.get(host) ?? 0)) {
+		if (started < (this.#newestIncarnations.get(host) ?? 0)) {
 			connection.destroy('an older incarnation');
 			return;
 		}
 
-		const meant = this.#meant.get(connection);
-		if (meant !== undefined && meant !== host) {
-			// The address has passed to another host: it is told to the core, and linked only when the core asks for it.
-			this.#listening.emit({type: 'peer-message', from: host, message: hello});
-			connection.destroy(`${host} answers in place of ${meant}`);
+		const expectedHost = this.#expectedHosts.get(connection);
+		if (expectedHost !== undefined && expectedHost !== host) {
+			// Another host now has this address. The core receives its hello and decides whether to link it.
+			this.#options.emit({type: 'peer-message', from: host, message: hello});
+			connection.destroy(`${host} answers in place of ${expectedHost}`);
 			return;
 		}
 
-		this.#link(connection, hello);
+		this.#addLink(connection, hello);
 	}
 
-	#link(connection: Connection, hello: Hello): void {
+	#addLink(connection: Connection, hello: Hello): void {
 		const {host, started} = hello.member.incarnation;
-		const before = this.#links.get(host);
-		if (before !== undefined && !this.#replaces(connection, before, hello)) {
+		const current = this.#links.get(host);
+		if (current !== undefined && !this.#canReplace(connection, current, hello)) {
 			connection.retire();
 			return;
 		}
 
-		this.#remember(host, started);
+		this.#recordIncarnation(host, started);
 		this.#links.set(host, connection);
-		this.#dials.get(host)?.succeed();
-		const isSame = before?.greeting?.member.incarnation.started === started;
-		if (before !== undefined) {
-			before.retire();
-			if (!isSame) {
-				before.destroy('replaced by a newer incarnation');
-				this.#listening.emit({type: 'peer-lost', host});
+		this.#dialers.get(host)?.resetDelay();
+		const isSameIncarnation = current?.peerHello?.member.incarnation.started === started;
+		if (current !== undefined) {
+			current.retire();
+			if (!isSameIncarnation) {
+				current.destroy('replaced by a newer incarnation');
+				this.#options.emit({type: 'peer-lost', host});
 			}
 		}
 
-		if (!isSame) {
-			this.#listening.emit({type: 'peer-connected', host});
+		if (!isSameIncarnation) {
+			this.#options.emit({type: 'peer-connected', host});
 		}
 
-		this.#listening.emit({type: 'peer-message', from: host, message: hello});
+		this.#options.emit({type: 'peer-message', from: host, message: hello});
 	}
 
-	#replaces(next: Connection, before: Connection, hello: Hello): boolean {
+	#canReplace(next: Connection, current: Connection, hello: Hello): boolean {
 		const {host, started} = hello.member.incarnation;
-		if (started !== before.greeting?.member.incarnation.started || next.side === before.side) {
+		if (started !== current.peerHello?.member.incarnation.started || next.side === current.side) {
 			return true;
 		}
 
-		const self = this.#listening.hello().member.incarnation.host;
+		const self = this.#options.hello().member.incarnation.host;
 		return (next.side === 'dialled') === (self < host);
 	}
 
-	#remember(host: string, started: number): void {
-		this.#newest.delete(host);
-		this.#newest.set(host, started);
-		if (this.#newest.size > incarnationLimit) {
-			const [oldest] = this.#newest.keys();
-			this.#newest.delete(oldest!);
+	#recordIncarnation(host: string, started: number): void {
+		this.#newestIncarnations.delete(host);
+		this.#newestIncarnations.set(host, started);
+		if (this.#newestIncarnations.size > maxRememberedIncarnations) {
+			const [oldest] = this.#newestIncarnations.keys();
+			this.#newestIncarnations.delete(oldest!);
 		}
 	}
 
-	#take(connection: Connection, message: PeerMessage): void {
-		const {host, started} = connection.greeting!.member.incarnation;
-		if (this.#newest.get(host) === started) {
-			this.#listening.emit({type: 'peer-message', from: host, message});
+	#handleMessage(connection: Connection, message: PeerMessage): void {
+		const {host, started} = connection.peerHello!.member.incarnation;
+		if (this.#newestIncarnations.get(host) === started) {
+			this.#options.emit({type: 'peer-message', from: host, message});
 		}
 	}
 
-	#forget(connection: Connection, reason: string): void {
-		this.#open.delete(connection);
-		const host = connection.greeting?.member.incarnation.host;
-		const meant = this.#meant.get(connection);
-		this.#meant.delete(connection);
+	#handleClosed(connection: Connection, reason: string): void {
+		this.#connections.delete(connection);
+		const host = connection.peerHello?.member.incarnation.host;
+		const expectedHost = this.#expectedHosts.get(connection);
+		this.#expectedHosts.delete(connection);
 		if (this.#isClosed) {
 			return;
 		}
 
-		this.#listening.report?.(host ?? meant ?? 'unknown', reason);
+		this.#options.report?.(host ?? expectedHost ?? 'unknown', reason);
 		if (host !== undefined && this.#links.get(host) === connection) {
 			this.#links.delete(host);
-			this.#listening.emit({type: 'peer-lost', host});
+			this.#options.emit({type: 'peer-lost', host});
 		}
 
-		for (const each of new Set([host, meant])) {
+		for (const each of new Set([host, expectedHost])) {
 			if (each !== undefined) {
-				this.#dials.get(each)?.retry();
+				this.#dialers.get(each)?.scheduleRetry();
 			}
 		}
 	}
--- a/src/entry/ports.ts
+++ b/src/entry/ports.ts
@@ -1,9 +1,8 @@
-/** Ports that listeners got. */
 import {type Server} from 'node:net';
 
 /**
  * @param listener - A listening TCP server.
- * @returns Its port.
+ * @returns The port listened at; 0 if the server isn't listening on TCP.
  */
 export function portOf(listener: Pick<Server, 'address'>): number {
 	const address = listener.address();
--- a/src/entry/relays/cancellation.ts
+++ b/src/entry/relays/cancellation.ts
@@ -1,28 +1,30 @@
-/** Tells an engine to stop an attempt until it confirms. */
+/** Cancels an attempt at an engine, with retries until the engine confirms. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Address} from '../../core/index.js';
 import {cancelAttempt} from '../../upstream/control.js';
 
-/** Milliseconds between tries, and number of tries; after those the clean-up of holds goes on. */
-const pause = 500;
-const tries = 240;
+/** After the last attempt only the periodic clean-up of holds remains. */
+const retryIntervalMs = 500;
+const maxAttempts = 240;
 
 /**
- * @param address - Engine's address.
- * @param attempt - Attempt to stop.
- * @param signal - Ends the tries.
+ * Sends cancellations until the engine confirms one, the attempts are used up or the signal aborts.
+ *
+ * @param address - Address of the engine.
+ * @param attempt - Id of the attempt to cancel.
+ * @param signal - Stops the retries.
  */
 export async function cancelUntilConfirmed(address: Address, attempt: string, signal: AbortSignal): Promise<void> {
-	for (let count = 0; count < tries && !signal.aborted; count++) {
-		if (await isCancelled(address, attempt)) {
+	for (let count = 0; count < maxAttempts && !signal.aborted; count++) {
+		if (await tryCancel(address, attempt)) {
 			return;
 		}
 
-		await sleep(pause, undefined, {ref: false});
+		await sleep(retryIntervalMs, undefined, {ref: false});
 	}
 }
 
-async function isCancelled(address: Address, attempt: string): Promise<boolean> {
+async function tryCancel(address: Address, attempt: string): Promise<boolean> {
 	try {
 		await cancelAttempt(address, attempt);
 		return true;
--- a/src/entry/relays/relays.ts
+++ b/src/entry/relays/relays.ts
@@ -1,4 +1,4 @@
-/** Sends attempts to upstreams and passes their answers to callers. */
+/** Sends attempts to upstreams, forwards requests to other hosts and passes the answers to callers. */
 import {
 	messageOf,
 	assertNever,
@@ -15,35 +15,30 @@
 import {ignore} from '../ignore.js';
 import {cancelUntilConfirmed} from './cancellation.js';
 import {createSink} from './sink.js';
-import {type EffectOf, type Surroundings} from './surroundings.js';
+import {type EffectOf, type RelayServices} from './services.js';
 
 /**
- * Milliseconds by which the engine is given longer than the request has: this host ends it in time and says why; the engine's
- * own limit is for a host that died.
+ * Extra time that an engine gets beyond a request's deadline. This host ends the request at the deadline and reports the reason;
+ * the engine's own timeout is only for the case that this host has died.
  */
-const deadlineMargin = 1000;
+const deadlineMarginMs = 1000;
 
-const noKind: Ending = {
+const notConfiguredEnding: Ending = {
 	type: 'not-run', code: codes.noUpstream, overload: false, detail: 'the upstream is no longer configured',
 };
 
 export class Relays implements AsyncDisposable {
-	readonly #surroundings: Surroundings;
-	readonly #running = new Map<string, AbortController>();
-	readonly #closing = new AbortController();
+	readonly #services: RelayServices;
+	readonly #controllers = new Map<string, AbortController>();
+	readonly #shutdown = new AbortController();
 
-	/**
-	 * @param surroundings - Parts of the daemon.
-	 */
-	constructor(surroundings: Surroundings) {
-		this.#surroundings = surroundings;
+	constructor(services: RelayServices) {
+		this.#services = services;
 	}
 
-	/**
-	 * @param effect - Attempt to send.
-	 */
+	/** Sends an attempt to its upstream and dispatches `attempt-ended` when it is over. */
 	send(effect: EffectOf<'send'>): void {
-		const {exchanges, dispatch} = this.#surroundings;
+		const {exchanges, dispatch} = this.#services;
 		const exchange = exchanges.get(effect.request);
 		if (exchange === undefined) {
 			dispatch({
@@ -54,87 +49,81 @@
 			return;
 		}
 
-		const controller = this.#begin(effect.attempt);
-		void this.#finish(effect.attempt, this.#run(effect, exchange, controller.signal));
+		const controller = this.#addController(effect.attempt);
+		void this.#finishAttempt(effect.attempt, this.#runAttempt(effect, exchange, controller.signal));
 	}
 
-	/**
-	 * Stops an attempt, and tells its upstream until it confirms.
-	 *
-	 * @param effect - Attempt to stop.
-	 */
+	/** Aborts an attempt and, if its upstream is an engine, cancels it there until the engine confirms. */
 	cancel(effect: EffectOf<'cancel'>): void {
-		this.#running.get(effect.attempt)?.abort();
-		if (this.#kindOf(effect.upstream) === 'engine') {
-			void cancelUntilConfirmed(effect.address, effect.attempt, this.#closing.signal);
+		this.#controllers.get(effect.attempt)?.abort();
+		if (this.#getUpstreamKind(effect.upstream) === 'engine') {
+			void cancelUntilConfirmed(effect.address, effect.attempt, this.#shutdown.signal);
 		}
 	}
 
-	/**
-	 * Passes a request to another host, which answers through this one.
-	 *
-	 * @param effect - Request and host.
-	 */
+	/** Forwards a request to another host, passes its answer to the caller and dispatches `forward-ended` when it is over. */
 	forward(effect: EffectOf<'forward'>): void {
-		const exchange = this.#surroundings.exchanges.get(effect.request);
+		const exchange = this.#services.exchanges.get(effect.request);
 		if (exchange === undefined) {
 			return;
 		}
 
-		const controller = this.#begin(effect.request);
-		void this.#finishForward(effect.request, this.#forward(effect, exchange, controller.signal));
+		const controller = this.#addController(effect.request);
+		void this.#finishForward(effect.request, this.#runForward(effect, exchange, controller.signal));
 	}
 
 	/**
-	 * @param request - Forwarded request whose caller left.
+	 * Aborts a forwarded request whose caller has disconnected.
+	 *
+	 * @param request - Id of the request.
 	 */
 	abandon(request: string): void {
-		this.#running.get(request)?.abort();
+		this.#controllers.get(request)?.abort();
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		this.#closing.abort();
-		for (const controller of this.#running.values()) {
+		this.#shutdown.abort();
+		for (const controller of this.#controllers.values()) {
 			controller.abort();
 		}
 	}
 
-	#begin(id: string): AbortController {
+	#addController(id: string): AbortController {
 		const controller = new AbortController();
-		this.#running.set(id, controller);
+		this.#controllers.set(id, controller);
 		return controller;
 	}
 
-	async #finish(attempt: string, running: Promise<Ending>): Promise<void> {
-		const ending = await this.#settle(running);
-		this.#running.delete(attempt);
-		this.#surroundings.dispatch({type: 'attempt-ended', attempt, ending});
+	async #finishAttempt(attempt: string, running: Promise<Ending>): Promise<void> {
+		const ending = await this.#waitForEnding(running);
+		this.#controllers.delete(attempt);
+		this.#services.dispatch({type: 'attempt-ended', attempt, ending});
 	}
 
 	async #finishForward(request: string, running: Promise<Ending>): Promise<void> {
-		const ending = await this.#settle(running);
-		this.#running.delete(request);
-		this.#surroundings.dispatch({type: 'forward-ended', request, ending});
+		const ending = await this.#waitForEnding(running);
+		this.#controllers.delete(request);
+		this.#services.dispatch({type: 'forward-ended', request, ending});
 	}
 
-	async #settle(running: Promise<Ending>): Promise<Ending> {
+	async #waitForEnding(running: Promise<Ending>): Promise<Ending> {
 		try {
 			return await running;
 		} catch (error) {
 			const detail = messageOf(error);
-			this.#surroundings.log.write({event: 'relay-failed', code: codes.internal, detail}, 'error');
+			this.#services.log.write({event: 'relay-failed', code: codes.internal, detail}, 'error');
 			return {
 				type: 'unknown', code: codes.outcomeUnknown, detail, relayed: true,
 			};
 		}
 	}
 
-	#kindOf(upstream: string) {
-		return upstreamOf(this.#surroundings.state(), upstream)?.kind;
+	#getUpstreamKind(upstream: string) {
+		return upstreamOf(this.#services.state(), upstream)?.kind;
 	}
 
-	async #run(effect: EffectOf<'send'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
-		const kind = this.#kindOf(effect.upstream);
+	async #runAttempt(effect: EffectOf<'send'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
+		const kind = this.#getUpstreamKind(effect.upstream);
 		switch (kind) {
 			case 'engine': {
 				return this.#runOnEngine(effect, exchange, signal);
@@ -142,11 +131,11 @@
 
 			case 'plain':
 			case 'legacy': {
-				return this.#passOn(effect, exchange, signal);
+				return this.#runOnPlain(effect, exchange, signal);
 			}
 
 			case undefined: {
-				return noKind;
+				return notConfiguredEnding;
 			}
 
 			default: {
@@ -157,19 +146,19 @@
 
 	async #runOnEngine(effect: EffectOf<'send'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
 		const segments = effect.segments ?? [];
-		const early = await this.#prefill(effect, signal);
-		if (early !== undefined) {
-			return early;
+		const earlyEnding = await this.#prefillSegments(effect, signal);
+		if (earlyEnding !== undefined) {
+			return earlyEnding;
 		}
 
 		const {payload, request} = exchange;
-		const {self} = this.#surroundings.state();
+		const {self} = this.#services.state();
 		const call: Call = {
 			address: effect.address,
 			attempt: effect.attempt,
 			body: payload.engineBody,
 			priority: effect.priority,
-			timeout: effect.deadline + deadlineMargin - this.#surroundings.clock.now(),
+			timeout: effect.deadline + deadlineMarginMs - this.#services.clock.now(),
 			owner: `${self.incarnation.host}/${self.incarnation.started}`,
 			mayRepeat: request.proof.type === 'idempotent',
 			key: payload.key,
@@ -177,13 +166,13 @@
 			promptTokens: payload.statedPromptTokens,
 			signal,
 		};
-		return runOnEngine(call, createSink(effect, exchange, this.#surroundings));
+		return runOnEngine(call, createSink(effect, exchange, this.#services));
 	}
 
-	/** Engines of a group work on their segments at the same time. */
-	async #prefill(effect: EffectOf<'send'>, signal: AbortSignal): Promise<Ending | undefined> {
-		const timeout = effect.deadline - this.#surroundings.clock.now();
-		const state = this.#surroundings.state();
+	/** Prefills the segments of a group on its engines in parallel. Returns an ending if the attempt can't continue. */
+	async #prefillSegments(effect: EffectOf<'send'>, signal: AbortSignal): Promise<Ending | undefined> {
+		const timeout = effect.deadline - this.#services.clock.now();
+		const state = this.#services.state();
 		try {
 			await Promise.all((effect.segments ?? []).map(async segment => {
 				const target = upstreamOf(state, segment.upstream);
@@ -200,14 +189,14 @@
 		return signal.aborted ? {type: 'cancelled'} : undefined;
 	}
 
-	async #passOn(effect: EffectOf<'send'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
+	async #runOnPlain(effect: EffectOf<'send'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
 		const {payload, request, answer} = exchange;
-		const {dispatch} = this.#surroundings;
+		const {dispatch} = this.#services;
 		return runOnPlain({
 			address: effect.address,
 			method: payload.method,
 			path: payload.path,
-			headers: this.#headersFor(exchange),
+			headers: this.#createPlainHeaders(exchange),
 			body: payload.body,
 			mayRepeat: request.proof.type === 'idempotent',
 			signal,
@@ -223,8 +212,8 @@
 		});
 	}
 
-	/** Our callers' keys are not the upstreams' business. */
-	#headersFor({payload, request}: Exchange): PassedHeaders {
+	/** Removes the caller's credentials, which upstreams must not receive. */
+	#createPlainHeaders({payload, request}: Exchange): PassedHeaders {
 		const {authorization, [callerHeaders.ticket]: ticket, ...headers} = endToEnd(payload.headers);
 		return {
 			...headers,
@@ -233,9 +222,9 @@
 		};
 	}
 
-	async #forward(effect: EffectOf<'forward'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
+	async #runForward(effect: EffectOf<'forward'>, exchange: Exchange, signal: AbortSignal): Promise<Ending> {
 		const {payload, request, answer} = exchange;
-		const {clock, state, dispatch} = this.#surroundings;
+		const {clock, state, dispatch} = this.#services;
 		const {self} = state();
 		return runOnPlain({
 			address: effect.address,
@@ -252,10 +241,11 @@
 			mayRepeat: request.proof.type === 'idempotent',
 			signal,
 		}, {
-			// The other host's answer says what became of it.
+			// The outcome is known from the other host's answer.
 			written: ignore,
 			head(status, headers) {
-				// After a pause the core hears of it first, and may end the answer: this head may be as old as the pause.
+				// Dispatched before the head is passed on: after a pause of this process, the head may be as old as the pause. The
+				// driver reports the pause to the core ahead of this event, and the core may end the answer.
 				dispatch({type: 'forward-progressed', request: effect.request});
 				void answer.push({type: 'head', status, headers});
 			},
--- a/src/entry/relays/surroundings.ts
+++ b/src/entry/relays/services.ts
@@ -1,4 +1,4 @@
-/** What relays need of the daemon. */
+/** The daemon's services that relays use. */
 import {type Effect, type Event, type State} from '../../core/index.js';
 import {type Exchanges} from '../callers/exchange.js';
 import {type Clock} from '../clock.js';
@@ -7,7 +7,7 @@
 
 export type EffectOf<T extends Effect['type']> = Extract<Effect, {readonly type: T}>;
 
-export type Surroundings = {
+export type RelayServices = {
 	readonly exchanges: Exchanges;
 	readonly clock: Clock;
 	readonly log: Log;
--- a/src/entry/relays/sink.ts
+++ b/src/entry/relays/sink.ts
@@ -1,36 +1,36 @@
-/** Takes an engine's frames: passes them to callers and tells the core how far they are. */
+/** Passes an engine's frames to the caller and reports the attempt's progress to the core. */
 import {positionOf, signStream} from '../../protocol/token.js';
 import {type Sink} from '../../upstream/follower.js';
 import {type Exchange} from '../callers/exchange.js';
-import {type EffectOf, type Surroundings} from './surroundings.js';
+import {type EffectOf, type RelayServices} from './services.js';
 
-/** Tokens after which the core hears of an attempt's progress again. */
-const progressStep = 32;
+/** Tokens between two progress reports of an attempt to the core. */
+const progressIntervalTokens = 32;
 
-/** How long a position in a stream stays valid after its request's deadline, in milliseconds. */
-const positionLife = 600_000;
+/** How long a position in a stream stays valid after the request's deadline. */
+const positionLifetimeMs = 600_000;
 
 /**
- * @param effect - Attempt as it is sent.
- * @param exchange - Its request.
- * @param surroundings - Parts of the daemon.
- * @returns Takes the attempt's frames.
+ * @param effect - Effect that sends the attempt.
+ * @param exchange - Exchange with the caller.
+ * @param services - The daemon's services.
+ * @returns A sink for the attempt's frames.
  */
-export function createSink(effect: EffectOf<'send'>, exchange: Exchange, surroundings: Surroundings): Sink {
+export function createSink(effect: EffectOf<'send'>, exchange: Exchange, services: RelayServices): Sink {
 	const {attempt} = effect;
-	const {dispatch, metrics} = surroundings;
+	const {dispatch, metrics} = services;
 	const {answer} = exchange;
-	const token = streamToken(effect, exchange, surroundings);
-	let pending = 0;
+	const token = signStreamToken(effect, exchange, services);
+	let unreportedTokens = 0;
 	return {
 		written() {
 			dispatch({type: 'attempt-written', attempt});
 		},
 		async frame(offset, data) {
-			pending++;
-			if (offset === 0 || pending >= progressStep) {
-				dispatch({type: 'attempt-progressed', attempt, tokens: pending});
-				pending = 0;
+			unreportedTokens++;
+			if (offset === 0 || unreportedTokens >= progressIntervalTokens) {
+				dispatch({type: 'attempt-progressed', attempt, tokens: unreportedTokens});
+				unreportedTokens = 0;
 			}
 
 			return answer.push({type: 'frame', position: positionOf(token, offset + 1), data});
@@ -41,13 +41,13 @@
 	};
 }
 
-function streamToken({attempt, upstream, deadline}: EffectOf<'send'>, {request}: Exchange, {clock, state}: Surroundings): string {
+function signStreamToken({attempt, upstream, deadline}: EffectOf<'send'>, {request}: Exchange, {clock, state}: RelayServices): string {
 	const keys = state().configuration.inForce?.tokenKeys ?? [];
 	return signStream(keys, {
 		service: request.service,
 		organisation: request.organisation,
 		upstream,
 		attempt,
-		expires: Math.round(clock.wall() + deadline - clock.now() + positionLife),
+		expires: Math.round(clock.wall() + deadline - clock.now() + positionLifetimeMs),
 	});
 }
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -1,46 +1,46 @@
-/** Settings of the entry daemon: one JSON file, validated. Times are in milliseconds, sizes in bytes. */
+/** Schema of the entry daemon's JSON settings file. Times are in milliseconds, sizes in bytes. */
 import {z} from 'zod';
 
 const port = z.number().int().min(0).max(65_535);
 const listener = z.strictObject({host: z.string().min(1).default('127.0.0.1'), port}).readonly();
-const target = z.strictObject({host: z.string().min(1), port: port.min(1)}).readonly();
+const address = z.strictObject({host: z.string().min(1), port: port.min(1)}).readonly();
 
 export const settingsSchema = z.strictObject({
 	/** Name of this host, unique in the fleet. */
 	host: z.string().regex(/^[\w.\-]{1,64}$/v),
 	failureDomain: z.string().regex(/^[\w.\-]{1,64}$/v),
-	/** Where callers connect. Port 0 takes a free one, told in the `listening` line. */
+	/** Listen address for callers. Port 0 picks a free port, which the `listening` log line contains. */
 	caller: listener,
-	/** Where other hosts of the system connect. */
+	/** Listen address for other hosts. */
 	peer: listener,
-	/** Where operators' tools connect; loopback unless told otherwise. */
+	/** Listen address for operators' tools; loopback by default. */
 	admin: listener.default({host: '127.0.0.1', port: 0}),
-	/** Addresses that others use to reach this host, where they differ from the listeners'. */
-	advertised: z.strictObject({caller: target.optional(), peer: target.optional()}).readonly().default({}),
-	/** Peer addresses to ask while the platform's host list is out of reach. */
-	seeds: z.array(target).readonly().default([]),
-	/** The platform's configuration service and host list. */
-	platform: target,
+	/** Addresses under which callers and other hosts reach this host, if they differ from the listen addresses. */
+	advertised: z.strictObject({caller: address.optional(), peer: address.optional()}).readonly().default({}),
+	/** Peer addresses to contact while the platform's host list is unavailable. */
+	seeds: z.array(address).readonly().default([]),
+	/** Address of the platform, which serves the configuration and the host list. */
+	platform: address,
 	statsd: z.strictObject({host: z.string(), port, prefix: z.string().default('cranberrytide.')}).readonly().optional(),
-	/** Largest request body taken. */
+	/** Maximum size of a request body. */
 	bodyLimit: z.number().int().positive().default(16_000_000),
-	/** Time that running requests get after SIGTERM. */
+	/** Time that running requests have to finish after SIGTERM. */
 	drainGrace: z.number().int().positive().default(600_000),
-	/** Believe the number of prompt tokens that a caller states; for tests and benchmarks. */
+	/** Whether to trust the number of prompt tokens that a caller states; for tests and benchmarks. */
 	statedPromptTokens: z.boolean().default(false),
-	/** Seed of the routing decisions; a random one if absent. */
+	/** Seed of the random source for routing decisions; random if absent. */
 	seed: z.number().int().optional(),
-	/** Time between ticks of the core. */
+	/** Interval between ticks of the core. */
 	tickInterval: z.number().int().min(1).max(1000).default(50),
-	/** Time between load reports asked of an engine. */
+	/** Minimum interval between two load reports requested from the same engine. */
 	reportInterval: z.number().int().min(10).default(500),
-	/** Longest wait of one watch at the platform. */
+	/** Maximum wait of one long poll for a new configuration. */
 	watchWait: z.number().int().min(100).default(20_000),
-	/** Time between readings of the host list. */
+	/** Interval between reads of the host list. */
 	hostsInterval: z.number().int().min(100).default(2000),
-	/** A gap between ticks from which on the process counts as paused. */
+	/** Time without an event after which the process counts as having been paused. */
 	pauseThreshold: z.number().int().min(50).default(500),
-	/** Decisions kept for operators to look up. */
+	/** Number of decisions kept for operators to query. */
 	decisionsKept: z.number().int().positive().default(5000),
 }).readonly();
 
--- a/src/entry/tokens.ts
+++ b/src/entry/tokens.ts
@@ -1,8 +1,8 @@
-/** Names under which the daemon's parts are wired. */
+/** Identifiers of the daemon's services in the dependency injection container. */
 import {type ServiceIdentifier} from 'inversify';
 import {type Platform} from '../configuration-service/client.js';
 import {type AdminServer} from './admin/server.js';
-import {type Decisions} from './admin/decisions.js';
+import {type DecisionHistory} from './admin/decisions.js';
 import {type Directory} from './callers/directory.js';
 import {type Exchanges} from './callers/exchange.js';
 import {type Resumption} from './callers/resumption.js';
@@ -15,23 +15,23 @@
 import {type Relays} from './relays/relays.js';
 import {type Settings} from './settings.js';
 
-function token<T>(name: string): ServiceIdentifier<T> {
+function createToken<T>(name: string): ServiceIdentifier<T> {
 	return Symbol.for(`cranberrytide.${name}`);
 }
 
 export const tokens = {
-	settings: token<Settings>('Settings'),
-	clock: token<Clock>('Clock'),
-	log: token<Log>('Log'),
-	metrics: token<Metrics>('Metrics'),
-	decisions: token<Decisions>('Decisions'),
-	directory: token<Directory>('Directory'),
-	exchanges: token<Exchanges>('Exchanges'),
-	driver: token<Driver>('Driver'),
-	lifecycle: token<Lifecycle>('Lifecycle'),
-	platform: token<Platform>('Platform'),
-	relays: token<Relays>('Relays'),
-	resumption: token<Resumption>('Resumption'),
-	callers: token<CallerServer>('CallerServer'),
-	admin: token<AdminServer>('AdminServer'),
+	settings: createToken<Settings>('Settings'),
+	clock: createToken<Clock>('Clock'),
+	log: createToken<Log>('Log'),
+	metrics: createToken<Metrics>('Metrics'),
+	decisions: createToken<DecisionHistory>('Decisions'),
+	directory: createToken<Directory>('Directory'),
+	exchanges: createToken<Exchanges>('Exchanges'),
+	driver: createToken<Driver>('Driver'),
+	lifecycle: createToken<Lifecycle>('Lifecycle'),
+	platform: createToken<Platform>('Platform'),
+	relays: createToken<Relays>('Relays'),
+	resumption: createToken<Resumption>('Resumption'),
+	callers: createToken<CallerServer>('CallerServer'),
+	admin: createToken<AdminServer>('AdminServer'),
 } as const;
--- a/src/entry/watch/configuration.ts
+++ b/src/entry/watch/configuration.ts
@@ -1,28 +1,28 @@
-/** Watches the platform's configuration service. */
+/** Watches the platform for new configurations and for changes to the host list. */
 import {codes, type Event, type State} from '../../core/index.js';
 import {type Platform} from '../../configuration-service/client.js';
 import {parseConfiguration} from '../../protocol/configuration/index.js';
 import {Loop} from './loop.js';
 
-/** Milliseconds until the platform is asked again after a failure, and after an answer. */
-const failurePause = 500;
-const answerPause = 20;
+/** Delay before the next watch after a failure, and after an answer. */
+const retryDelayMs = 500;
+const nextWatchDelayMs = 20;
 
-/** Longest time for which the first document waits for the first host list, and time between looks, in milliseconds. */
-const listWait = 3000;
-const listPause = 20;
+/** Maximum time that the first watch waits for the first host list, and interval between checks for it. */
+const maxHostListWaitMs = 3000;
+const hostListCheckIntervalMs = 20;
 
-/** Shortest time between two readings that brought nothing new, in milliseconds. */
-const repeatPause = 500;
+/** Delay before the next watch after an answer with a document that is not newer. */
+const unchangedDelayMs = 500;
 
 /**
- * Reads a document as any source gives it.
+ * Parses a configuration document.
  *
  * @param text - The document.
- * @param source - Where it came from.
- * @returns The event that tells the core.
+ * @param source - Where the document came from.
+ * @returns An event for the core with the configuration or, if the document is invalid, the code of its first mistake.
  */
-export function documentEvent(text: string, source: Extract<Event, {readonly type: 'configuration-received'}>['source']): Event {
+export function createDocumentEvent(text: string, source: Extract<Event, {readonly type: 'configuration-received'}>['source']): Event {
 	const parsed = parseConfiguration(text);
 	switch (parsed.type) {
 		case 'valid': {
@@ -36,8 +36,8 @@
 		}
 
 		case 'invalid': {
-			const first = parsed.mistakes[0];
-			const code = codes[first?.code ?? 'badDocument'];
+			const firstMistake = parsed.mistakes[0];
+			const code = codes[firstMistake?.code ?? 'badDocument'];
 			const detail = parsed.mistakes.slice(0, 5).map(mistake => `${mistake.path}: ${mistake.text}`).join(' ');
 			return {
 				type: 'configuration-refused',
@@ -50,53 +50,57 @@
 }
 
 /**
- * @param platform - Platform.
- * @param wait - Longest wait of one watch in milliseconds.
- * @param state - Reads the core's state.
- * @param dispatch - Tells the core.
- * @returns The running watch.
+ * Watches the platform for configurations with a higher revision.
+ *
+ * @param platform - Client of the platform.
+ * @param maxWait - Maximum wait of one long poll in milliseconds.
+ * @param state - Returns the core's state.
+ * @param dispatch - Sends an event to the core.
+ * @returns The running watch; dispose of it to stop.
  */
 export function watchConfiguration(
 	platform: Platform,
-	wait: number,
+	maxWait: number,
 	state: () => State,
 	dispatch: (event: Event) => void,
 ): Loop {
 	let waited = 0;
 	return new Loop(async signal => {
-		// Peers must be known before the first document comes, so that they are asked for a newer one.
-		if (state().membership.listed === undefined && waited < listWait) {
-			waited += listPause;
-			return listPause;
+		// The peers must be known before the first document arrives, so that the core can ask them for a newer one.
+		if (state().membership.listed === undefined && waited < maxHostListWaitMs) {
+			waited += hostListCheckIntervalMs;
+			return hostListCheckIntervalMs;
 		}
 
-		const above = state().configuration.inForce?.revision ?? 0;
+		const currentRevision = state().configuration.inForce?.revision ?? 0;
 		try {
-			const text = await platform.watchConfiguration(above, wait, signal);
+			const text = await platform.watchConfiguration(currentRevision, maxWait, signal);
 			if (text === undefined) {
-				return answerPause;
+				return nextWatchDelayMs;
 			}
 
-			dispatch(documentEvent(text, {type: 'platform'}));
-			const isNew = (state().configuration.inForce?.revision ?? 0) > above;
-			return isNew ? answerPause : repeatPause;
+			dispatch(createDocumentEvent(text, {type: 'platform'}));
+			const isNew = (state().configuration.inForce?.revision ?? 0) > currentRevision;
+			return isNew ? nextWatchDelayMs : unchangedDelayMs;
 		} catch {
 			if (!signal.aborted) {
 				dispatch({type: 'platform-unreachable'});
 			}
 
-			return failurePause;
+			return retryDelayMs;
 		}
 	});
 }
 
 /**
- * @param platform - Platform.
- * @param interval - Milliseconds between readings.
- * @param dispatch - Tells the core.
- * @returns The running watch of the host list.
+ * Reads the platform's host list periodically.
+ *
+ * @param platform - Client of the platform.
+ * @param interval - Milliseconds between two reads.
+ * @param dispatch - Sends an event to the core.
+ * @returns The running watch; dispose of it to stop.
  */
-export function watchHosts(platform: Platform, interval: number, dispatch: (event: Event) => void): Loop {
+export function watchHostList(platform: Platform, interval: number, dispatch: (event: Event) => void): Loop {
 	return new Loop(async signal => {
 		try {
 			dispatch({type: 'hosts-listed', ...await platform.readHosts(signal)});
--- a/src/entry/watch/loop.ts
+++ b/src/entry/watch/loop.ts
@@ -1,18 +1,18 @@
-/** Work done again and again until the daemon closes. */
+/** Repeats an asynchronous task until the loop is disposed of. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** One turn; it returns the milliseconds until the next. */
-export type Turn = (signal: AbortSignal) => Promise<number>;
+/** One iteration; resolves to the delay in milliseconds before the next. */
+export type Iteration = (signal: AbortSignal) => Promise<number>;
 
 export class Loop implements AsyncDisposable {
 	readonly #controller = new AbortController();
 	readonly #finished: Promise<void>;
 
 	/**
-	 * @param turn - Work of one turn; it handles its own errors.
+	 * @param iterate - Task to repeat; it must handle its own errors.
 	 */
-	constructor(turn: Turn) {
-		this.#finished = this.#run(turn);
+	constructor(iterate: Iteration) {
+		this.#finished = this.#run(iterate);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -20,12 +20,12 @@
 		await this.#finished;
 	}
 
-	async #run(turn: Turn): Promise<void> {
+	async #run(iterate: Iteration): Promise<void> {
 		const {signal} = this.#controller;
 		while (!signal.aborted) {
-			const wait = await turn(signal);
+			const delay = await iterate(signal);
 			try {
-				await sleep(wait, undefined, {signal, ref: false});
+				await sleep(delay, undefined, {signal, ref: false});
 			} catch {
 				return;
 			}
