--- a/src/entry/disposal.ts
+++ b/src/entry/disposal.ts
@@ -13,7 +13,7 @@
 		return resource;
 	}
 
-	/** Adds a callback, which is called in turn with the disposal of the resources. */
+	/** Adds a callback, which runs at its place in the order of disposal. */
 	defer(callback: () => void): void {
 		this.#callbacks.push(async () => {
 			callback();
--- a/src/entry/logs.ts
+++ b/src/entry/logs.ts
@@ -85,7 +85,7 @@
 	 */
 	constructor(host: string) {
 		this.#host = host;
-		// Without an explicit level, consola drops lower levels if NODE_ENV or CI is set.
+		// Without an explicit level, consola drops info lines if NODE_ENV is `test` or TEST is set.
 		this.#consola = createConsola({level: LogLevels.info, reporters: [{log: writeEntry}]});
 	}
 
--- a/src/entry/peers/__tests__/links.test.ts
+++ b/src/entry/peers/__tests__/links.test.ts
@@ -182,7 +182,11 @@
 
 describe('frames', () => {
 	it('are decoded the same way wherever the stream is split', () => {
-		const stream = Buffer.concat([encodeFrame(createHello('a', 1)), encodeFrame(createSeal('1')), encodeFrame({type: 'configuration', text: 'x'.repeat(70_000)})]);
+		const stream = Buffer.concat([
+			encodeFrame(createHello('a', 1)),
+			encodeFrame(createSeal('1')),
+			encodeFrame({type: 'configuration', text: 'x'.repeat(70_000)}),
+		]);
 		for (const size of [1, 3, 1000, stream.length]) {
 			const reader = messageReader();
 			const messages = [];
--- a/src/entry/peers/dialer.ts
+++ b/src/entry/peers/dialer.ts
@@ -15,7 +15,7 @@
 	#socket: Socket | undefined;
 
 	/**
-	 * Starts to connect at once. The dialer runs until it is disposed of.
+	 * Starts to connect immediately. The dialer runs until it is disposed of.
 	 *
 	 * @param address - Address to connect to.
 	 * @param isNeeded - Whether a connection is needed; checked before each attempt.
--- a/src/entry/relays/cancellation.ts
+++ b/src/entry/relays/cancellation.ts
@@ -3,19 +3,20 @@
 import {type Address} from '../../core/index.js';
 import {cancelAttempt} from '../../upstream/control.js';
 
-/** After the last attempt only the periodic clean-up of holds remains. */
 const retryIntervalMs = 500;
-const maxAttempts = 240;
+
+/** After the last cancellation, only the clean-up of holds continues. */
+const maxCancellations = 240;
 
 /**
- * Sends cancellations until the engine confirms one, the attempts are used up or the signal aborts.
+ * Sends cancellations until the engine confirms one, the maximum number is reached or the signal aborts.
  *
  * @param address - Address of the engine.
  * @param attempt - Id of the attempt to cancel.
  * @param signal - Stops the retries.
  */
 export async function cancelUntilConfirmed(address: Address, attempt: string, signal: AbortSignal): Promise<void> {
-	for (let count = 0; count < maxAttempts && !signal.aborted; count++) {
+	for (let count = 0; count < maxCancellations && !signal.aborted; count++) {
 		if (await tryCancel(address, attempt)) {
 			return;
 		}
