--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -1,4 +1,4 @@
-/** Asks hosts on their operators' listener; the command line and the console share it. */
+/** Client of the hosts' admin endpoints, shared by the command line and the console. */
 import {got, type Response} from 'got';
 import {type z} from 'zod';
 import {
@@ -18,57 +18,55 @@
 } from '../protocol/admin.js';
 import {formatAddress} from '../protocol/address.js';
 
-/** Milliseconds for one answer. */
-const patience = 5000;
+const answerTimeoutMs = 5000;
 
-/** What one host answered, or why it did not. */
+/** Content of a host's answer, or why there is none; `silent` covers hosts that are unreachable and hosts that refuse. */
 export type Answer<Content>
 	= | {readonly type: 'answered'; readonly address: Address; readonly content: Content}
 		| {readonly type: 'silent'; readonly address: Address; readonly failure: Failure};
 
 /**
- * @param address - Operators' listener of a host.
- * @returns The host's status.
+ * @param address - Admin address of the host.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
 export async function fetchStatus(address: Address): Promise<Status> {
-	return ask(address, {path: 'status'}, statusSchema);
+	return fetchContent(address, {path: 'status'}, statusSchema);
 }
 
 /**
- * @param address - Operators' listener of a host.
- * @param timeout - Milliseconds for the answer.
- * @returns The document in force there.
+ * @param address - Admin address of the host.
+ * @param timeout - Timeout in milliseconds.
+ * @returns The configuration in force on the host.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
-export async function fetchInForce(address: Address, timeout = patience): Promise<InForce> {
-	return ask(address, {path: 'configuration', timeout}, inForceSchema);
+export async function fetchInForce(address: Address, timeout = answerTimeoutMs): Promise<InForce> {
+	return fetchContent(address, {path: 'configuration', timeout}, inForceSchema);
 }
 
 /**
- * @param address - Operators' listener of a host.
- * @param request - Request.
- * @returns What the host decided about it, as far as it still knows.
+ * @param address - Admin address of the host.
+ * @param request - Id of the request.
+ * @returns The host's decisions about the request that it still remembers.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
 export async function fetchDecisions(address: Address, request: string): Promise<Decisions> {
-	return ask(address, {path: `decisions?${new URLSearchParams({request}).toString()}`}, decisionsSchema);
+	return fetchContent(address, {path: `decisions?${new URLSearchParams({request}).toString()}`}, decisionsSchema);
 }
 
 /**
- * @param address - Operators' listener of a host.
- * @param wanted - Time for running requests.
- * @returns What the host still has to finish.
+ * @param address - Admin address of the host.
+ * @param wanted - Optional grace period for running requests, in milliseconds.
+ * @returns Phase of the host and number of unfinished requests.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
 export async function orderDrain(address: Address, wanted: DrainWanted): Promise<Drain> {
-	return ask(address, {path: 'drain', body: wanted}, drainSchema);
+	return fetchContent(address, {path: 'drain', body: wanted}, drainSchema);
 }
 
 /**
- * @param addresses - Operators' listeners.
- * @param fetch - Asks one host.
- * @returns Every host's answer, in the same order.
+ * @param addresses - Admin addresses of the hosts.
+ * @param fetch - Queries one host.
+ * @returns Answers of the hosts, in the order of the addresses.
  */
 export async function askAll<Content>(addresses: readonly Address[], fetch: (address: Address) => Promise<Content>): Promise<ReadonlyArray<Answer<Content>>> {
 	return Promise.all(addresses.map(async address => {
@@ -84,27 +82,27 @@
 	}));
 }
 
-type Question = {
+type Query = {
 	readonly path: string;
 	readonly body?: DrainWanted;
-	/** Milliseconds for the answer. */
+	/** Timeout in milliseconds. */
 	readonly timeout?: number;
 };
 
-async function ask<Content>(address: Address, question: Question, schema: z.ZodType<Content>): Promise<Content> {
-	const response = await call(address, question);
+async function fetchContent<Content>(address: Address, query: Query, schema: z.ZodType<Content>): Promise<Content> {
+	const response = await sendQuery(address, query);
 	const value = parseJson(response.body);
 	if (!response.ok) {
-		const refusal = errorSchema.safeParse(value);
-		const reason = refusal.success ? `${refusal.data.error.code} ${refusal.data.error.message}` : `status ${response.statusCode}`;
+		const error = errorSchema.safeParse(value);
+		const reason = error.success ? `${error.data.error.code} ${error.data.error.message}` : `status ${response.statusCode}`;
 		return raise('refusedByHost', `${formatAddress(address)}: ${reason}`);
 	}
 
 	const content = schema.safeParse(value);
-	return content.success ? content.data : raise('refusedByHost', `${formatAddress(address)}: the answer is of another form.`);
+	return content.success ? content.data : raise('refusedByHost', `${formatAddress(address)}: the response has an unexpected format.`);
 }
 
-async function call(address: Address, {path, body, timeout = patience}: Question): Promise<Response<string>> {
+async function sendQuery(address: Address, {path, body, timeout = answerTimeoutMs}: Query): Promise<Response<string>> {
 	const url = `http://${formatAddress(address)}/admin/${path}`;
 	const common = {throwHttpErrors: false, retry: {limit: 0}, timeout: {request: timeout}} as const;
 	try {
--- a/src/configuration-service/client.ts
+++ b/src/configuration-service/client.ts
@@ -1,12 +1,12 @@
-/** Reads the platform's configuration service and host list. */
+/** Client of the platform's configuration service and host list. */
 import got from 'got';
 import {type Address, type Member} from '../core/index.js';
 import {hostsSchema} from './protocol.js';
 
-/** Milliseconds that an answer may take beyond the wait asked for. */
-const answerTimeout = 3000;
+/** Added to the requested wait of a long poll. */
+const answerTimeoutMs = 3000;
 
-const nothingNew = 204;
+const noContentStatus = 204;
 
 export type HostList = {
 	readonly members: readonly Member[];
@@ -17,36 +17,35 @@
 	readonly #address: Address;
 	#calls = 0;
 
-	/**
-	 * @param address - Where the platform listens.
-	 */
 	constructor(address: Address) {
 		this.#address = address;
 	}
 
-	/** Calls made so far. */
+	/** Number of calls made so far. */
 	get calls(): number {
 		return this.#calls;
 	}
 
 	/**
-	 * @param above - Revision already in force; 0 reads the document at once.
-	 * @param wait - Milliseconds to wait for a higher one.
-	 * @param signal - Ends the wait.
-	 * @returns The document's text, or undefined when there was none above.
+	 * Waits for a configuration with a higher revision than the given one.
+	 *
+	 * @param above - Revision in force; with 0 the current document is returned at once.
+	 * @param wait - Maximum wait in milliseconds.
+	 * @param signal - Aborts the call.
+	 * @returns Text of the document, or undefined if the wait ended without a higher revision.
 	 */
 	async watchConfiguration(above: number, wait: number, signal: AbortSignal): Promise<string | undefined> {
 		const query = above === 0 ? '' : `?above=${above}&wait=${wait}`;
-		const response = await this.#read(`/v1/configuration${query}`, wait, signal);
-		return response.statusCode === nothingNew ? undefined : response.body;
+		const response = await this.#get(`/v1/configuration${query}`, wait, signal);
+		return response.statusCode === noContentStatus ? undefined : response.body;
 	}
 
 	/**
-	 * @param signal - Ends the call.
-	 * @returns The hosts that the platform lists; the list lags.
+	 * @param signal - Aborts the call.
+	 * @returns The hosts that the platform lists, with a lag.
 	 */
 	async readHosts(signal: AbortSignal): Promise<HostList> {
-		const {body} = await this.#read('/v1/hosts', 0, signal);
+		const {body} = await this.#get('/v1/hosts', 0, signal);
 		const {hosts} = hostsSchema.parse(JSON.parse(body));
 		return {
 			members: hosts.map(host => ({
@@ -59,11 +58,11 @@
 		};
 	}
 
-	async #read(path: string, wait: number, signal: AbortSignal) {
+	async #get(path: string, wait: number, signal: AbortSignal) {
 		this.#calls++;
 		return got(`http://${this.#address.host}:${this.#address.port}${path}`, {
 			retry: {limit: 0},
-			timeout: {request: wait + answerTimeout},
+			timeout: {request: wait + answerTimeoutMs},
 			signal,
 		});
 	}
--- a/src/configuration-service/protocol.ts
+++ b/src/configuration-service/protocol.ts
@@ -1,9 +1,9 @@
 /**
- * What the platform publishes. It can only be read; each call counts against one budget, a waiting watch as one.
+ * Read-only protocol of the platform. All calls share one budget; a long poll counts as one call.
  *
- * GET /v1/configuration                      the document as text, with its revision in the header {@link revisionHeader}
- * GET /v1/configuration?above=N&wait=MS      the same once its revision is above N; 204 when the wait is over
- * GET /v1/hosts                              {@link hostsSchema}, lagging
+ * GET /v1/configuration                      document as text, with its revision in the header {@link revisionHeader}
+ * GET /v1/configuration?above=N&wait=MS      the same once its revision is above N; 204 if the wait ends before
+ * GET /v1/hosts                              {@link hostsSchema}, with a lag
  */
 import {z} from 'zod';
 
@@ -15,7 +15,7 @@
 	hosts: z.array(z.object({
 		id: z.string(),
 		failureDomain: z.string(),
-		/** Milliseconds since 1970; tells a replaced host from the one before. */
+		/** Start time in milliseconds since 1970; distinguishes a replaced host from its predecessor. */
 		started: z.number(),
 		peerAddress: address,
 		callerAddress: address,
--- a/src/entry/callers/__tests__/exchange.test.ts
+++ b/src/entry/callers/__tests__/exchange.test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('exchanges', () => {
-	it('are forgotten at their end unless their answer may be asked for again', () => {
+	it('are removed when they end unless their answer can be repeated', () => {
 		const exchanges = new Exchanges();
 		for (let index = 0; index < 100; index++) {
 			open(exchanges, `refused ${index}`);
@@ -57,7 +57,7 @@
 		expect(exchanges.size).toBe(0);
 	});
 
-	it('keep answers, not what was sent upstream, and forget them when told', () => {
+	it('keep answers without their payload until they are forgotten', () => {
 		const exchanges = new Exchanges();
 		open(exchanges, 'kept');
 		exchanges.end('kept', {outcome: {type: 'done'}}, () => true);
@@ -66,7 +66,7 @@
 		expect(exchanges.size).toBe(0);
 	});
 
-	it('give up the oldest answers first, and say so to those who ask again', () => {
+	it('discard the oldest answers first and report this to repeated requests', () => {
 		const exchanges = new Exchanges();
 		for (let index = 0; index < 20; index++) {
 			open(exchanges, `answer ${index}`);
--- a/src/entry/callers/answer.ts
+++ b/src/entry/callers/answer.ts
@@ -1,24 +1,23 @@
-/** The answer of one request: passed to its callers as it comes, and kept where it may be asked for again. */
+/** The answer of one request: streamed to its callers, and kept if a caller may ask for it again. */
 import {once} from 'node:events';
 import {codes, type Outcome} from '../../core/index.js';
 import {
 	endAnswer,
-	writePiece,
-	type Piece,
+	writePart,
+	type AnswerPart,
 	type Receiver,
 } from './receivers.js';
 
-/** Bytes of one answer that are kept for repeats. */
-const keptLimit = 4_000_000;
+/** Limit for one answer; a longer one is not kept for repeated requests. */
+const maxKeptBytes = 4_000_000;
 
-/** What those are told who ask again for an answer that was given up. */
-export const notKept: Outcome = {type: 'failed', code: codes.answerNotKept};
+/** Outcome for a repeated request whose answer was discarded. */
+export const notKeptOutcome: Outcome = {type: 'failed', code: codes.answerNotKept};
 
-/** Bytes that may wait for one of several callers before it is given up. */
-const waitingLimit = 1_000_000;
+/** Unsent bytes beyond which a slow caller of a kept answer is disconnected. */
+const maxBufferedBytes = 1_000_000;
 
-/** How an answer ended. */
-export type End = {
+export type AnswerEnd = {
 	readonly outcome: Outcome;
 	readonly ticket?: string;
 };
@@ -26,15 +25,15 @@
 export class Answer {
 	readonly #isKept: boolean;
 	readonly #receivers = new Set<Receiver>();
-	readonly #pieces: Piece[] = [];
+	readonly #parts: AnswerPart[] = [];
 	#size = 0;
-	#isTrimmed = false;
-	#end: End | undefined;
-	/** Settles when the only caller has room again. */
-	#room: Promise<void> | undefined;
+	#isDiscarded = false;
+	#end: AnswerEnd | undefined;
+	/** Settles when the send buffer of the only caller has drained. */
+	#backpressure: Promise<void> | undefined;
 
 	/**
-	 * @param isKept - Whether the answer may be asked for again.
+	 * @param isKept - Whether the answer is kept for repeated requests, which several callers may share.
 	 */
 	constructor(isKept: boolean) {
 		this.#isKept = isKept;
@@ -48,29 +47,25 @@
 		return this.#end !== undefined;
 	}
 
-	/** Bytes kept for repeats. */
+	/** Number of bytes kept for repeated requests. */
 	get size(): number {
 		return this.#size;
 	}
 
-	get receivers(): number {
+	get receiverCount(): number {
 		return this.#receivers.size;
 	}
 
-	/**
-	 * Adds a caller and gives it what has come so far.
-	 *
-	 * @param receiver - Caller.
-	 */
+	/** Adds a caller and sends it the answer so far. */
 	attach(receiver: Receiver): void {
-		if (this.#isTrimmed) {
+		if (this.#isDiscarded) {
 			const outcome = this.#end?.outcome;
-			endAnswer(receiver, outcome === undefined || outcome.type === 'done' ? notKept : outcome);
+			endAnswer(receiver, outcome === undefined || outcome.type === 'done' ? notKeptOutcome : outcome);
 			return;
 		}
 
-		for (const piece of this.#pieces) {
-			writePiece(receiver, piece);
+		for (const part of this.#parts) {
+			writePart(receiver, part);
 		}
 
 		if (this.#end === undefined) {
@@ -80,91 +75,87 @@
 		}
 	}
 
-	/**
-	 * @param receiver - Caller that left or moved to another answer.
-	 */
 	detach(receiver: Receiver): void {
 		this.#receivers.delete(receiver);
 	}
 
 	/**
-	 * @returns The callers attached, no longer attached here.
+	 * Removes all callers.
+	 *
+	 * @returns The removed callers.
 	 */
-	release(): readonly Receiver[] {
-		const released = [...this.#receivers];
+	detachAll(): readonly Receiver[] {
+		const detached = [...this.#receivers];
 		this.#receivers.clear();
-		return released;
+		return detached;
 	}
 
 	/**
-	 * Passes a part on.
+	 * Sends a part of the answer to all callers.
 	 *
-	 * @param piece - Part of the answer.
-	 * @returns A promise to wait for where the only caller's buffer is full.
+	 * @returns A promise to await before the next part, if the only caller's send buffer is full.
 	 */
-	push(piece: Piece): Promise<void> | undefined {
+	push(part: AnswerPart): Promise<void> | undefined {
 		if (this.#end !== undefined) {
 			return undefined;
 		}
 
-		this.#keep(piece);
-		const full = [...this.#receivers].filter(receiver => !writePiece(receiver, piece));
-		if (full.length === 0) {
+		this.#keep(part);
+		const blocked = [...this.#receivers].filter(receiver => !writePart(receiver, part));
+		if (blocked.length === 0) {
 			return undefined;
 		}
 
 		if (this.#isKept) {
-			this.#dropSlow(full);
+			this.#dropSlowReceivers(blocked);
 			return undefined;
 		}
 
-		this.#room ??= this.#awaitRoom(full[0]!);
-		return this.#room;
+		this.#backpressure ??= this.#waitForDrain(blocked[0]!);
+		return this.#backpressure;
 	}
 
-	/** Gives up the content; those who ask for it again are told so. */
-	trim(): void {
-		this.#isTrimmed = true;
-		this.#pieces.length = 0;
+	/** Frees the kept content. A later repeated request fails with `answerNotKept`. */
+	discardContent(): void {
+		this.#isDiscarded = true;
+		this.#parts.length = 0;
 		this.#size = 0;
 	}
 
-	/**
-	 * @param end - End of the request.
-	 */
-	end(end: End): void {
+	/** Ends the answer for all callers; later calls have no effect. */
+	end(end: AnswerEnd): void {
 		if (this.#end !== undefined) {
 			return;
 		}
 
 		this.#end = end;
 		const {outcome, ticket} = end;
-		for (const receiver of this.release()) {
+		for (const receiver of this.detachAll()) {
 			endAnswer(receiver, outcome, ticket);
 		}
 	}
 
-	async #awaitRoom(receiver: Receiver): Promise<void> {
-		await drained(receiver);
-		this.#room = undefined;
+	async #waitForDrain(receiver: Receiver): Promise<void> {
+		await waitForDrain(receiver);
+		this.#backpressure = undefined;
 	}
 
-	#keep(piece: Piece): void {
-		if (!this.#isKept || this.#isTrimmed) {
+	#keep(part: AnswerPart): void {
+		if (!this.#isKept || this.#isDiscarded) {
 			return;
 		}
 
-		this.#size += piece.type === 'bytes' ? piece.chunk.byteLength : (piece.type === 'frame' ? piece.data.length : 0);
-		if (this.#size > keptLimit) {
-			this.trim();
+		this.#size += part.type === 'bytes' ? part.chunk.byteLength : (part.type === 'frame' ? part.data.length : 0);
+		if (this.#size > maxKeptBytes) {
+			this.discardContent();
 		} else {
-			this.#pieces.push(piece);
+			this.#parts.push(part);
 		}
 	}
 
-	#dropSlow(full: readonly Receiver[]): void {
-		for (const receiver of full) {
-			if (receiver.response.writableLength > waitingLimit) {
+	#dropSlowReceivers(blocked: readonly Receiver[]): void {
+		for (const receiver of blocked) {
+			if (receiver.response.writableLength > maxBufferedBytes) {
 				this.detach(receiver);
 				receiver.response.destroy();
 			}
@@ -172,7 +163,7 @@
 	}
 }
 
-async function drained({response}: Receiver): Promise<void> {
+async function waitForDrain({response}: Receiver): Promise<void> {
 	if (response.destroyed) {
 		return;
 	}
--- a/src/entry/callers/body.ts
+++ b/src/entry/callers/body.ts
@@ -1,21 +1,19 @@
-/** Reads request bodies up to a limit. */
+/** Reads request bodies up to a size limit. */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
 import {raise} from '../../core/index.js';
 
 /**
- * @param request - HTTP request.
- * @param limit - Largest body in bytes.
- * @returns The body.
+ * @param maxBytes - Maximum size in bytes.
  * @throws Failure `bodyTooLarge`.
  */
-export async function readBody(request: IncomingMessage, limit: number): Promise<Uint8Array> {
+export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
 	const chunks: Uint8Array[] = [];
 	let size = 0;
 	for await (const chunk of request as AsyncIterable<Uint8Array>) {
 		size += chunk.byteLength;
-		if (size > limit) {
-			return raise('bodyTooLarge', `The limit is ${limit} bytes.`);
+		if (size > maxBytes) {
+			return raise('bodyTooLarge', `The limit is ${maxBytes} bytes.`);
 		}
 
 		chunks.push(chunk);
@@ -24,12 +22,11 @@
 	return Buffer.concat(chunks);
 }
 
-const decoder = new TextDecoder();
+const textDecoder = new TextDecoder();
 
 /**
- * @param body - Body in UTF-8.
- * @returns Its text.
+ * @param body - Text in UTF-8.
  */
 export function decode(body: Uint8Array): string {
-	return decoder.decode(body);
+	return textDecoder.decode(body);
 }
--- a/src/entry/callers/chat.ts
+++ b/src/entry/callers/chat.ts
@@ -1,4 +1,4 @@
-/** Turns a chat request into a request of the core. */
+/** Converts a chat completion request into a core request. */
 import {createHash} from 'node:crypto';
 import {type IncomingMessage} from 'node:http';
 import {z} from 'zod';
@@ -15,42 +15,43 @@
 import {decode} from './body.js';
 import {
 	callerHeaders,
-	header,
-	readHops,
+	getHeader,
+	readHopCount,
 	readPriority,
 	readPromptTokens,
 	readProof,
 	readTimeout,
 } from './headers.js';
 import {type Payload} from './exchange.js';
-import {type Form} from './receivers.js';
+import {type AnswerForm} from './receivers.js';
 
-const part = z.looseObject({type: z.string(), text: z.string().optional()});
+const contentPartSchema = z.looseObject({type: z.string(), text: z.string().optional()});
 
 const chatSchema = z.looseObject({
 	model: z.string().min(1),
 	messages: z.array(z.looseObject({
 		role: z.string(),
-		content: z.union([z.string(), z.array(part)]),
+		content: z.union([z.string(), z.array(contentPartSchema)]),
 	})).min(1),
 	stream: z.boolean().default(false),
 	max_tokens: z.number().int().positive().nullish(),
 	max_completion_tokens: z.number().int().positive().nullish(),
 });
 
-export type Chat = z.infer<typeof chatSchema>;
+export type ChatBody = z.infer<typeof chatSchema>;
 
-/** A request ready for the core, and what goes with it. */
-export type Intake = {
+/** A core request with the payload for upstreams and the form of the answer. */
+export type ParsedRequest = {
 	readonly request: Request;
 	readonly payload: Payload;
-	readonly form: Form;
+	readonly form: AnswerForm;
 };
 
-/** What every request is read with. */
-export type Reading = {
+/** An HTTP request with everything needed to parse it. */
+export type RequestContext = {
 	readonly id: string;
 	readonly method: string;
+	/** Path with query. */
 	readonly path: string;
 	readonly headers: IncomingMessage['headers'];
 	readonly body: Uint8Array;
@@ -61,22 +62,22 @@
 	readonly now: number;
 	/** Milliseconds since 1970. */
 	readonly wall: number;
+	/** Whether the prompt token count that a caller states is used. */
 	readonly statedPromptTokens: boolean;
 };
 
 /**
- * @param body - HTTP body.
- * @returns The chat it holds.
- * @throws Failure `badBody` that names each mistake.
+ * @param body - JSON in UTF-8.
+ * @throws Failure `badBody` with all validation errors.
  */
-export function parseChat(body: Uint8Array): Chat {
+export function parseChatBody(body: Uint8Array): ChatBody {
 	const result = chatSchema.safeParse(parseJson(body));
 	if (result.success) {
 		return result.data;
 	}
 
-	const mistakes = result.error.issues.map(issue => `${issue.path.join('.') || '(root)'}: ${issue.message}`);
-	return raise('badBody', mistakes.join('; '));
+	const issues = result.error.issues.map(issue => `${issue.path.join('.') || '(root)'}: ${issue.message}`);
+	return raise('badBody', issues.join('; '));
 }
 
 function parseJson(body: Uint8Array): unknown {
@@ -88,44 +89,42 @@
 }
 
 /**
- * @param reading - Request as it came.
- * @returns Fields that all kinds of requests share.
+ * @returns Fields that chat and plain requests share.
+ * @throws Failure `badHeader`, `badTicket` or `expiredTicket`.
  */
-export function readCommon(reading: Reading): Omit<Request, 'promptTokens' | 'outputLimit' | 'blocks'> {
-	const {headers, service, organisation} = reading;
-	const proof = readProof(reading);
-	const spilledFrom = header(headers, callerHeaders.spilledFrom);
-	const hops = readHops(headers);
+export function parseCommonFields(context: RequestContext): Omit<Request, 'promptTokens' | 'outputLimit' | 'blocks'> {
+	const {headers, service, organisation} = context;
+	const proof = readProof(context);
+	const spilledFrom = getHeader(headers, callerHeaders.spilledFrom);
+	const hops = readHopCount(headers);
 	return {
-		id: reading.id,
+		id: context.id,
 		organisation: organisation.id,
 		service: service.id,
 		priority: readPriority(headers, organisation),
-		arrival: reading.now,
-		deadline: reading.now + readTimeout(headers, service),
+		arrival: context.now,
+		deadline: context.now + readTimeout(headers, service),
 		proof,
-		fingerprint: fingerprint(reading),
+		fingerprint: computeFingerprint(context),
 		...(spilledFrom !== undefined && {spilledFrom}),
 		...(hops !== undefined && {hops}),
 	};
 }
 
-function fingerprint({organisation, service, method, path, body}: Reading): string {
+function computeFingerprint({organisation, service, method, path, body}: RequestContext): string {
 	const head = JSON.stringify([organisation.id, service.id, method, path]);
 	return createHash('sha256').update(head).update(body).digest('base64url');
 }
 
 /**
- * @param reading - Request as it came.
- * @param chat - Its parsed body.
- * @returns The request for the core.
- * @throws Failure of a header.
+ * @param chat - Parsed body.
+ * @throws Failure `badHeader`, `badTicket` or `expiredTicket`.
  */
-export function readChat(reading: Reading, chat: Chat): Intake {
+export function parseChatRequest(context: RequestContext, chat: ChatBody): ParsedRequest {
 	const prompt = renderPrompt(chat.messages);
-	const stated = reading.statedPromptTokens ? readPromptTokens(reading.headers) : undefined;
+	const stated = context.statedPromptTokens ? readPromptTokens(context.headers) : undefined;
 	const promptTokens = stated ?? countTokens(prompt);
-	const common = readCommon(reading);
+	const common = parseCommonFields(context);
 	return {
 		request: {
 			...common,
@@ -135,12 +134,12 @@
 		},
 		payload: {
 			method: 'POST',
-			path: reading.path,
-			callerPath: reading.path,
-			headers: reading.headers,
-			body: reading.body,
-			engineBody: chat.stream ? decode(reading.body) : JSON.stringify({...chat, stream: true}),
-			key: accountKey(common.proof, reading.headers),
+			path: context.path,
+			callerPath: context.path,
+			headers: context.headers,
+			body: context.body,
+			engineBody: chat.stream ? decode(context.body) : JSON.stringify({...chat, stream: true}),
+			key: getIdempotencyKey(common.proof, context.headers),
 			statedPromptTokens: stated,
 		},
 		form: chat.stream ? 'stream' : 'whole',
@@ -148,11 +147,9 @@
 }
 
 /**
- * @param proof - Right to run the request.
- * @param headers - Its headers.
- * @returns The key under which upstreams can keep account of it.
+ * @returns Idempotency key for upstreams: the caller's key, or one derived from the ticket; undefined without key and ticket.
  */
-export function accountKey(proof: Proof, headers: IncomingMessage['headers']): string | undefined {
+export function getIdempotencyKey(proof: Proof, headers: IncomingMessage['headers']): string | undefined {
 	switch (proof.type) {
 		case 'key': {
 			return proof.key;
@@ -160,7 +157,7 @@
 
 		case 'ticket': {
 			const {keeper, sequence} = proof.ticket;
-			return header(headers, callerHeaders.key) ?? `${keeper.host}/${keeper.started}/${sequence}`;
+			return getHeader(headers, callerHeaders.key) ?? `${keeper.host}/${keeper.started}/${sequence}`;
 		}
 
 		case 'idempotent':
--- a/src/entry/callers/directory.ts
+++ b/src/entry/callers/directory.ts
@@ -1,4 +1,4 @@
-/** Finds organisations by API key and services by name in the configuration in force. */
+/** Looks up organisations by API key and services by name, with an index that is rebuilt when the configuration changes. */
 import {createHash} from 'node:crypto';
 import {
 	type Configuration,
@@ -14,7 +14,7 @@
 	readonly models: ReadonlyMap<string, ModelService>;
 };
 
-function index(configuration: Configuration): Index {
+function createIndex(configuration: Configuration): Index {
 	const models = configuration.services.filter(service => service.kind === 'model');
 	return {
 		configuration,
@@ -31,35 +31,32 @@
 	/**
 	 * @param configuration - Configuration in force.
 	 * @param key - API key.
-	 * @returns The organisation it belongs to.
 	 */
-	organisation(configuration: Configuration, key: string): Organisation | undefined {
+	findOrganisation(configuration: Configuration, key: string): Organisation | undefined {
 		const hash = createHash('sha256').update(key).digest('hex');
-		return this.#of(configuration).organisations.get(hash);
+		return this.#getIndex(configuration).organisations.get(hash);
 	}
 
 	/**
 	 * @param configuration - Configuration in force.
-	 * @param name - Service.
-	 * @returns The service.
+	 * @param name - Id of the service.
 	 */
-	service(configuration: Configuration, name: string): Service | undefined {
-		return this.#of(configuration).services.get(name);
+	findService(configuration: Configuration, name: string): Service | undefined {
+		return this.#getIndex(configuration).services.get(name);
 	}
 
 	/**
 	 * @param configuration - Configuration in force.
-	 * @param name - Model service, or the model that one serves.
-	 * @returns The service.
+	 * @param name - Id of a model service, or the name of the model that it serves.
 	 */
-	modelService(configuration: Configuration, name: string): ModelService | undefined {
-		const named = this.service(configuration, name);
-		return named?.kind === 'model' ? named : this.#of(configuration).models.get(name);
+	findModelService(configuration: Configuration, name: string): ModelService | undefined {
+		const serviceByName = this.findService(configuration, name);
+		return serviceByName?.kind === 'model' ? serviceByName : this.#getIndex(configuration).models.get(name);
 	}
 
-	#of(configuration: Configuration): Index {
+	#getIndex(configuration: Configuration): Index {
 		if (this.#index?.configuration !== configuration) {
-			this.#index = index(configuration);
+			this.#index = createIndex(configuration);
 		}
 
 		return this.#index;
--- a/src/entry/callers/exchange.ts
+++ b/src/entry/callers/exchange.ts
@@ -1,58 +1,55 @@
-/** Requests that callers are waiting for at this host. */
+/** Tracks the requests of this host's callers, and keeps ended answers that a caller may ask for again. */
 import {type IncomingMessage} from 'node:http';
 import {type Method} from 'got';
 import {type Request} from '../../core/index.js';
-import {Answer, notKept, type End} from './answer.js';
+import {Answer, notKeptOutcome, type AnswerEnd} from './answer.js';
 import {endAnswer, type Receiver} from './receivers.js';
 
-/** What is sent to upstreams for a request. */
+/** Content of a request that is sent to upstreams. */
 export type Payload = {
 	readonly method: Method;
-	/** Path with query, as an upstream is asked for it. */
+	/** Path with query for the upstream. */
 	readonly path: string;
-	/** Path with query, as this host was asked for it. */
+	/** Path with query that the caller requested. */
 	readonly callerPath: string;
 	readonly headers: IncomingMessage['headers'];
 	readonly body: Uint8Array;
 	/** JSON body of a model request, with `stream` set; empty for a plain service. */
 	readonly engineBody: string;
+	/** Idempotency key for upstreams. */
 	readonly key?: string;
-	/** Number of prompt tokens the caller stated, where that is believed. */
+	/** Number of prompt tokens stated by the caller, if the settings accept it. */
 	readonly statedPromptTokens?: number;
 };
 
-/** A request at this host with its caller's payload and the answer it gets. */
+/** A request at this host with its payload and answer. */
 export type Exchange = {
 	readonly request: Request;
 	readonly payload: Payload;
 	readonly answer: Answer;
 };
 
-/** Bytes of answers kept for repeats after their end. */
-const keptLimit = 32_000_000;
+/** Limit for all ended answers that are kept for repeated requests. */
+const maxKeptBytes = 32_000_000;
 
 export class Exchanges {
 	readonly #exchanges = new Map<string, Exchange>();
-	readonly #waiting = new Map<string, (ticket: string, expires: number) => void>();
-	/** Bytes of each answer that is kept after its end, the oldest first, and of all. */
-	readonly #kept = new Map<string, number>();
-	#keptSize = 0;
-	/** Request whose answer a caller gets: its own, or the one it repeats. */
-	readonly #places = new WeakMap<Receiver, string>();
+	readonly #ticketCallbacks = new Map<string, (ticket: string, expires: number) => void>();
+	/** Size in bytes of each ended answer that is kept, oldest first. */
+	readonly #keptSizes = new Map<string, number>();
+	#totalKeptSize = 0;
+	/** Request whose answer each caller receives: its own, or the original that it repeats. */
+	readonly #answeringRequests = new WeakMap<Receiver, string>();
 
 	get size(): number {
 		return this.#exchanges.size;
 	}
 
-	/**
-	 * @param request - Request.
-	 * @param payload - What is sent to upstreams for it.
-	 * @param receiver - Its caller.
-	 */
+	/** Registers a request and creates its answer. */
 	open(request: Request, payload: Payload, receiver: Receiver): void {
 		const answer = new Answer(request.proof.type !== 'idempotent');
 		answer.attach(receiver);
-		this.#places.set(receiver, request.id);
+		this.#answeringRequests.set(receiver, request.id);
 		this.#exchanges.set(request.id, {
 			request,
 			payload,
@@ -61,28 +58,27 @@
 	}
 
 	/**
-	 * @param request - Request.
-	 * @returns Its exchange, if it is still known.
+	 * @param request - Id of the request.
 	 */
 	get(request: string): Exchange | undefined {
 		return this.#exchanges.get(request);
 	}
 
 	/**
-	 * Ends a request's answer; one that may be asked for again stays until it is forgotten.
+	 * Ends the answer of a request. An answer that a caller may ask for again is kept until `forget` is called.
 	 *
-	 * @param request - Request.
-	 * @param end - Its end.
-	 * @param isWanted - Tells whether a request's answer may be asked for again.
+	 * @param request - Id of the request.
+	 * @param end - Outcome, with the ticket if one was issued.
+	 * @param canBeRepeated - Returns whether a caller may repeat the request to get its answer again.
 	 */
-	end(request: string, end: End, isWanted: (request: Request) => boolean): void {
+	end(request: string, end: AnswerEnd, canBeRepeated: (request: Request) => boolean): void {
 		const exchange = this.#exchanges.get(request);
 		if (exchange === undefined) {
 			return;
 		}
 
 		exchange.answer.end(end);
-		if (exchange.answer.isKept && isWanted(exchange.request)) {
+		if (exchange.answer.isKept && canBeRepeated(exchange.request)) {
 			this.#keep(exchange);
 		} else {
 			this.#exchanges.delete(request);
@@ -90,95 +86,96 @@
 	}
 
 	/**
-	 * Gives the callers of one request the answer of another.
+	 * Attaches the callers of a repeated request to the answer of the original.
 	 *
-	 * @param request - Request that repeats another.
-	 * @param original - The other.
+	 * @param request - Id of the repeated request.
+	 * @param original - Id of the original request.
 	 */
 	replay(request: string, original: string): void {
-		const source = this.#exchanges.get(original)?.answer;
-		const receivers = this.#exchanges.get(request)?.answer.release() ?? [];
+		const originalAnswer = this.#exchanges.get(original)?.answer;
+		const receivers = this.#exchanges.get(request)?.answer.detachAll() ?? [];
 		this.#exchanges.delete(request);
 		for (const receiver of receivers) {
-			if (source === undefined) {
-				endAnswer(receiver, notKept);
+			if (originalAnswer === undefined) {
+				endAnswer(receiver, notKeptOutcome);
 			} else {
-				this.#places.set(receiver, original);
-				source.attach(receiver);
+				this.#answeringRequests.set(receiver, original);
+				originalAnswer.attach(receiver);
 			}
 		}
 	}
 
 	/**
-	 * Answers a caller that asked for a ticket.
+	 * Passes a ticket to the caller that requested it.
 	 *
-	 * @param request - Its request.
+	 * @param request - Id of the ticket request.
 	 * @param ticket - Signed ticket.
-	 * @param expires - Milliseconds since 1970.
+	 * @param expires - Expiry in milliseconds since 1970.
 	 */
 	issue(request: string, ticket: string, expires: number): void {
-		const waiting = this.#waiting.get(request);
-		this.#waiting.delete(request);
-		waiting?.(ticket, expires);
+		const callback = this.#ticketCallbacks.get(request);
+		this.#ticketCallbacks.delete(request);
+		callback?.(ticket, expires);
 	}
 
 	/**
-	 * @param request - Request of a caller that asks for a ticket.
-	 * @param answer - Called with the ticket and its expiry.
+	 * @param request - Id of the ticket request.
+	 * @param callback - Called with the signed ticket and its expiry in milliseconds since 1970.
 	 */
-	expectTicket(request: string, answer: (ticket: string, expires: number) => void): void {
-		this.#waiting.set(request, answer);
+	awaitTicket(request: string, callback: (ticket: string, expires: number) => void): void {
+		this.#ticketCallbacks.set(request, callback);
 	}
 
 	/**
-	 * @param request - Request whose answer is wanted no longer.
+	 * Removes a request and its kept answer.
+	 *
+	 * @param request - Id of the request.
 	 */
 	forget(request: string): void {
-		const size = this.#kept.get(request);
+		const size = this.#keptSizes.get(request);
 		if (size !== undefined) {
-			this.#kept.delete(request);
-			this.#keptSize -= size;
+			this.#keptSizes.delete(request);
+			this.#totalKeptSize -= size;
 		}
 
 		this.#exchanges.delete(request);
 	}
 
 	/**
-	 * Takes a caller that hung up off its request.
+	 * Removes a caller that disconnected.
 	 *
-	 * @param receiver - Caller.
-	 * @returns The request, if nobody waits for it now.
+	 * @returns Id of its request, if that has not ended and no caller is left.
 	 */
-	leave(receiver: Receiver): string | undefined {
-		const place = this.#places.get(receiver);
-		const answer = place === undefined ? undefined : this.#exchanges.get(place)?.answer;
+	detach(receiver: Receiver): string | undefined {
+		const request = this.#answeringRequests.get(receiver);
+		const answer = request === undefined ? undefined : this.#exchanges.get(request)?.answer;
 		if (answer === undefined || answer.hasEnded) {
 			return undefined;
 		}
 
 		answer.detach(receiver);
-		return answer.receivers === 0 ? place : undefined;
+		return answer.receiverCount === 0 ? request : undefined;
 	}
 
-	/** What was sent upstream is wanted no longer, and the oldest answers make room for new ones. */
+	/** Keeps an ended answer without its payload, and discards the content of the oldest answers beyond the limit. */
 	#keep(exchange: Exchange): void {
 		const {request, answer} = exchange;
-		this.#exchanges.set(request.id, {...exchange, payload: emptied(exchange.payload)});
-		this.#kept.set(request.id, answer.size);
-		this.#keptSize += answer.size;
-		for (const [id, size] of this.#kept) {
-			if (this.#keptSize <= keptLimit) {
+		this.#exchanges.set(request.id, {...exchange, payload: withoutContent(exchange.payload)});
+		this.#keptSizes.set(request.id, answer.size);
+		this.#totalKeptSize += answer.size;
+		for (const [id, size] of this.#keptSizes) {
+			if (this.#totalKeptSize <= maxKeptBytes) {
 				return;
 			}
 
-			this.#exchanges.get(id)?.answer.trim();
-			this.#kept.delete(id);
-			this.#keptSize -= size;
+			this.#exchanges.get(id)?.answer.discardContent();
+			this.#keptSizes.delete(id);
+			this.#totalKeptSize -= size;
 		}
 	}
 }
 
-function emptied(payload: Payload): Payload {
+function withoutContent(payload: Payload): Payload {
 	return {
 		...payload,
 		headers: {},
--- a/src/entry/callers/headers.ts
+++ b/src/entry/callers/headers.ts
@@ -1,4 +1,4 @@
-/** Reads what callers say in headers. */
+/** Parses and validates the headers of caller requests. */
 import {type IncomingMessage} from 'node:http';
 import {
 	raise,
@@ -7,101 +7,102 @@
 	type Proof,
 	type Service,
 } from '../../core/index.js';
-import {callerHeaders as sentByCallers} from '../../protocol/callers.js';
+import {callerHeaders as protocolHeaders} from '../../protocol/callers.js';
 import {verifyTicket} from '../../protocol/token.js';
 import {type Directory} from './directory.js';
 
-/** Headers that callers send, and those that a host adds when it passes a request on. */
+/** Headers that callers send, and headers that a host adds when it forwards a request. */
 export const callerHeaders = {
-	...sentByCallers,
-	/** Set by a host that passes a request on. */
+	...protocolHeaders,
+	/** Id of the forwarding host. */
 	forwardedBy: 'x-forwarded-by',
+	/** Failure domain of the forwarding host, if it spilled the request. */
 	spilledFrom: 'x-spilled-from',
-	/** How many hosts have passed it on. */
+	/** Number of hosts that have forwarded the request. */
 	hops: 'x-forwarded-hops',
 } as const;
 
-const longestKey = 255;
+const maxKeyLength = 255;
 const lowestPriority = 9;
-const bearer = /^bearer\s+(\S+)$/iv;
+const bearerPattern = /^bearer\s+(\S+)$/iv;
 
 /**
  * @param headers - Headers of a request.
- * @param name - Header.
- * @returns Its value, if it was sent once.
+ * @param name - Name in lower case.
+ * @returns The value, or undefined if the header is missing, empty or a list.
  */
-export function header(headers: IncomingMessage['headers'], name: string): string | undefined {
+export function getHeader(headers: IncomingMessage['headers'], name: string): string | undefined {
 	const value = headers[name];
 	return typeof value === 'string' && value !== '' ? value : undefined;
 }
 
 /**
  * @param headers - Headers of a request.
- * @param directory - Finds organisations.
+ * @param directory - Index of organisations.
  * @param configuration - Configuration in force.
- * @returns The organisation whose key was sent.
+ * @returns The organisation that the API key in the `authorization` header belongs to.
  * @throws Failure `unknownKey`.
  */
-export function readOrganisation(headers: IncomingMessage['headers'], directory: Directory, configuration: Configuration): Organisation {
-	const key = bearer.exec(header(headers, 'authorization') ?? '')?.[1];
-	const organisation = key === undefined ? undefined : directory.organisation(configuration, key);
+export function findOrganisation(headers: IncomingMessage['headers'], directory: Directory, configuration: Configuration): Organisation {
+	const key = bearerPattern.exec(getHeader(headers, 'authorization') ?? '')?.[1];
+	const organisation = key === undefined ? undefined : directory.findOrganisation(configuration, key);
 	return organisation ?? raise('unknownKey');
 }
 
-function readWhole(headers: IncomingMessage['headers'], name: string, least: number, most: number): number | undefined {
-	const text = header(headers, name);
+function readInteger(headers: IncomingMessage['headers'], name: string, min: number, max: number): number | undefined {
+	const text = getHeader(headers, name);
 	if (text === undefined) {
 		return undefined;
 	}
 
 	const value = Number(text);
-	return Number.isInteger(value) && value >= least && value <= most
+	return Number.isInteger(value) && value >= min && value <= max
 		? value
-		: raise('badHeader', `${name} takes a whole number from ${least} to ${most}.`);
+		: raise('badHeader', `${name} takes a whole number from ${min} to ${max}.`);
 }
 
 /**
  * @param headers - Headers of a request.
- * @param service - Service asked for.
- * @returns Milliseconds that the request may take.
+ * @param service - Requested service.
+ * @returns Timeout in milliseconds: the requested one up to the service's maximum, or the service's default.
  * @throws Failure `badHeader`.
  */
 export function readTimeout(headers: IncomingMessage['headers'], service: Service): number {
-	const asked = readWhole(headers, callerHeaders.timeout, 1, Number.MAX_SAFE_INTEGER);
-	return Math.min(asked ?? service.deadline.default, service.deadline.most);
+	const requested = readInteger(headers, callerHeaders.timeout, 1, Number.MAX_SAFE_INTEGER);
+	return Math.min(requested ?? service.deadline.default, service.deadline.most);
 }
 
 /**
  * @param headers - Headers of a request.
  * @param organisation - Organisation that sent it.
- * @returns Priority, never more urgent than the organisation's.
+ * @returns Priority, 0 the most urgent; never more urgent than the organisation's.
  * @throws Failure `badHeader`.
  */
 export function readPriority(headers: IncomingMessage['headers'], organisation: Organisation): number {
-	const asked = readWhole(headers, callerHeaders.priority, 0, lowestPriority);
-	return Math.max(asked ?? 0, organisation.priority);
+	const requested = readInteger(headers, callerHeaders.priority, 0, lowestPriority);
+	return Math.max(requested ?? 0, organisation.priority);
 }
 
 /**
  * @param headers - Headers of a request.
- * @returns Number of prompt tokens the caller states.
+ * @returns Number of prompt tokens stated by the caller, if any.
  * @throws Failure `badHeader`.
  */
 export function readPromptTokens(headers: IncomingMessage['headers']): number | undefined {
-	return readWhole(headers, callerHeaders.promptTokens, 1, 10_000_000);
+	return readInteger(headers, callerHeaders.promptTokens, 1, 10_000_000);
 }
 
 /**
  * @param headers - Headers of a request.
- * @returns How many hosts have passed it on.
+ * @returns Number of hosts that have forwarded the request; undefined if it comes directly from a caller.
  * @throws Failure `badHeader`.
  */
-export function readHops(headers: IncomingMessage['headers']): number | undefined {
-	return readWhole(headers, callerHeaders.hops, 1, 255);
+export function readHopCount(headers: IncomingMessage['headers']): number | undefined {
+	return readInteger(headers, callerHeaders.hops, 1, 255);
 }
 
 function readIdempotent(headers: IncomingMessage['headers'], service: Service, method: string): boolean {
-	const text = header(headers, callerHeaders.idempotent);
+	const text = getHeader(headers, callerHeaders.idempotent);
 	switch (text) {
 		case undefined: {
 			return service.idempotent || method === 'GET' || method === 'HEAD';
@@ -121,32 +122,32 @@
 	}
 }
 
-/** What a proof is read from. */
-export type Evidence = {
+/** Parts of a request that determine its proof. */
+export type ProofSource = {
 	readonly headers: IncomingMessage['headers'];
 	readonly method: string;
 	readonly service: Service;
-	/** Holds the keys of tickets. */
+	/** Contains the keys that tickets are signed with. */
 	readonly configuration: Configuration;
 	/** Milliseconds since 1970. */
 	readonly wall: number;
 };
 
 /**
- * @param evidence - What the caller sent.
- * @returns What the caller showed of its right to run the request.
+ * @param source - Parts of the request.
+ * @returns The proof that the request is safe to run: its ticket or idempotency key, whether it is idempotent, or none of these.
  * @throws Failure `badHeader`, `badTicket` or `expiredTicket`.
  */
-export function readProof(evidence: Evidence): Proof {
-	const {headers, method, service, configuration, wall} = evidence;
-	const token = header(headers, callerHeaders.ticket);
+export function readProof(source: ProofSource): Proof {
+	const {headers, method, service, configuration, wall} = source;
+	const token = getHeader(headers, callerHeaders.ticket);
 	if (token !== undefined) {
 		return {type: 'ticket', ticket: readTicket(token, configuration, wall)};
 	}
 
-	const key = header(headers, callerHeaders.key);
+	const key = getHeader(headers, callerHeaders.key);
 	if (key !== undefined) {
-		return key.length <= longestKey ? {type: 'key', key} : raise('badHeader', `${callerHeaders.key} is too long.`);
+		return key.length <= maxKeyLength ? {type: 'key', key} : raise('badHeader', `${callerHeaders.key} is too long.`);
 	}
 
 	return readIdempotent(headers, service, method) ? {type: 'idempotent'} : {type: 'none'};
--- a/src/entry/callers/outcomes.ts
+++ b/src/entry/callers/outcomes.ts
@@ -1,4 +1,4 @@
-/** What callers are told about the end of a request. */
+/** Headers and error bodies that describe the outcome of a request to its caller. */
 import {
 	assertNever,
 	codes,
@@ -15,8 +15,8 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Body of an answer that is not the upstream's. */
-export type Complaint = {
+/** JSON body of an answer that this host creates itself. */
+export type ErrorBody = {
 	readonly error: {
 		readonly message: string;
 		readonly type: string;
@@ -27,10 +27,9 @@
 };
 
 /**
- * @param outcome - End of a request.
- * @returns Its name for callers.
+ * @returns The name of the outcome that callers see.
  */
-export function nameOf(outcome: Outcome): string {
+export function getOutcomeName(outcome: Outcome): string {
 	switch (outcome.type) {
 		case 'done': {
 			return 'done';
@@ -54,28 +53,23 @@
 	}
 }
 
-/**
- * @param outcome - End of a request.
- * @returns Its result code.
- */
-export function codeOf(outcome: Outcome): number {
+export function getResultCode(outcome: Outcome): number {
 	return outcome.type === 'done' ? codes.done : outcome.code;
 }
 
 /**
- * @param request - Request.
- * @param outcome - Its end.
- * @param ticket - Ticket for the caller to come back with, if one was issued.
- * @returns The body that says so.
+ * @param request - Id of the request.
+ * @param outcome - Outcome of the request.
+ * @param ticket - Ticket for the caller to retry with, if one was issued.
  */
-export function complaint(request: string, outcome: Outcome, ticket?: string): Complaint {
-	const code = codeOf(outcome);
+export function createErrorBody(request: string, outcome: Outcome, ticket?: string): ErrorBody {
+	const code = getResultCode(outcome);
 	const text = texts[nameOfCode(code)];
 	const detail = outcome.type === 'done' || outcome.detail === undefined ? '' : ` ${outcome.detail}`;
 	return {
 		error: {
 			message: `${text}${detail}`,
-			type: nameOf(outcome),
+			type: getOutcomeName(outcome),
 			code,
 			request,
 			...(ticket !== undefined && {ticket}),
@@ -84,16 +78,15 @@
 }
 
 /**
- * @param request - Request.
- * @param outcome - Its end.
- * @param ticket - Ticket for the caller to come back with, if one was issued.
- * @returns Headers of the final answer.
+ * @param request - Id of the request.
+ * @param outcome - Outcome of the request.
+ * @param ticket - Ticket for the caller to retry with, if one was issued.
  */
-export function outcomeHeaders(request: string, outcome: Outcome, ticket?: string): Readonly<Record<string, string>> {
+export function createOutcomeHeaders(request: string, outcome: Outcome, ticket?: string): Readonly<Record<string, string>> {
 	return {
 		[requestHeader]: request,
-		[outcomeHeader]: nameOf(outcome),
-		[codeHeader]: String(codeOf(outcome)),
+		[outcomeHeader]: getOutcomeName(outcome),
+		[codeHeader]: String(getResultCode(outcome)),
 		...(ticket !== undefined && {[ticketHeader]: ticket}),
 		...(outcome.type === 'not-run' && outcome.retryAfter !== undefined
 			&& {'retry-after': String(Math.ceil(outcome.retryAfter / millisecondsPerSecond))}),
--- a/src/entry/callers/plain.ts
+++ b/src/entry/callers/plain.ts
@@ -1,52 +1,50 @@
-/** Turns a request for a plain service into a request of the core. */
+/** Converts an HTTP request for a plain service into a core request. */
 import {type Method} from 'got';
 import {raise} from '../../core/index.js';
 import {countTokens} from '../../protocol/blocks.js';
 import {decode} from './body.js';
 import {
-	accountKey, readCommon, type Intake, type Reading,
+	getIdempotencyKey, parseCommonFields, type ParsedRequest, type RequestContext,
 } from './chat.js';
 
-/** Path under which plain services are reached. */
+/** Path prefix of plain services. */
 export const servicesPath = '/v1/services/';
 
 /**
- * @param path - Path with query, as this host was asked for it.
- * @param service - Service.
+ * @param path - Path with query that the caller requested.
+ * @param service - Id of the service.
  * @returns Path with query for the upstream.
  */
-export function upstreamPath(path: string, service: string): string {
-	const rest = path.slice(servicesPath.length + encodeURIComponent(service).length);
-	return rest.startsWith('/') ? rest : `/${rest}`;
+export function toUpstreamPath(path: string, service: string): string {
+	const remainder = path.slice(servicesPath.length + encodeURIComponent(service).length);
+	return remainder.startsWith('/') ? remainder : `/${remainder}`;
 }
 
 const methods: readonly Method[] = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'HEAD', 'OPTIONS'];
 
-function methodOf(name: string): Method {
+function parseMethod(name: string): Method {
 	return methods.find(method => method === name) ?? raise('unknownPath', name);
 }
 
 /**
- * @param reading - Request as it came.
- * @returns The request for the core.
- * @throws Failure of a header.
+ * @throws Failure `badHeader`, `badTicket`, `expiredTicket` or `unknownPath`.
  */
-export function readPlain(reading: Reading): Intake {
-	const common = readCommon(reading);
+export function parsePlainRequest(context: RequestContext): ParsedRequest {
+	const common = parseCommonFields(context);
 	return {
 		request: {
 			...common,
-			promptTokens: countTokens(decode(reading.body)),
+			promptTokens: countTokens(decode(context.body)),
 			blocks: [],
 		},
 		payload: {
-			method: methodOf(reading.method),
-			path: upstreamPath(reading.path, reading.service.id),
-			callerPath: reading.path,
-			headers: reading.headers,
-			body: reading.body,
+			method: parseMethod(context.method),
+			path: toUpstreamPath(context.path, context.service.id),
+			callerPath: context.path,
+			headers: context.headers,
+			body: context.body,
 			engineBody: '',
-			key: accountKey(common.proof, reading.headers),
+			key: getIdempotencyKey(common.proof, context.headers),
 		},
 		form: 'whole',
 	};
--- a/src/entry/callers/receivers.ts
+++ b/src/entry/callers/receivers.ts
@@ -1,57 +1,57 @@
-/** Writes an answer to one caller, in the form it asked for. */
+/** Writes an answer to one caller, as an event stream, a JSON body or the unchanged bytes of an upstream. */
 import {Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
 import {frameSchema, streamEnd, type Frame} from '../../upstream/protocol.js';
 import {assertNever, type Outcome} from '../../core/index.js';
 import {
 	codeHeader,
-	codeOf,
-	complaint,
-	nameOf,
+	getResultCode,
+	createErrorBody,
+	getOutcomeName,
 	outcomeHeader,
-	outcomeHeaders,
+	createOutcomeHeaders,
 	requestHeader,
 } from './outcomes.js';
 import {statusOf} from './statuses.js';
 
 type Headers = Readonly<Record<string, string | readonly string[]>>;
 
-/** A part of an answer. */
-export type Piece
-	/** Status and headers of an answer that is passed on as it is. */
+/** A part of an answer as it arrives from an upstream. */
+export type AnswerPart
+	/** Status and headers of a response that is passed through unchanged. */
 	= | {readonly type: 'head'; readonly status: number; readonly headers: Headers}
 		| {readonly type: 'bytes'; readonly chunk: Uint8Array}
-	/** A frame of an engine's stream with the position from which a caller can resume. */
+	/** A frame of an engine's stream, with the position from which a caller can resume after it. */
 		| {readonly type: 'frame'; readonly position: string; readonly data: string};
 
-/** Form in which a caller takes the answer. */
-export type Form = 'stream' | 'whole';
+/** Whether an engine's answer is sent as an event stream or collected into one JSON body. */
+export type AnswerForm = 'stream' | 'whole';
 
-/** One caller waiting for an answer. */
+/** A caller that waits for an answer. */
 export type Receiver = {
 	readonly request: string;
-	readonly form: Form;
+	readonly form: AnswerForm;
 	readonly response: ServerResponse;
-	/** Frames kept for a caller that takes the answer whole. */
+	/** Frames collected for the form `whole`. */
 	readonly frames: Frame[];
 };
 
-const eventStream = 'text/event-stream';
+const eventStreamType = 'text/event-stream';
 
-function openStream({response, request}: Receiver): void {
+function sendStreamHead({response, request}: Receiver): void {
 	if (response.headersSent) {
 		return;
 	}
 
 	response.writeHead(200, {
-		'content-type': eventStream,
+		'content-type': eventStreamType,
 		'cache-control': 'no-store',
 		[requestHeader]: request,
 	});
 }
 
-/** The outcome is known only after the bytes, so it follows them as trailers. */
-function openPassed({response, request}: Receiver, status: number, headers: Headers): void {
+/** Announces the outcome as trailers, because it is known only after the body. */
+function sendUpstreamHead({response, request}: Receiver, status: number, headers: Headers): void {
 	response.statusCode = status;
 	for (const [name, value] of Object.entries(headers)) {
 		response.setHeader(name, value);
@@ -63,32 +63,30 @@
 }
 
 /**
- * @param receiver - Caller.
- * @param piece - Part of the answer.
- * @returns Whether the caller's buffer has room for more.
+ * @returns False if the caller's send buffer is full.
  */
-export function writePiece(receiver: Receiver, piece: Piece): boolean {
+export function writePart(receiver: Receiver, part: AnswerPart): boolean {
 	const {response} = receiver;
 	if (response.destroyed) {
 		return true;
 	}
 
-	switch (piece.type) {
+	switch (part.type) {
 		case 'head': {
-			openPassed(receiver, piece.status, piece.headers);
+			sendUpstreamHead(receiver, part.status, part.headers);
 			return true;
 		}
 
 		case 'bytes': {
-			return response.write(piece.chunk);
+			return response.write(part.chunk);
 		}
 
 		case 'frame': {
-			return writeFrame(receiver, piece.position, piece.data);
+			return writeFrame(receiver, part.position, part.data);
 		}
 
 		default: {
-			return assertNever(piece);
+			return assertNever(part);
 		}
 	}
 }
@@ -96,7 +94,7 @@
 function writeFrame(receiver: Receiver, position: string, data: string): boolean {
 	switch (receiver.form) {
 		case 'stream': {
-			openStream(receiver);
+			sendStreamHead(receiver);
 			return receiver.response.write(`id: ${position}\ndata: ${data}\n\n`);
 		}
 
@@ -112,11 +110,11 @@
 }
 
 /**
- * Ends the answer. A stream gets its terminal event; an answer that cannot be ended well is cut, so that the caller sees an error.
+ * Ends the answer. A stream ends with a terminal event; any other answer that fails midway is cut off by closing the connection,
+ * so that the caller sees an error.
  *
- * @param receiver - Caller.
- * @param outcome - End of the request.
- * @param ticket - Ticket for the caller to come back with, if one was issued.
+ * @param outcome - Outcome of the request.
+ * @param ticket - Ticket for the caller to retry with, if one was issued.
  */
 export function endAnswer(receiver: Receiver, outcome: Outcome, ticket?: string): void {
 	const {response} = receiver;
@@ -125,32 +123,32 @@
 	}
 
 	if (outcome.type === 'done') {
-		endDone(receiver, outcome);
+		endCompleted(receiver, outcome);
 	} else if (response.headersSent) {
-		endBroken(receiver, outcome);
+		endInterrupted(receiver, outcome);
 	} else {
-		sendJson(receiver, outcome, complaint(receiver.request, outcome, ticket), ticket);
+		sendJson(receiver, outcome, createErrorBody(receiver.request, outcome, ticket), ticket);
 	}
 }
 
-function endDone(receiver: Receiver, outcome: Outcome): void {
+function endCompleted(receiver: Receiver, outcome: Outcome): void {
 	const {response, form, frames} = receiver;
-	const isFramed = frames.length > 0 || String(response.getHeader('content-type')).startsWith(eventStream);
-	if (form === 'stream' && response.headersSent && isFramed) {
-		const summary = {choices: [], outcome: {type: nameOf(outcome), code: codeOf(outcome), request: receiver.request}};
+	const isEventStream = frames.length > 0 || String(response.getHeader('content-type')).startsWith(eventStreamType);
+	if (form === 'stream' && response.headersSent && isEventStream) {
+		const summary = {choices: [], outcome: {type: getOutcomeName(outcome), code: getResultCode(outcome), request: receiver.request}};
 		response.end(`data: ${JSON.stringify(summary)}\n\ndata: ${streamEnd}\n\n`);
 	} else if (form === 'whole' && !response.headersSent) {
-		sendJson(receiver, outcome, completion(receiver));
+		sendJson(receiver, outcome, createCompletion(receiver));
 	} else {
-		response.addTrailers({[outcomeHeader]: nameOf(outcome), [codeHeader]: String(codeOf(outcome))});
+		response.addTrailers({[outcomeHeader]: getOutcomeName(outcome), [codeHeader]: String(getResultCode(outcome))});
 		response.end();
 	}
 }
 
-function endBroken(receiver: Receiver, outcome: Outcome): void {
+function endInterrupted(receiver: Receiver, outcome: Outcome): void {
 	const {response} = receiver;
-	if (String(response.getHeader('content-type')).startsWith(eventStream)) {
-		response.end(`event: error\ndata: ${JSON.stringify(complaint(receiver.request, outcome))}\n\n`);
+	if (String(response.getHeader('content-type')).startsWith(eventStreamType)) {
+		response.end(`event: error\ndata: ${JSON.stringify(createErrorBody(receiver.request, outcome))}\n\n`);
 	} else {
 		response.destroy();
 	}
@@ -158,15 +156,15 @@
 
 function sendJson({response, request}: Receiver, outcome: Outcome, body: unknown, ticket?: string): void {
 	const text = JSON.stringify(body);
-	response.writeHead(statusOf(codeOf(outcome)), {
+	response.writeHead(statusOf(getResultCode(outcome)), {
 		'content-type': 'application/json',
 		'content-length': Buffer.byteLength(text),
-		...outcomeHeaders(request, outcome, ticket),
+		...createOutcomeHeaders(request, outcome, ticket),
 	});
 	response.end(text);
 }
 
-function completion({request, frames}: Receiver): unknown {
+function createCompletion({request, frames}: Receiver): unknown {
 	const content = frames.map(frame => frame.choices[0]?.delta.content ?? '').join('');
 	const last = frames.at(-1);
 	return {
--- a/src/entry/callers/resumption.ts
+++ b/src/entry/callers/resumption.ts
@@ -1,4 +1,4 @@
-/** Resumes a stream from its engine for a caller that lost its connection or its entry host. */
+/** Resumes a stream at its engine for a caller whose connection or entry host failed. */
 import {type ServerResponse} from 'node:http';
 import {
 	codes,
@@ -9,7 +9,7 @@
 	type Outcome,
 	type State,
 } from '../../core/index.js';
-import {upstream as upstreamOf} from '../../core/features/configuration/queries.js';
+import {upstream as findUpstream} from '../../core/features/configuration/queries.js';
 import {positionOf, verifyPosition, type StreamPosition} from '../../protocol/token.js';
 import {resumeOnEngine} from '../../upstream/engine.js';
 import {type Clock} from '../clock.js';
@@ -18,40 +18,36 @@
 import {Answer} from './answer.js';
 import {type Receiver} from './receivers.js';
 
-/** What resuming needs of the daemon. */
-export type Ground = {
+export type ResumptionOptions = {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly state: () => State;
 };
 
-type Position = StreamPosition & {
+type ResolvedPosition = StreamPosition & {
 	readonly engine: Engine;
-	/** The signed part, without the offset. */
+	/** Signed part of the position, without the offset. */
 	readonly token: string;
 };
 
 export class Resumption {
-	readonly #ground: Ground;
+	readonly #options: ResumptionOptions;
 
-	/**
-	 * @param ground - Parts of the daemon.
-	 */
-	constructor(ground: Ground) {
-		this.#ground = ground;
+	constructor(options: ResumptionOptions) {
+		this.#options = options;
 	}
 
 	/**
-	 * Follows a stream from a position on until its end.
+	 * Sends the rest of a stream to a caller.
 	 *
-	 * @param request - Id for the caller.
-	 * @param text - Position as the caller sent it.
-	 * @param organisation - Organisation that asks; only its own streams are given.
-	 * @param response - Caller.
+	 * @param request - Request id that the response carries.
+	 * @param text - Signed position from the caller.
+	 * @param organisation - Organisation of the caller; streams of other organisations are refused.
+	 * @param response - Response that receives the stream.
 	 * @throws Failure `badPosition` or `noUpstream`.
 	 */
-	async run(request: string, text: string, organisation: Organisation, response: ServerResponse): Promise<void> {
-		const position = this.#locate(text, organisation);
+	async resume(request: string, text: string, organisation: Organisation, response: ServerResponse): Promise<void> {
+		const position = this.#resolvePosition(text, organisation);
 		const receiver: Receiver = {
 			request,
 			form: 'stream',
@@ -60,12 +56,12 @@
 		};
 		const answer = new Answer(false);
 		answer.attach(receiver);
-		const ending = await this.#follow(position, answer, response);
-		answer.end({outcome: outcomeOf(ending)});
+		const ending = await this.#followStream(position, answer, response);
+		answer.end({outcome: endingToOutcome(ending)});
 	}
 
-	async #follow(position: Position, answer: Answer, response: ServerResponse): Promise<Ending> {
-		const {metrics, clock} = this.#ground;
+	async #followStream(position: ResolvedPosition, answer: Answer, response: ServerResponse): Promise<Ending> {
+		const {metrics, clock} = this.#options;
 		const {engine, token} = position;
 		const controller = new AbortController();
 		response.once('close', () => {
@@ -89,30 +85,30 @@
 		});
 	}
 
-	#locate(text: string, organisation: Organisation): Position {
-		const verified = this.#verify(text, organisation);
+	#resolvePosition(text: string, organisation: Organisation): ResolvedPosition {
+		const verified = this.#verifyPosition(text, organisation);
 		return {
 			...verified,
-			engine: this.#engine(verified.upstream),
+			engine: this.#findEngine(verified.upstream),
 			token: text.slice(0, text.lastIndexOf(':')),
 		};
 	}
 
-	#verify(text: string, organisation: Organisation): StreamPosition {
-		const keys = this.#ground.state().configuration.inForce?.tokenKeys ?? [];
-		const verdict = verifyPosition(keys, text, this.#ground.clock.wall());
-		return verdict.type === 'valid' && verdict.value.organisation === organisation.id
-			? verdict.value
+	#verifyPosition(text: string, organisation: Organisation): StreamPosition {
+		const keys = this.#options.state().configuration.inForce?.tokenKeys ?? [];
+		const verification = verifyPosition(keys, text, this.#options.clock.wall());
+		return verification.type === 'valid' && verification.value.organisation === organisation.id
+			? verification.value
 			: raise('badPosition');
 	}
 
-	#engine(id: string): Engine {
-		const upstream = upstreamOf(this.#ground.state(), id);
+	#findEngine(id: string): Engine {
+		const upstream = findUpstream(this.#options.state(), id);
 		return upstream?.kind === 'engine' ? upstream : raise('noUpstream');
 	}
 }
 
-function outcomeOf(ending: Ending): Outcome {
+function endingToOutcome(ending: Ending): Outcome {
 	return ending.type === 'done'
 		? {type: 'done'}
 		: {type: 'unknown', code: codes.streamCut, detail: 'the stream could not be resumed'};
--- a/src/entry/callers/server.ts
+++ b/src/entry/callers/server.ts
@@ -1,4 +1,4 @@
-/** The listener that callers connect to. */
+/** HTTP server for callers: health checks, chat completions, plain services and tickets. */
 import {once} from 'node:events';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
@@ -25,18 +25,17 @@
 import {type Settings} from '../settings.js';
 import {readBody} from './body.js';
 import {
-	parseChat, readChat, type Intake, type Reading,
+	parseChatBody, parseChatRequest, type ParsedRequest, type RequestContext,
 } from './chat.js';
 import {type Directory} from './directory.js';
 import {type Exchanges} from './exchange.js';
-import {callerHeaders, header, readOrganisation} from './headers.js';
+import {callerHeaders, getHeader, findOrganisation} from './headers.js';
 import {requestHeader} from './outcomes.js';
-import {readPlain, servicesPath} from './plain.js';
+import {parsePlainRequest, servicesPath} from './plain.js';
 import {endAnswer, type Receiver} from './receivers.js';
 import {type Resumption} from './resumption.js';
 
-/** What the listener needs of the daemon. */
-export type Counter = {
+export type CallerServerOptions = {
 	readonly settings: Settings;
 	readonly exchanges: Exchanges;
 	readonly directory: Directory;
@@ -46,80 +45,77 @@
 	readonly state: () => State;
 	readonly dispatch: (event: Event) => void;
 	readonly isReady: () => boolean;
-	/** Ends the forwarding of a request whose caller left. */
+	/** Stops forwarding a request whose callers have all disconnected. */
 	readonly abandon: (request: string) => void;
 };
 
 const methods = ['get', 'post', 'put', 'patch', 'del', 'head', 'opts'] as const;
 
 export class CallerServer implements AsyncDisposable {
-	readonly #counter: Counter;
+	readonly #options: CallerServerOptions;
 	readonly #listener = new Listener('cranberrytide');
 
-	/**
-	 * @param counter - Parts of the daemon.
-	 */
-	constructor(counter: Counter) {
-		this.#counter = counter;
-		this.#routes();
+	constructor(options: CallerServerOptions) {
+		this.#options = options;
+		this.#addRoutes();
 	}
 
 	/**
-	 * @returns The port that callers reach.
+	 * @returns Port that the server listens on.
 	 */
 	async listen(): Promise<number> {
-		return this.#listener.listen(this.#counter.settings.caller);
+		return this.#listener.listen(this.#options.settings.caller);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
 		await this.#listener[Symbol.asyncDispose]();
 	}
 
-	#routes(): void {
+	#addRoutes(): void {
 		const {server} = this.#listener;
 		server.get('/health/live', async (request: RestifyRequest, response: RestifyResponse) => {
 			response.send(200, {live: true, id: request.getId()});
 		});
 		server.get('/health/ready', async (request: RestifyRequest, response: RestifyResponse) => {
-			const ready = this.#counter.isReady();
+			const ready = this.#options.isReady();
 			response.send(ready ? 200 : 503, {ready, id: request.getId()});
 		});
 		server.post('/v1/chat/completions', async (request: RestifyRequest, response: RestifyResponse) => {
-			await this.#take(request, response, async reading => this.#chat(reading));
+			await this.#handleRequest(request, response, async context => this.#parseChatRequest(context));
 		});
 		server.post('/v1/tickets', async (request: RestifyRequest, response: RestifyResponse) => {
-			await this.#ticket(request, response);
+			await this.#issueTicket(request, response);
 		});
 		for (const method of methods) {
 			server[method](`${servicesPath}:service/*`, async (request: RestifyRequest, response: RestifyResponse) => {
-				await this.#take(request, response, async reading => this.#plain(reading, serviceOf(request.params)));
+				await this.#handleRequest(request, response, async context => this.#parsePlainRequest(context, parseServiceName(request.params)));
 			});
 		}
 
 		server.on('NotFound', (_request, response: RestifyResponse) => {
-			refuse(response, v7(), {type: 'not-run', code: codes.unknownPath});
+			sendOutcome(response, v7(), {type: 'not-run', code: codes.unknownPath});
 		});
 	}
 
-	/** Reads a request, hands it to the core and waits until its caller has the answer. */
-	async #take(
+	/** Parses a request, dispatches it to the core and waits until the response is closed. */
+	async #handleRequest(
 		request: IncomingMessage,
 		response: ServerResponse,
-		read: (reading: Omit<Reading, 'service'>) => Promise<Intake>,
+		parse: (context: Omit<RequestContext, 'service'>) => Promise<ParsedRequest>,
 	): Promise<void> {
 		const id = v7();
 		try {
-			const configuration = this.#configuration();
-			const organisation = readOrganisation(request.headers, this.#counter.directory, configuration);
-			const position = header(request.headers, callerHeaders.position);
+			const configuration = this.#getConfiguration();
+			const organisation = findOrganisation(request.headers, this.#options.directory, configuration);
+			const position = getHeader(request.headers, callerHeaders.position);
 			if (position !== undefined) {
-				await this.#counter.resumption.run(id, position, organisation, response);
+				await this.#options.resumption.resume(id, position, organisation, response);
 				return;
 			}
 
-			const body = await readBody(request, this.#counter.settings.bodyLimit);
-			const {clock, settings} = this.#counter;
-			const intake = await read({
+			const body = await readBody(request, this.#options.settings.bodyLimit);
+			const {clock, settings} = this.#options;
+			const parsed = await parse({
 				id,
 				method: request.method ?? 'GET',
 				path: request.url ?? '/',
@@ -131,88 +127,88 @@
 				wall: clock.wall(),
 				statedPromptTokens: settings.statedPromptTokens,
 			});
-			await this.#hand(intake, response);
+			await this.#runRequest(parsed, response);
 		} catch (error) {
-			this.#fail(response, id, error);
+			this.#sendError(response, id, error);
 		}
 	}
 
-	async #hand({request, payload, form}: Intake, response: ServerResponse): Promise<void> {
+	async #runRequest({request, payload, form}: ParsedRequest, response: ServerResponse): Promise<void> {
 		const receiver: Receiver = {
 			request: request.id,
 			form,
 			response,
 			frames: [],
 		};
-		const closed = once(response, 'close');
-		this.#counter.exchanges.open(request, payload, receiver);
-		this.#counter.dispatch({type: 'request-arrived', request});
-		await closed;
+		const responseClosed = once(response, 'close');
+		this.#options.exchanges.open(request, payload, receiver);
+		this.#options.dispatch({type: 'request-arrived', request});
+		await responseClosed;
 		if (!response.writableFinished) {
-			const abandoned = this.#counter.exchanges.leave(receiver);
+			const abandoned = this.#options.exchanges.detach(receiver);
 			if (abandoned !== undefined) {
-				this.#counter.dispatch({type: 'request-abandoned', request: abandoned});
-				this.#counter.abandon(abandoned);
+				this.#options.dispatch({type: 'request-abandoned', request: abandoned});
+				this.#options.abandon(abandoned);
 			}
 		}
 	}
 
-	async #chat(reading: Omit<Reading, 'service'>): Promise<Intake> {
-		const chat = parseChat(reading.body);
-		const service = this.#counter.directory.modelService(reading.configuration, chat.model);
+	async #parseChatRequest(context: Omit<RequestContext, 'service'>): Promise<ParsedRequest> {
+		const chat = parseChatBody(context.body);
+		const service = this.#options.directory.findModelService(context.configuration, chat.model);
 		return service === undefined
 			? raise('unknownService', chat.model)
-			: readChat({...reading, service}, chat);
+			: parseChatRequest({...context, service}, chat);
 	}
 
-	async #plain(reading: Omit<Reading, 'service'>, name: string): Promise<Intake> {
-		const service: Service | undefined = this.#counter.directory.service(reading.configuration, name);
+	async #parsePlainRequest(context: Omit<RequestContext, 'service'>, name: string): Promise<ParsedRequest> {
+		const service: Service | undefined = this.#options.directory.findService(context.configuration, name);
 		return service?.kind === 'plain'
-			? readPlain({...reading, service})
+			? parsePlainRequest({...context, service})
 			: raise('unknownService', name);
 	}
 
-	async #ticket(request: IncomingMessage, response: RestifyResponse): Promise<void> {
+	async #issueTicket(request: IncomingMessage, response: RestifyResponse): Promise<void> {
 		const id = v7();
 		try {
-			const {exchanges, directory, dispatch} = this.#counter;
-			const organisation = readOrganisation(request.headers, directory, this.#configuration());
-			exchanges.expectTicket(id, (ticket, expires) => {
+			const {exchanges, directory, dispatch} = this.#options;
+			const organisation = findOrganisation(request.headers, directory, this.#getConfiguration());
+			exchanges.awaitTicket(id, (ticket, expires) => {
 				response.send(201, {ticket, expires}, {[requestHeader]: id});
 			});
 			dispatch({type: 'ticket-wanted', request: id, organisation: organisation.id});
 		} catch (error) {
-			this.#fail(response, id, error);
+			this.#sendError(response, id, error);
 		}
 	}
 
-	#configuration(): Configuration {
-		return this.#counter.state().configuration.inForce ?? raise('notConfigured');
+	#getConfiguration(): Configuration {
+		return this.#options.state().configuration.inForce ?? raise('notConfigured');
 	}
 
-	#fail(response: ServerResponse, id: string, error: unknown): void {
+	#sendError(response: ServerResponse, id: string, error: unknown): void {
 		if (isFailure(error)) {
-			refuse(response, id, outcomeOf(error));
+			sendOutcome(response, id, failureToOutcome(error));
 			return;
 		}
 
-		this.#counter.log.write({event: 'request-failed', request: id, detail: messageOf(error)}, 'error');
-		refuse(response, id, {type: 'unknown', code: codes.internal});
+		this.#options.log.write({event: 'request-failed', request: id, detail: messageOf(error)}, 'error');
+		sendOutcome(response, id, {type: 'unknown', code: codes.internal});
 	}
 }
 
-/** An expired ticket may have been used before it expired, so "not run" would not be known to be true. */
-function outcomeOf({code, detail}: Failure): Outcome {
+/** The outcome for an expired ticket is unknown, because the ticket may have been used before it expired. */
+function failureToOutcome({code, detail}: Failure): Outcome {
 	return code === codes.expiredTicket ? {type: 'unknown', code, detail} : {type: 'not-run', code, detail};
 }
 
 const parametersSchema = z.object({service: z.string()});
 
-function serviceOf(parameters: unknown): string {
+function parseServiceName(parameters: unknown): string {
 	return parametersSchema.parse(parameters).service;
 }
 
-function refuse(response: ServerResponse, request: string, outcome: Outcome): void {
+function sendOutcome(response: ServerResponse, request: string, outcome: Outcome): void {
 	endAnswer({
 		request,
 		form: 'whole',
--- a/src/entry/callers/statuses.ts
+++ b/src/entry/callers/statuses.ts
@@ -1,11 +1,11 @@
-/** HTTP statuses of result codes. */
+/** Maps result codes to HTTP statuses. */
 import {codes} from '../../core/index.js';
 
 const badGateway = 502;
-const unavailable = 503;
-const timedOut = 504;
+const serviceUnavailable = 503;
+const gatewayTimeout = 504;
 
-const statuses: ReadonlyMap<number, number> = new Map([
+const httpStatuses: ReadonlyMap<number, number> = new Map([
 	[codes.done, 200],
 	[codes.badBody, 400],
 	[codes.badHeader, 400],
@@ -24,23 +24,23 @@
 	[codes.convicted, 422],
 	[codes.ticketRequired, 428],
 	[codes.organisationLimit, 429],
-	[codes.deadlinePassed, timedOut],
-	[codes.deadlineBeforeStart, timedOut],
+	[codes.deadlinePassed, gatewayTimeout],
+	[codes.deadlineBeforeStart, gatewayTimeout],
 ]);
 
-/** First code of those that say a request was not run, and of those that follow. */
-const notRun = 2000;
-const failed = 3000;
+/** Codes from 2000 to 2999 mean that the request was not run. */
+const firstNotRunCode = 2000;
+const firstFailedCode = 3000;
 
 /**
  * @param code - Result code.
- * @returns The HTTP status that goes with it.
+ * @returns Its HTTP status; 503 for other requests that were not run, otherwise 502.
  */
 export function statusOf(code: number): number {
-	const status = statuses.get(code);
+	const status = httpStatuses.get(code);
 	if (status !== undefined) {
 		return status;
 	}
 
-	return code >= notRun && code < failed ? unavailable : badGateway;
+	return code >= firstNotRunCode && code < firstFailedCode ? serviceUnavailable : badGateway;
 }
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -1,61 +1,57 @@
-/** Connections to upstreams, and what is provable about a sending that broke. */
+/** HTTP clients for upstreams, and tracking of whether a failed call may have reached its upstream. */
 import http from 'node:http';
 import {type Socket} from 'node:net';
 import got, {type Got} from 'got';
 import {type Address} from '../core/index.js';
 
-/** Time without any byte after which a connection attempt is given up, in milliseconds. */
-export const connectTimeout = 2000;
+export const connectTimeoutMs = 2000;
 
-const idleSockets = 64;
+const maxIdleSockets = 64;
 
-/** Milliseconds that an idle connection is kept; shorter than servers' usual five seconds, so that it is not closed as it is used. */
-const idleTimeout = 4000;
+/** Shorter than the five seconds usual for servers, so that the server does not close a connection just as it is reused. */
+const idleTimeoutMs = 4000;
 
-/** Reuses connections; for calls that may be repeated. */
-export const reusingAgent = new http.Agent({keepAlive: true, maxFreeSockets: idleSockets, timeout: idleTimeout});
+/** For calls that may be repeated. */
+export const keepAliveAgent = new http.Agent({keepAlive: true, maxFreeSockets: maxIdleSockets, timeout: idleTimeoutMs});
 
-/** Opens a connection for each call: a reused one may close just as a call is written, which leaves its outcome unknown. */
-export const singleAgent = new http.Agent({keepAlive: false});
+/** For other calls: a reused connection may close while a call is written, which leaves the outcome of the call unknown. */
+export const singleUseAgent = new http.Agent({keepAlive: false});
 
-/** Options are merged once, since got spends more time on them than on a call. */
-const common = got.extend({
+/** Created once, because got spends more time on merging options than on a call. */
+const baseClient = got.extend({
 	retry: {limit: 0},
 	throwHttpErrors: false,
 	followRedirect: false,
 	decompress: false,
-	timeout: {connect: connectTimeout},
+	timeout: {connect: connectTimeoutMs},
 });
-const reusing = common.extend({agent: {http: reusingAgent}});
-const single = common.extend({agent: {http: singleAgent}});
+const keepAliveClient = baseClient.extend({agent: {http: keepAliveAgent}});
+const singleUseClient = baseClient.extend({agent: {http: singleUseAgent}});
 
 /**
- * @param mayRepeat - Whether the call may be repeated.
- * @returns The client for it.
+ * @param isRepeatable - Whether the call may be repeated; only such calls reuse connections.
  */
-export function clientFor(mayRepeat: boolean): Got {
-	return mayRepeat ? reusing : single;
+export function getClient(isRepeatable: boolean): Got {
+	return isRepeatable ? keepAliveClient : singleUseClient;
 }
 
 /**
- * @param address - Where the upstream listens.
  * @param path - Path with query.
- * @returns URL.
  */
-export function urlOf(address: Address, path: string): string {
+export function createUrl(address: Address, path: string): string {
 	return `http://${address.host}:${address.port}${path}`;
 }
 
-/** Watches whether a call's bytes may have left this host. */
-export class Sending {
+/** Tracks whether bytes of a call may have been sent. */
+export class SendTracker {
 	#isConnected = false;
 
 	/**
-	 * @param onConnected - Called once bytes may leave.
-	 * @returns A listener for got's `request` event.
+	 * @param onConnected - Called once, as soon as bytes may be sent.
+	 * @returns Listener for the `request` event of got.
 	 */
-	watch(onConnected: () => void): (request: http.ClientRequest) => void {
-		const connected = () => {
+	createRequestListener(onConnected: () => void): (request: http.ClientRequest) => void {
+		const handleConnected = () => {
 			if (!this.#isConnected) {
 				this.#isConnected = true;
 				onConnected();
@@ -65,15 +61,15 @@
 		return request => {
 			request.once('socket', (socket: Socket) => {
 				if (socket.connecting) {
-					socket.once('connect', connected);
+					socket.once('connect', handleConnected);
 				} else {
-					connected();
+					handleConnected();
 				}
 			});
 		};
 	}
 
-	/** Whether the upstream may have received anything. */
+	/** Whether the upstream may have received bytes of the call. */
 	get isWritten(): boolean {
 		return this.#isConnected;
 	}
--- a/src/upstream/control.ts
+++ b/src/upstream/control.ts
@@ -1,4 +1,4 @@
-/** Reads what engines publish and gives them cancellations, holds and orders. */
+/** Control calls to engines: load reports, cache events, holds, orders, cancellation and prefill of segments. */
 import {type Got} from 'got';
 import {
 	type Address,
@@ -8,7 +8,7 @@
 	type Report,
 	type Segment,
 } from '../core/index.js';
-import {clientFor, urlOf} from './connection.js';
+import {getClient, createUrl} from './connection.js';
 import {
 	cacheEventsSchema,
 	holdsSchema,
@@ -19,94 +19,92 @@
 	type SegmentWork,
 } from './protocol.js';
 
-/** Milliseconds that an answer may take. */
-const answerTimeout = 2000;
+const answerTimeoutMs = 2000;
 
-const created = 201;
-const taken = 200;
+const createdStatus = 201;
+const okStatus = 200;
 
-const client: Got = clientFor(true).extend({timeout: {request: answerTimeout}, responseType: 'json'});
+const client: Got = getClient(true).extend({timeout: {request: answerTimeoutMs}, responseType: 'json'});
 
-async function read(address: Address, path: string): Promise<unknown> {
-	const {body} = await client(urlOf(address, path), {throwHttpErrors: true});
+async function readJson(address: Address, path: string): Promise<unknown> {
+	const {body} = await client(createUrl(address, path), {throwHttpErrors: true});
 	return body;
 }
 
 /**
- * @param upstream - Engine.
- * @param address - Its address.
- * @returns Its own account of its load.
+ * @param upstream - Id of the engine.
+ * @param address - Address of the engine.
  */
 export async function readReport(upstream: string, address: Address): Promise<Report> {
-	const {engine, ...load} = loadSchema.parse(await read(address, '/v1/load'));
+	const {engine, ...load} = loadSchema.parse(await readJson(address, '/v1/load'));
 	return {upstream, ...load};
 }
 
 /**
- * @param address - Engine's address.
+ * @param address - Address of the engine.
  * @param since - Sequence number to read from.
- * @returns Changes of its prefix cache.
+ * @returns Changes of the engine's prefix cache.
  */
 export async function readCacheEvents(address: Address, since: number): Promise<CacheEvents> {
-	return cacheEventsSchema.parse(await read(address, `/v1/cache-events?since=${since}`));
+	return cacheEventsSchema.parse(await readJson(address, `/v1/cache-events?since=${since}`));
 }
 
 /**
- * @param upstream - Engine.
- * @param address - Its address.
- * @returns KV memory reserved there.
+ * @param upstream - Id of the engine.
+ * @param address - Address of the engine.
+ * @returns Reservations of KV memory at the engine.
  */
 export async function readHolds(upstream: string, address: Address): Promise<readonly Hold[]> {
-	const {holds} = holdsSchema.parse(await read(address, '/v1/holds'));
+	const {holds} = holdsSchema.parse(await readJson(address, '/v1/holds'));
 	return holds.map(hold => ({...hold, upstream}));
 }
 
 /**
- * @param address - Engine's address.
- * @returns Its fresh account of orders.
+ * @param address - Address of the engine.
+ * @returns Current order state, without lag.
  */
 export async function readOrders(address: Address): Promise<OrderState> {
-	return orderStateSchema.parse(await read(address, '/v1/orders'));
+	return orderStateSchema.parse(await readJson(address, '/v1/orders'));
 }
 
 /**
- * @param address - Engine's address.
- * @param hold - Hold wanted.
- * @returns Whether it was granted.
+ * @param address - Address of the engine.
+ * @param hold - Requested reservation.
+ * @returns Whether the engine granted it.
  */
 export async function takeHold(address: Address, hold: Omit<Hold, 'upstream'>): Promise<boolean> {
-	const {id, ...wanted} = hold;
-	const {statusCode} = await client.put(urlOf(address, `/v1/holds/${encodeURIComponent(id)}`), {json: wanted});
-	return statusCode === created || statusCode === taken;
+	const {id, ...body} = hold;
+	const {statusCode} = await client.put(createUrl(address, `/v1/holds/${encodeURIComponent(id)}`), {json: body});
+	return statusCode === createdStatus || statusCode === okStatus;
 }
 
 /**
- * @param address - Engine's address.
- * @param hold - Hold to give back.
+ * @param address - Address of the engine.
+ * @param hold - Id of the hold.
  */
 export async function releaseHold(address: Address, hold: string): Promise<void> {
-	await client.delete(urlOf(address, `/v1/holds/${encodeURIComponent(hold)}`), {throwHttpErrors: true, responseType: 'text'});
+	await client.delete(createUrl(address, `/v1/holds/${encodeURIComponent(hold)}`), {throwHttpErrors: true, responseType: 'text'});
 }
 
 /**
- * @param address - Engine's address.
- * @param attempt - Attempt to stop.
+ * @param address - Address of the engine.
+ * @param attempt - Id of the attempt.
  */
 export async function cancelAttempt(address: Address, attempt: string): Promise<void> {
-	await client.delete(urlOf(address, `/v1/attempts/${encodeURIComponent(attempt)}`), {throwHttpErrors: true, responseType: 'text'});
+	await client.delete(createUrl(address, `/v1/attempts/${encodeURIComponent(attempt)}`), {throwHttpErrors: true, responseType: 'text'});
 }
 
 /**
- * Has one segment of a prompt prefilled into its hold.
+ * Prefills one segment of a prompt into its hold.
  *
- * @param address - Engine's address.
- * @param segment - Segment.
+ * @param address - Address of the engine.
+ * @param segment - Range of the prompt, and the hold for it.
  * @param blocks - Chained block hashes of the segment.
- * @param timeout - Milliseconds it may take.
+ * @param timeout - Timeout in milliseconds.
  */
 export async function prefillSegment(address: Address, segment: Segment, blocks: readonly string[], timeout: number): Promise<void> {
 	const json: SegmentWork = {from: segment.from, to: segment.to, blocks};
-	await client.post(urlOf(address, `/v1/segments/${encodeURIComponent(segment.hold)}`), {
+	await client.post(createUrl(address, `/v1/segments/${encodeURIComponent(segment.hold)}`), {
 		json,
 		timeout: {request: timeout},
 		throwHttpErrors: true,
@@ -114,19 +112,18 @@
 	});
 }
 
-/** An engine's answer to an order. */
 export type OrderAnswer = {
 	readonly accepted: boolean;
+	/** Highest order number that the engine has seen. */
 	readonly seen?: OrderNumber;
 };
 
 /**
- * @param address - Engine's address.
- * @param order - Order.
- * @returns Whether the engine took it, and the highest number it has seen.
+ * @param address - Address of the engine.
+ * @param order - Order to send.
  */
 export async function giveOrder(address: Address, order: Order): Promise<OrderAnswer> {
-	const {statusCode, body} = await client.post(urlOf(address, '/v1/orders'), {json: order});
+	const {statusCode, body} = await client.post(createUrl(address, '/v1/orders'), {json: order});
 	const state = orderStateSchema.safeParse(body);
-	return {accepted: statusCode === taken, seen: state.success ? state.data.highest : undefined};
+	return {accepted: statusCode === okStatus, seen: state.success ? state.data.highest : undefined};
 }
--- a/src/upstream/engine.ts
+++ b/src/upstream/engine.ts
@@ -1,98 +1,98 @@
-/** Runs requests on model engines and follows their streams, across broken connections where the engine still runs them. */
+/** Runs attempts on model engines and follows their streams. Resumes a stream after a broken connection if the engine still has it. */
 import {type IncomingMessage} from 'node:http';
 import {type Request} from 'got';
 import {codes, type Address, type Ending} from '../core/index.js';
-import {clientFor, Sending, urlOf} from './connection.js';
-import {Follower, type Sink, type Stretch} from './follower.js';
+import {getClient, SendTracker, createUrl} from './connection.js';
+import {FrameFollower, type Sink, type ConnectionEnd} from './follower.js';
 import {headers} from './protocol.js';
 
-/** One attempt as it is sent to an engine. */
+/** One attempt at an engine. */
 export type Call = {
 	readonly address: Address;
 	readonly attempt: string;
-	/** JSON with `stream` true. */
+	/** JSON body with `stream` set to true. */
 	readonly body: string;
 	readonly priority: number;
-	/** Milliseconds that remain. */
+	/** Remaining time in milliseconds. */
 	readonly timeout: number;
-	/** `host/started` of this host. */
+	/** This host as `host/started`. */
 	readonly owner: string;
 	readonly mayRepeat: boolean;
-	/** Caller's idempotency key, for engines that keep an account of it. */
+	/** Idempotency key, for engines that support it. */
 	readonly key?: string;
+	/** Ids of the holds that contain the prompt's KV cache. */
 	readonly holds?: readonly string[];
 	readonly promptTokens?: number;
 	readonly signal: AbortSignal;
 };
 
-/** Times that a broken stream is asked for again. */
-const resumptions = 5;
+const maxResumptions = 5;
 
-/** Milliseconds before a broken stream is asked for again. */
-const resumptionPause = 50;
+/** Multiplied by the number of earlier resumptions. */
+const resumptionDelayMs = 50;
 
-/** Characters kept of an engine's refusal. */
-const refusalLength = 500;
+/** Number of characters of a refusal that are kept as its detail. */
+const maxRefusalLength = 500;
 
-const firstServerError = 500;
-const success = 200;
+const firstServerErrorStatus = 500;
+const okStatus = 200;
 const overloadStatuses: ReadonlySet<number> = new Set([429, 503]);
 
 /**
  * Runs one attempt to its end.
  *
- * @param call - Attempt.
- * @param sink - Takes frames in order, each once.
- * @returns What is provably true of the attempt.
+ * @param call - Attempt to run.
+ * @param sink - Receives each frame once, in order.
+ * @returns How the attempt ended, as far as it is certain.
  */
 export async function runOnEngine(call: Call, sink: Sink): Promise<Ending> {
-	const sending = new Sending();
-	const follower = new Follower(call.attempt, sink);
-	let stretch = await post(call, sink, sending, follower);
-	if (stretch.type === 'silent') {
+	const tracker = new SendTracker();
+	const follower = new FrameFollower(call.attempt, sink);
+	let connectionEnd = await postRequest(call, sink, tracker, follower);
+	if (connectionEnd.type === 'silent') {
 		return {
-			type: 'not-run', code: codes.notConnected, overload: false, detail: stretch.detail,
+			type: 'not-run', code: codes.notConnected, overload: false, detail: connectionEnd.detail,
 		};
 	}
 
-	for (let tries = 0; stretch.type === 'broken' && tries < resumptions && !call.signal.aborted; tries++) {
-		await pause(resumptionPause * tries);
-		const again = await resume(call, follower);
-		if (again.type === 'refused') {
+	for (let resumptions = 0; connectionEnd.type === 'broken' && resumptions < maxResumptions && !call.signal.aborted; resumptions++) {
+		await delay(resumptionDelayMs * resumptions);
+		const resumed = await resumeStream(call, follower);
+		if (resumed.type === 'refused') {
 			break;
 		}
 
-		stretch = again.type === 'silent' ? stretch : again;
+		connectionEnd = resumed.type === 'silent' ? connectionEnd : resumed;
 	}
 
-	return endingOf(stretch, follower, call.signal);
+	return createEnding(connectionEnd, follower, call.signal);
 }
 
 /**
- * Follows an attempt that an engine already runs, from an offset on.
+ * Follows an attempt that already runs on an engine.
  *
- * @param call - Attempt; its body is not sent.
- * @param offset - First frame wanted.
- * @param sink - Takes frames in order, each once.
- * @returns What is provably true of the attempt.
+ * @param call - Attempt to follow; its body is not sent.
+ * @param offset - Offset of the first frame to receive.
+ * @param sink - Receives each frame once, in order.
+ * @returns How the attempt ended, as far as it is certain.
  */
 export async function resumeOnEngine(call: Call, offset: number, sink: Sink): Promise<Ending> {
-	const follower = new Follower(call.attempt, sink, offset);
-	let stretch = await resume(call, follower);
-	for (let tries = 1; stretch.type === 'broken' && tries < resumptions && !call.signal.aborted; tries++) {
-		await pause(resumptionPause * tries);
-		stretch = await resume(call, follower);
+	const follower = new FrameFollower(call.attempt, sink, offset);
+	let connectionEnd = await resumeStream(call, follower);
+	for (let resumptions = 1; connectionEnd.type === 'broken' && resumptions < maxResumptions && !call.signal.aborted; resumptions++) {
+		await delay(resumptionDelayMs * resumptions);
+		connectionEnd = await resumeStream(call, follower);
 	}
 
-	return stretch.type === 'complete'
+	return connectionEnd.type === 'complete'
 		? follower.ending
 		: {
-			type: 'unknown', code: codes.streamCut, detail: 'the engine no longer has the stream', relayed: follower.next > offset,
+			type: 'unknown', code: codes.streamCut, detail: 'the engine no longer has the stream', relayed: follower.nextOffset > offset,
 		};
 }
 
-function endingOf(stretch: Stretch, follower: Follower, signal: AbortSignal): Ending {
-	if (stretch.type === 'complete') {
+function createEnding(connectionEnd: ConnectionEnd, follower: FrameFollower, signal: AbortSignal): Ending {
+	if (connectionEnd.type === 'complete') {
 		return follower.ending;
 	}
 
@@ -100,23 +100,23 @@
 		return {type: 'cancelled'};
 	}
 
-	const {detail} = stretch;
-	if (stretch.type === 'refused') {
-		return stretch.status < firstServerError || overloadStatuses.has(stretch.status)
+	const {detail} = connectionEnd;
+	if (connectionEnd.type === 'refused') {
+		return connectionEnd.status < firstServerErrorStatus || overloadStatuses.has(connectionEnd.status)
 			? {
-				type: 'not-run', code: codes.refusedByUpstream, overload: overloadStatuses.has(stretch.status), detail,
+				type: 'not-run', code: codes.refusedByUpstream, overload: overloadStatuses.has(connectionEnd.status), detail,
 			}
 			: {type: 'failed', code: codes.upstreamFailed, detail};
 	}
 
-	const code = follower.next > 0 ? codes.streamCut : codes.outcomeUnknown;
+	const code = follower.nextOffset > 0 ? codes.streamCut : codes.outcomeUnknown;
 	return {
-		type: 'unknown', code, detail, relayed: follower.next > 0,
+		type: 'unknown', code, detail, relayed: follower.nextOffset > 0,
 	};
 }
 
-async function post(call: Call, sink: Sink, sending: Sending, follower: Follower): Promise<Stretch> {
-	const stream = clientFor(call.mayRepeat).stream.post(urlOf(call.address, '/v1/chat/completions'), {
+async function postRequest(call: Call, sink: Sink, tracker: SendTracker, follower: FrameFollower): Promise<ConnectionEnd> {
+	const stream = getClient(call.mayRepeat).stream.post(createUrl(call.address, '/v1/chat/completions'), {
 		body: call.body,
 		headers: {
 			'content-type': 'application/json',
@@ -131,46 +131,46 @@
 		},
 		signal: call.signal,
 	});
-	stream.once('request', sending.watch(sink.written));
-	const stretch = await read(stream, follower);
-	return stretch.type === 'broken' && !sending.isWritten ? {type: 'silent', detail: stretch.detail} : stretch;
+	stream.once('request', tracker.createRequestListener(sink.written));
+	const connectionEnd = await followConnection(stream, follower);
+	return connectionEnd.type === 'broken' && !tracker.isWritten ? {type: 'silent', detail: connectionEnd.detail} : connectionEnd;
 }
 
-async function resume(call: Call, follower: Follower): Promise<Stretch> {
-	const path = `/v1/attempts/${encodeURIComponent(call.attempt)}?offset=${follower.next}`;
-	const stream = clientFor(true).stream(urlOf(call.address, path), {signal: call.signal});
-	return read(stream, follower);
+async function resumeStream(call: Call, follower: FrameFollower): Promise<ConnectionEnd> {
+	const path = `/v1/attempts/${encodeURIComponent(call.attempt)}?offset=${follower.nextOffset}`;
+	const stream = getClient(true).stream(createUrl(call.address, path), {signal: call.signal});
+	return followConnection(stream, follower);
 }
 
-/** Follows one connection to its end. */
-async function read(stream: Request, follower: Follower): Promise<Stretch> {
-	follower.restart();
+/** Feeds the data of one connection to the follower until the connection ends. */
+async function followConnection(stream: Request, follower: FrameFollower): Promise<ConnectionEnd> {
+	follower.startConnection();
 	let status = 0;
 	let refusal = '';
 	stream.once('response', (response: IncomingMessage) => {
 		status = response.statusCode ?? 0;
 	});
 	try {
-		return await new Promise<Stretch>(resolve => {
+		return await new Promise<ConnectionEnd>(resolve => {
 			stream.on('data', (chunk: Uint8Array) => {
-				if (status !== success) {
-					refusal = (refusal + new TextDecoder().decode(chunk)).slice(0, refusalLength);
+				if (status !== okStatus) {
+					refusal = (refusal + new TextDecoder().decode(chunk)).slice(0, maxRefusalLength);
 					return;
 				}
 
-				const room = follower.feed(chunk);
-				if (follower.stretch !== undefined) {
-					resolve(follower.stretch);
-				} else if (room !== undefined) {
-					void hold(stream, room);
+				const backpressure = follower.feed(chunk);
+				if (follower.connectionEnd !== undefined) {
+					resolve(follower.connectionEnd);
+				} else if (backpressure !== undefined) {
+					void pauseStream(stream, backpressure);
 				}
 			});
 			stream.once('end', () => {
-				resolve(status === success
+				resolve(status === okStatus
 					? {type: 'broken', detail: 'the stream ended early'}
 					: {type: 'refused', status, detail: refusal});
 			});
-			// Errors may follow the end, and must not go unheard.
+			// Errors may follow the end; without a listener they would be thrown.
 			stream.on('error', error => {
 				resolve({type: 'broken', detail: error.message});
 			});
@@ -183,13 +183,13 @@
 	}
 }
 
-async function hold(stream: Request, room: Promise<void>): Promise<void> {
+async function pauseStream(stream: Request, backpressure: Promise<void>): Promise<void> {
 	stream.pause();
-	await room;
+	await backpressure;
 	stream.resume();
 }
 
-async function pause(milliseconds: number): Promise<void> {
+async function delay(milliseconds: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, milliseconds);
 	});
--- a/src/upstream/follower.ts
+++ b/src/upstream/follower.ts
@@ -1,117 +1,118 @@
-/** Follows the frames of one attempt across its connections: each frame once, in order, and none of another attempt. */
+/** Follows the frames of one attempt across connections. Passes on each frame once, in order, and drops frames of other attempts. */
 import {createParser, type EventSourceMessage, type EventSourceParser} from 'eventsource-parser';
 import {type Ending} from '../core/index.js';
 import {frameSchema, streamEnd} from './protocol.js';
 
-/** Takes what an engine sends. */
+/** Receives the stream of an attempt. */
 export type Sink = {
-	/** Bytes may have reached the engine. */
+	/** Called when bytes may have reached the engine. */
 	readonly written: () => void;
-	/** The next frame; a promise is awaited before the one after it. */
+	/** Called with the next frame. No more data is read from the engine until the returned promise settles. */
 	readonly frame: (offset: number, data: string) => Promise<void> | undefined;
-	/** A frame that does not belong here was dropped. */
+	/** Called when a frame was dropped because of its attempt or offset. */
 	readonly stray: (reason: 'attempt' | 'offset') => void;
 };
 
-/** How one connection of a stream came to its end. */
-export type Stretch
+/** How one connection of a stream ended. `silent` means that no byte was sent. */
+export type ConnectionEnd
 	= | {readonly type: 'complete'}
 		| {readonly type: 'broken'; readonly detail: string}
 		| {readonly type: 'refused'; readonly status: number; readonly detail: string}
 		| {readonly type: 'silent'; readonly detail: string};
 
-/** Follows one attempt's frames. */
-export class Follower {
+export class FrameFollower {
 	readonly #sink: Sink;
-	readonly #prefix: string;
+	readonly #idPrefix: string;
 	readonly #decoder = new TextDecoder();
-	#next: number;
+	#nextOffset: number;
 	#tokens = 0;
-	#cached: number | undefined;
-	#stretch: Stretch | undefined;
-	#room: Promise<void> | undefined;
-	#parser = this.#newParser();
+	#cachedTokens: number | undefined;
+	#connectionEnd: ConnectionEnd | undefined;
+	#backpressure: Promise<void> | undefined;
+	#parser = this.#createParser();
 
-	constructor(attempt: string, sink: Sink, next = 0) {
+	constructor(attempt: string, sink: Sink, nextOffset = 0) {
 		this.#sink = sink;
-		this.#prefix = `${attempt}/`;
-		this.#next = next;
+		this.#idPrefix = `${attempt}/`;
+		this.#nextOffset = nextOffset;
 	}
 
-	get next(): number {
-		return this.#next;
+	/** Offset of the next expected frame. */
+	get nextOffset(): number {
+		return this.#nextOffset;
 	}
 
+	/** Ending of the attempt once its stream is complete. */
 	get ending(): Ending {
-		return {type: 'done', tokens: this.#tokens, cachedTokens: this.#cached};
+		return {type: 'done', tokens: this.#tokens, cachedTokens: this.#cachedTokens};
 	}
 
-	/** How the present connection came to its end, if it did. */
-	get stretch(): Stretch | undefined {
-		return this.#stretch;
+	/** How the current connection ended, or undefined while it is open. */
+	get connectionEnd(): ConnectionEnd | undefined {
+		return this.#connectionEnd;
 	}
 
-	/** Begins a new connection of the same stream. */
-	restart(): void {
-		this.#stretch = undefined;
-		this.#parser = this.#newParser();
+	/** Prepares for a new connection that resumes the stream. */
+	startConnection(): void {
+		this.#connectionEnd = undefined;
+		this.#parser = this.#createParser();
 	}
 
 	/**
 	 * @param chunk - Bytes of the engine's response.
-	 * @returns A promise to wait for where the caller's buffer is full.
+	 * @returns A promise to await before the next chunk, if a caller's send buffer is full.
 	 */
 	feed(chunk: Uint8Array): Promise<void> | undefined {
-		this.#room = undefined;
+		this.#backpressure = undefined;
 		this.#parser.feed(this.#decoder.decode(chunk, {stream: true}));
-		return this.#room;
+		return this.#backpressure;
 	}
 
-	#newParser(): EventSourceParser {
+	#createParser(): EventSourceParser {
 		return createParser({
 			onEvent: event => {
-				this.#take(event);
+				this.#handleEvent(event);
 			},
 		});
 	}
 
-	#take({id = '', data}: EventSourceMessage): void {
-		if (this.#stretch !== undefined) {
+	#handleEvent({id = '', data}: EventSourceMessage): void {
+		if (this.#connectionEnd !== undefined) {
 			return;
 		}
 
 		if (data === streamEnd) {
-			this.#stretch = {type: 'complete'};
-		} else if (id === this.#prefix + String(this.#next)) {
-			this.#pass(data);
+			this.#connectionEnd = {type: 'complete'};
+		} else if (id === this.#idPrefix + String(this.#nextOffset)) {
+			this.#passFrame(data);
 		} else {
-			this.#drop(id);
+			this.#dropFrame(id);
 		}
 	}
 
-	#pass(data: string): void {
-		const offset = this.#next;
-		this.#next++;
+	#passFrame(data: string): void {
+		const offset = this.#nextOffset;
+		this.#nextOffset++;
 		this.#tokens++;
 		this.#readUsage(data);
-		this.#room = this.#sink.frame(offset, data) ?? this.#room;
+		this.#backpressure = this.#sink.frame(offset, data) ?? this.#backpressure;
 	}
 
-	/** A frame that is repeated or another attempt's is left out; one too early means that others are missing. */
-	#drop(id: string): void {
-		const isOwn = id.startsWith(this.#prefix);
+	/** Drops a repeated frame or a frame of another attempt. A frame beyond the expected offset means that frames are missing. */
+	#dropFrame(id: string): void {
+		const isOwn = id.startsWith(this.#idPrefix);
 		this.#sink.stray(isOwn ? 'offset' : 'attempt');
-		if (isOwn && Number(id.slice(this.#prefix.length)) > this.#next) {
-			this.#stretch = {type: 'broken', detail: 'a frame is missing'};
+		if (isOwn && Number(id.slice(this.#idPrefix.length)) > this.#nextOffset) {
+			this.#connectionEnd = {type: 'broken', detail: 'a frame is missing'};
 		}
 	}
 
-	/** Only the last frame has usage, so the others need not be parsed. */
+	/** Only the last frame has usage, so other frames are not parsed. */
 	#readUsage(data: string): void {
 		if (data.includes('"usage":{')) {
 			const {usage} = frameSchema.parse(JSON.parse(data));
 			this.#tokens = usage?.completion_tokens ?? this.#tokens;
-			this.#cached = usage?.cached_tokens;
+			this.#cachedTokens = usage?.cached_tokens;
 		}
 	}
 }
--- a/src/upstream/plain.ts
+++ b/src/upstream/plain.ts
@@ -1,15 +1,15 @@
-/** Passes calls to plain services, to old endpoints and to other hosts, byte by byte. */
+/** Passes calls to plain services, legacy endpoints and other hosts, and streams their responses back unchanged. */
 import {type IncomingMessage} from 'node:http';
 import {type Method} from 'got';
 import {
 	messageOf, codes, type Address, type Ending,
 } from '../core/index.js';
 import {perConnectionHeaders} from '../protocol/per-connection.js';
-import {clientFor, Sending, urlOf} from './connection.js';
+import {getClient, SendTracker, createUrl} from './connection.js';
 
 export type PassedHeaders = Readonly<Record<string, string | readonly string[]>>;
 
-/** One call as it is passed on. */
+/** One call to an upstream or another host. */
 export type PlainCall = {
 	readonly address: Address;
 	readonly method: Method;
@@ -21,26 +21,27 @@
 	readonly signal: AbortSignal;
 };
 
-/** Takes what the upstream answers. */
+/** Receives the response. */
 export type PlainSink = {
-	/** Bytes may have reached the upstream. */
+	/** Called when bytes may have reached the upstream. */
 	readonly written: () => void;
+	/** Called with the status and the end-to-end headers. */
 	readonly head: (status: number, headers: PassedHeaders) => void;
-	/** The next bytes; a promise is awaited before those after them. */
+	/** Called with the next bytes. No more are read until the returned promise settles. */
 	readonly bytes: (chunk: Uint8Array) => Promise<void> | undefined;
 };
 
-/** The client library sets length and host anew. */
-const notPassed: ReadonlySet<string> = new Set([...perConnectionHeaders, 'content-length', 'host']);
+/** Headers of a single connection, and headers that got sets itself. */
+const excludedHeaders: ReadonlySet<string> = new Set([...perConnectionHeaders, 'content-length', 'host']);
 
 /**
  * @param headers - Headers of a request or response.
- * @returns Those that are meant for the far end.
+ * @returns Headers to pass on.
  */
 export function endToEnd(headers: NodeJS.Dict<string | readonly string[]>): PassedHeaders {
 	const passed: Record<string, string | readonly string[]> = {};
 	for (const [name, value] of Object.entries(headers)) {
-		if (value !== undefined && !notPassed.has(name)) {
+		if (value !== undefined && !excludedHeaders.has(name)) {
 			passed[name] = value;
 		}
 	}
@@ -48,59 +49,57 @@
 	return passed;
 }
 
-function copyOf(headers: PassedHeaders): Record<string, string | string[]> {
+function toMutableHeaders(headers: PassedHeaders): Record<string, string | string[]> {
 	return Object.fromEntries(Object.entries(headers).map(([name, value]) =>
 		[name, typeof value === 'string' ? value : [...value]]));
 }
 
-function asBytes(chunk: unknown): Uint8Array {
+function toBytes(chunk: unknown): Uint8Array {
 	return chunk instanceof Uint8Array ? chunk : new TextEncoder().encode(String(chunk));
 }
 
-/** Without a body of its own, got waits for one to be written, except where the method has none. */
-function bodyOf({method, body}: PlainCall) {
+/** Sets an empty body too, since got otherwise waits for one to be written, except for methods without a body. */
+function getBodyOptions({method, body}: PlainCall) {
 	const isBodiless = method === 'GET' || method === 'HEAD' || method === 'OPTIONS';
 	return isBodiless && body.byteLength === 0 ? {} : {body, allowGetBody: true};
 }
 
 /**
- * Passes one call on and its answer back.
+ * Sends one call and streams its response to the sink.
  *
- * @param call - Call.
- * @param sink - Takes the answer.
- * @returns What is provably true of the call.
+ * @returns How the call ended, as far as it is certain.
  */
 export async function runOnPlain(call: PlainCall, sink: PlainSink): Promise<Ending> {
-	const sending = new Sending();
-	const stream = clientFor(call.mayRepeat).stream(urlOf(call.address, call.path), {
+	const tracker = new SendTracker();
+	const stream = getClient(call.mayRepeat).stream(createUrl(call.address, call.path), {
 		method: call.method,
-		headers: copyOf(call.headers),
-		...bodyOf(call),
+		headers: toMutableHeaders(call.headers),
+		...getBodyOptions(call),
 		signal: call.signal,
 	});
-	stream.once('request', sending.watch(sink.written));
-	let answered = false;
+	stream.once('request', tracker.createRequestListener(sink.written));
+	let hasAnswered = false;
 	stream.once('response', (response: IncomingMessage) => {
-		answered = true;
+		hasAnswered = true;
 		sink.head(response.statusCode ?? 0, endToEnd(response.headers));
 	});
 	try {
 		for await (const chunk of stream) {
-			const room = sink.bytes(asBytes(chunk));
-			if (room !== undefined) {
-				await room;
+			const backpressure = sink.bytes(toBytes(chunk));
+			if (backpressure !== undefined) {
+				await backpressure;
 			}
 		}
 
 		return {type: 'done', tokens: 0};
 	} catch (error) {
-		return broken(sending.isWritten, answered, call.signal, messageOf(error));
+		return createInterruptedEnding(tracker.isWritten, hasAnswered, call.signal, messageOf(error));
 	} finally {
 		stream.destroy();
 	}
 }
 
-function broken(isWritten: boolean, answered: boolean, signal: AbortSignal, detail: string): Ending {
+function createInterruptedEnding(isWritten: boolean, hasAnswered: boolean, signal: AbortSignal, detail: string): Ending {
 	if (!isWritten) {
 		return {
 			type: 'not-run', code: codes.notConnected, overload: false, detail,
@@ -112,6 +111,6 @@
 	}
 
 	return {
-		type: 'unknown', code: answered ? codes.streamCut : codes.outcomeUnknown, detail, relayed: answered,
+		type: 'unknown', code: hasAnswered ? codes.streamCut : codes.outcomeUnknown, detail, relayed: hasAnswered,
 	};
 }
--- a/src/upstream/protocol.ts
+++ b/src/upstream/protocol.ts
@@ -1,20 +1,20 @@
 /**
- * What a model engine speaks: HTTP and JSON as OpenAI-style servers do, with the additions that the platform's
- * engines publish for priorities, resuming, cancelling, KV memory and orders. Both the adapters and the stand-ins use it.
+ * Protocol of model engines: the HTTP and JSON interface of OpenAI-style servers, extended by the platform's engines with
+ * priorities, resumption, cancellation, KV memory and orders. Shared by the adapters and the stand-ins.
  *
- * POST   /v1/chat/completions                run; always answered as an event stream when `stream` is true
+ * POST   /v1/chat/completions                run an attempt; an event stream when `stream` is true
  * GET    /v1/attempts/{attempt}?offset=N     resume a stream at a frame offset
- * DELETE /v1/attempts/{attempt}              cancel; 204 also when the attempt is not known, so it is idempotent
- * GET    /v1/load                            {@link loadSchema}, lagged
- * GET    /v1/cache-events?since=N&wait=MS    {@link cacheEventsSchema}, late and with gaps
+ * DELETE /v1/attempts/{attempt}              cancel; idempotent: 204 also for an unknown attempt
+ * GET    /v1/load                            {@link loadSchema}, with a lag
+ * GET    /v1/cache-events?since=N&wait=MS    {@link cacheEventsSchema}, delayed and possibly with gaps
  * GET    /v1/holds                           {@link holdsSchema}
- * PUT    /v1/holds/{hold}                    {@link holdWantedSchema}; 201 granted, 409 no memory
+ * PUT    /v1/holds/{hold}                    {@link holdWantedSchema}; 201 granted, 409 out of memory
  * DELETE /v1/holds/{hold}                    204, idempotent
  * POST   /v1/segments/{hold}                 prefill one segment of a prompt into a hold: {@link segmentSchema}
- * POST   /v1/kv/export/{attempt}             takes a running stream off the engine: {@link exportSchema}
- * POST   /v1/kv/import                       continues an exported stream: {@link exportSchema}
- * POST   /v1/orders                          {@link orderSchema}; 200 taken, 409 with the number seen
- * GET    /v1/orders                          {@link orderStateSchema}, fresh
+ * POST   /v1/kv/export/{attempt}             remove a running stream from the engine: {@link exportSchema}
+ * POST   /v1/kv/import                       continue an exported stream: {@link exportSchema}
+ * POST   /v1/orders                          {@link orderSchema}; 200 accepted, 409 with the highest number seen
+ * GET    /v1/orders                          {@link orderStateSchema}, without lag
  */
 import {z} from 'zod';
 import {targetSchema} from '../core/index.js';
@@ -25,29 +25,29 @@
 export const headers = {
 	/** Echoed in every frame. */
 	attempt: 'x-attempt-id',
-	/** 0 runs first. */
+	/** 0 is the most urgent. */
 	priority: 'x-priority',
-	/** Milliseconds that remain. */
+	/** Remaining time in milliseconds. */
 	timeout: 'x-timeout-ms',
-	/** `host/started` of the entry host. */
+	/** Entry host as `host/started`. */
 	owner: 'x-owner',
-	/** Comma-separated hold ids on this and other engines that together hold the prompt's KV cache. */
+	/** Comma-separated ids of holds, on this and other engines, that together contain the prompt's KV cache. */
 	holds: 'x-holds',
-	/** Number of prompt tokens that callers or tests state; engines else count one per four characters. */
+	/** Number of prompt tokens stated by callers or tests; engines otherwise count one per four characters. */
 	promptTokens: 'x-prompt-tokens',
 } as const;
 
-/** One frame of a stream, as the data of an event whose id is `attempt/offset`. */
+/** One frame of a stream: the data of a server-sent event with the id `attempt/offset`. */
 export const frameSchema = z.object({
 	attempt: z.string(),
-	/** 0 for the first frame, one more for each. */
+	/** Counts frames from 0. */
 	offset: z.number().int().nonnegative(),
 	choices: z.array(z.object({
 		index: z.number(),
 		delta: z.object({role: z.string().optional(), content: z.string().optional()}),
 		finish_reason: z.string().nullish(),
 	})).readonly(),
-	/** In the last frame. */
+	/** Present in the last frame only. */
 	usage: z.object({
 		prompt_tokens: z.number(),
 		completion_tokens: z.number(),
@@ -55,7 +55,7 @@
 	}).optional(),
 });
 
-/** Data of the event after the last frame. */
+/** Data of the event that follows the last frame. */
 export const streamEnd = '[DONE]';
 
 const number = z.object({counter: z.number().int(), host: z.string()}).readonly();
@@ -63,7 +63,7 @@
 export const loadSchema = z.object({
 	engine: z.string(),
 	incarnation: z.string(),
-	/** Milliseconds since the figures were true. */
+	/** Age of the figures in milliseconds. */
 	age: z.number(),
 	ready: z.boolean(),
 	running: z.number(),
@@ -78,9 +78,9 @@
 
 export const cacheEventsSchema = z.object({
 	incarnation: z.string(),
-	/** Sequence number to ask from next. */
+	/** Sequence number for the next call. */
 	next: z.number().int(),
-	/** Whether events before the first one given were lost. */
+	/** Whether events before the first returned one were lost. */
 	gap: z.boolean(),
 	changes: z.array(z.object({
 		sequence: z.number().int(),
@@ -94,7 +94,7 @@
 export const holdWantedSchema = z.object({
 	owner,
 	tokens: z.number().int().positive(),
-	/** Wall-clock time in milliseconds since 1970. */
+	/** Milliseconds since 1970. */
 	deadline: z.number(),
 });
 
@@ -104,8 +104,9 @@
 });
 
 export const segmentSchema = z.object({
-	/** Range of prompt tokens, the end excluded. */
+	/** First token of the range. */
 	from: z.number().int(),
+	/** End of the range, exclusive. */
 	to: z.number().int(),
 	blocks: z.array(z.string()).readonly(),
 });
@@ -114,8 +115,9 @@
 	attempt: z.string(),
 	/** Offset of the next frame. */
 	offset: z.number().int(),
+	/** Number of prompt tokens. */
 	prompt: z.number().int(),
-	/** Opaque to everyone but engines. */
+	/** Opaque data that only engines interpret. */
 	cache: z.string(),
 });
 
