--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -68,7 +68,10 @@
  * @param fetch - Queries one host.
  * @returns Answers of the hosts, in the order of the addresses.
  */
-export async function askAll<Content>(addresses: readonly Address[], fetch: (address: Address) => Promise<Content>): Promise<ReadonlyArray<Answer<Content>>> {
+export async function askAll<Content>(
+	addresses: readonly Address[],
+	fetch: (address: Address) => Promise<Content>,
+): Promise<ReadonlyArray<Answer<Content>>> {
 	return Promise.all(addresses.map(async address => {
 		try {
 			return {type: 'answered', address, content: await fetch(address)};
--- a/src/entry/callers/headers.ts
+++ b/src/entry/callers/headers.ts
@@ -135,7 +135,7 @@
 
 /**
  * @param source - Parts of the request.
- * @returns The proof that the request is safe to run: its ticket or idempotency key, whether it is idempotent, or none of these.
+ * @returns The caller's ticket or idempotency key, or else whether the request is idempotent.
  * @throws Failure `badHeader`, `badTicket` or `expiredTicket`.
  */
 export function readProof(source: ProofSource): Proof {
--- a/src/entry/callers/outcomes.ts
+++ b/src/entry/callers/outcomes.ts
@@ -15,7 +15,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** JSON body of an answer that this host creates itself. */
+/** JSON body of an error response that this host creates itself. */
 export type ErrorBody = {
 	readonly error: {
 		readonly message: string;
