--- a/src/protocol/__tests__/codes.test.ts
+++ b/src/protocol/__tests__/codes.test.ts
@@ -15,11 +15,11 @@
 		expect(rows.map(row => row.slice(0, 3))).toEqual(expected.toSorted((first, second) => Number(first[0]) - Number(second[0])));
 	});
 
-	it('says for every code what to do', () => {
+	it('states for every code what to do', () => {
 		expect(rows.filter(row => row.at(-1) === '')).toEqual([]);
 	});
 
-	it('gives no number to two codes', () => {
+	it('uses each number for one code only', () => {
 		expect(new Set(Object.values(codes)).size).toBe(Object.keys(codes).length);
 	});
 });
--- a/src/protocol/__tests__/keys-scale.test.ts
+++ b/src/protocol/__tests__/keys-scale.test.ts
@@ -2,13 +2,13 @@
 import {documentOf, Network} from '../../core/__tests__/network.js';
 import {encodeFrame} from '../peers.js';
 
-/** Bytes a second and host that introductions may still cost once a domain has been up for a while. */
-const lateIntroductions = 1000;
-const late = 80_000;
-const end = 90_000;
+/** Maximum handshake traffic of a host, in bytes per second, after the first 80 seconds of a domain. */
+const maxHandshakeBytesPerSecond = 1000;
+const settledAfterMs = 80_000;
+const endMs = 90_000;
 
-describe('keys in a domain too large for links between all hosts', () => {
-	it('are run by every host, and introductions become rare', () => {
+describe('keys in a failure domain too large for connections between all hosts', () => {
+	it('are served by every host, and handshakes become rare', () => {
 		const network = new Network();
 		const hosts = Array.from({length: 42}, (_, index) => `a${index}`);
 		for (const host of hosts) {
@@ -17,12 +17,12 @@
 
 		network.list(...hosts);
 		network.publish(documentOf(1), ...hosts);
-		network.run(end);
+		network.run(endMs);
 		const joined = hosts.filter(host => network.state(host).keys.joined);
 		expect(joined).toEqual(hosts);
 		const bytes = network.sent
-			.filter(({at, message}) => at > late && (message.type.startsWith('key-') || message.type === 'relay'))
+			.filter(({at, message}) => at > settledAfterMs && (message.type.startsWith('key-') || message.type === 'relay'))
 			.reduce((sum, {message}) => sum + encodeFrame(message).length, 0);
-		expect(bytes / hosts.length / ((end - late) / 1000)).toBeLessThan(lateIntroductions);
+		expect(bytes / hosts.length / ((endMs - settledAfterMs) / 1000)).toBeLessThan(maxHandshakeBytesPerSecond);
 	});
 });
--- a/src/protocol/__tests__/peers.test.ts
+++ b/src/protocol/__tests__/peers.test.ts
@@ -5,7 +5,7 @@
 import {codes} from '../../core/index.js';
 import {encodeFrame, messageReader, longestMessage} from '../peers.js';
 
-function frameOf(value: unknown): Uint8Array {
+function encodeRawFrame(value: unknown): Uint8Array {
 	const body = new Encoder({useRecords: false}).encode(value);
 	const frame = new Uint8Array(4 + body.length);
 	new DataView(frame.buffer).setUint32(0, body.length);
@@ -13,19 +13,19 @@
 	return frame;
 }
 
-describe('relayed documents', () => {
+describe('configuration documents between hosts', () => {
 	const text = JSON.stringify(Array.from({length: 5000}, (_, index) => ({id: `organisation-${index}`})));
 
-	it('arrive as they were, in a fraction of their size', () => {
+	it('arrive unchanged and are sent compressed', () => {
 		const frame = encodeFrame({type: 'configuration', text});
 		expect(frame.length).toBeLessThan(text.length / 4);
 		expect(messageReader().push(frame)).toEqual([{type: 'configuration', text}]);
 	});
 
-	it('are refused when they would not fit unpacked, or are not packed', () => {
+	it('are refused if they exceed the size limit when decompressed, or are not compressed', () => {
 		const bomb = deflateRawSync(Buffer.alloc(longestMessage * 4));
-		for (const packed of [bomb, new Uint8Array([1, 2, 3]), text]) {
-			expect(() => messageReader().push(frameOf({type: 'configuration', text: packed})))
+		for (const compressed of [bomb, new Uint8Array([1, 2, 3]), text]) {
+			expect(() => messageReader().push(encodeRawFrame({type: 'configuration', text: compressed})))
 				.toThrow(expect.objectContaining({code: codes.badPeerMessage}));
 		}
 	});
--- a/src/protocol/__tests__/token.test.ts
+++ b/src/protocol/__tests__/token.test.ts
@@ -5,8 +5,8 @@
 } from '../token.js';
 import {type Ticket, type TokenKey} from '../../core/index.js';
 
-const old: TokenKey = {id: 'old', secret: '11'.repeat(32)};
-const fresh: TokenKey = {id: 'fresh', secret: '22'.repeat(32)};
+const oldKey: TokenKey = {id: 'old', secret: '11'.repeat(32)};
+const newKey: TokenKey = {id: 'fresh', secret: '22'.repeat(32)};
 const ticket: Ticket = {
 	keeper: {host: 'a1', started: 7},
 	failureDomain: 'a',
@@ -20,38 +20,38 @@
 };
 
 describe('tokens', () => {
-	it('gives a ticket back until it expires', () => {
-		const token = signTicket([old], ticket);
-		expect(verifyTicket([old], token, 999)).toEqual({type: 'valid', value: ticket});
-		expect(verifyTicket([old], token, 1000)).toEqual({type: 'expired'});
+	it('returns a ticket until it expires', () => {
+		const token = signTicket([oldKey], ticket);
+		expect(verifyTicket([oldKey], token, 999)).toEqual({type: 'valid', value: ticket});
+		expect(verifyTicket([oldKey], token, 1000)).toEqual({type: 'expired'});
 	});
 
-	it('stays valid through each step of a key rotation', () => {
-		const before = signTicket([old], ticket);
-		const after = signTicket([fresh, old], ticket);
-		for (const keys of [[old, fresh], [fresh, old]]) {
+	it('keeps tickets valid during each step of a key rotation', () => {
+		const before = signTicket([oldKey], ticket);
+		const after = signTicket([newKey, oldKey], ticket);
+		for (const keys of [[oldKey, newKey], [newKey, oldKey]]) {
 			expect(verifyTicket(keys, before, 0).type).toBe('valid');
 			expect(verifyTicket(keys, after, 0).type).toBe('valid');
 		}
 
-		expect(verifyTicket([fresh], before, 0).type).toBe('bad');
+		expect(verifyTicket([newKey], before, 0).type).toBe('bad');
 	});
 
-	it('refuses what was changed, cut or of another kind', () => {
-		const token = signTicket([old], ticket);
+	it('refuses tokens that were changed, truncated or are of another kind', () => {
+		const token = signTicket([oldKey], ticket);
 		const forged = Buffer.from(JSON.stringify({...ticket, organisation: 'other'})).toString('base64url');
-		for (const text of ['', 'x', token.slice(0, -2), `${forged}.${token.split('.')[1]}`, `${token}.x`, signStream([old], stream)]) {
-			expect(verifyTicket([old], text, 0)).toEqual({type: 'bad'});
+		for (const text of ['', 'x', token.slice(0, -2), `${forged}.${token.split('.')[1]}`, `${token}.x`, signStream([oldKey], stream)]) {
+			expect(verifyTicket([oldKey], text, 0)).toEqual({type: 'bad'});
 		}
 
-		expect(verifyPosition([old], positionOf(token, 1), 0)).toEqual({type: 'bad'});
+		expect(verifyPosition([oldKey], positionOf(token, 1), 0)).toEqual({type: 'bad'});
 	});
 
-	it('names a place in a stream', () => {
-		const token = signStream([old], stream);
-		expect(verifyPosition([old], positionOf(token, 41), 0)).toEqual({type: 'valid', value: {...stream, offset: 41}});
-		expect(verifyPosition([old], `${token}:-1`, 0)).toEqual({type: 'bad'});
-		expect(verifyPosition([old], token, 0)).toEqual({type: 'bad'});
-		expect(verifyPosition([old], positionOf(token, 41), 1000)).toEqual({type: 'expired'});
+	it('returns a stream position until it expires', () => {
+		const token = signStream([oldKey], stream);
+		expect(verifyPosition([oldKey], positionOf(token, 41), 0)).toEqual({type: 'valid', value: {...stream, offset: 41}});
+		expect(verifyPosition([oldKey], `${token}:-1`, 0)).toEqual({type: 'bad'});
+		expect(verifyPosition([oldKey], token, 0)).toEqual({type: 'bad'});
+		expect(verifyPosition([oldKey], positionOf(token, 41), 1000)).toEqual({type: 'expired'});
 	});
 });
--- a/src/protocol/admin.ts
+++ b/src/protocol/admin.ts
@@ -1,17 +1,17 @@
 /**
- * What a host tells its operators, on a listener of its own. JSON both ways.
+ * Schemas of a host's admin API, which serves operators on a separate listener. Requests and responses are JSON.
  *
  * GET  /admin/status                          {@link statusSchema}
- * GET  /admin/configuration                   {@link inForceSchema}; an error body with `notConfigured` before the first
- * GET  /admin/decisions?request=ID&limit=N    {@link decisionsSchema}; without `request`, of every request
- * POST /admin/drain                           {@link drainWantedSchema}; 202 with {@link drainSchema}, also when already leaving
+ * GET  /admin/configuration                   {@link inForceSchema}; an error with `notConfigured` before the first document
+ * GET  /admin/decisions?request=ID&limit=N    {@link decisionsSchema}; decisions on all requests without `request`
+ * POST /admin/drain                           {@link drainWantedSchema}; 202 with {@link drainSchema}, also if the host is already leaving
  *
- * Any other answer is an {@link errorSchema}.
+ * Every other response is an {@link errorSchema}.
  */
 import {z} from 'zod';
 import {targetSchema} from '../core/index.js';
 
-/** Recent decisions that a host keeps for {@link decisionsSchema}; older ones are in its log. */
+/** Number of recent decisions returned if the query has no `limit`; older ones are in the host's log. */
 export const decisionsKept = 2000;
 
 const incarnation = z.object({
@@ -38,11 +38,11 @@
 	service: z.string(),
 	failureDomain: z.string(),
 	reachable: z.boolean(),
-	/** This host's own work in flight: requests, and tokens of prefill and decode. */
+	/** This host's own work in flight: number of requests, and tokens of prefill and decode. */
 	requests: z.number().int(),
 	prefill: z.number(),
 	decode: z.number(),
-	/** The upstream's last report, if any came. */
+	/** Last report of the upstream; absent until it sends one. */
 	report: z.object({
 		incarnation: z.string(),
 		ready: z.boolean(),
@@ -51,7 +51,7 @@
 		/** Tokens of KV memory. */
 		usedMemory: z.number(),
 		memory: z.number(),
-		/** Milliseconds since the figures were true. */
+		/** Age of the reported values in milliseconds. */
 		age: z.number(),
 		current: targetSchema.optional(),
 		loading: targetSchema.optional(),
@@ -62,7 +62,7 @@
 	service: z.string(),
 	waiting: z.number().int(),
 	running: z.number().int(),
-	/** Milliseconds that the oldest waiting request has waited. */
+	/** Time that the oldest waiting request has waited, in milliseconds. */
 	longestWait: z.number(),
 }).readonly();
 
@@ -86,7 +86,7 @@
 	text: z.string(),
 }).readonly();
 
-/** A decision as the core logs it; fields beside the type depend on it. */
+/** A decision as the core logs it; the other fields depend on its type. */
 export const loggedDecisionSchema = z.looseObject({type: z.string()}).readonly();
 
 export const decisionsSchema = z.object({
@@ -102,14 +102,14 @@
 }).readonly();
 
 export const drainWantedSchema = z.object({
-	/** Milliseconds given to running requests; the host's setting when absent. */
+	/** Time for running requests to finish, in milliseconds; defaults to the host's setting. */
 	grace: z.number().int().positive().optional(),
 }).readonly();
 
 export const drainSchema = z.object({
 	host: z.string(),
 	phase,
-	/** Requests still to finish. */
+	/** Requests that have not finished yet. */
 	unfinished: z.number().int(),
 }).readonly();
 
--- a/src/protocol/blocks.ts
+++ b/src/protocol/blocks.ts
@@ -1,4 +1,4 @@
-/** How a prompt's messages become text, tokens and chained block hashes; entry hosts and engines must agree on it. */
+/** Converts the messages of a prompt to text, token counts and chained block hashes. Entry hosts and engines must agree on the result. */
 import {createHash} from 'node:crypto';
 
 /** Characters that count as one token. */
@@ -7,10 +7,10 @@
 /** Tokens in one block of the prefix cache. */
 export const blockTokens = 256;
 
-/** Hexadecimal digits kept of each block's hash. */
+/** Length of a short digest in hexadecimal digits. */
 const hashDigits = 16;
 
-/** Part of a message's content; only text counts towards the prompt. */
+/** Part of a message's content; the prompt consists of the text parts only. */
 export type ContentPart = {
 	readonly type: string;
 	readonly text?: string;
@@ -21,7 +21,7 @@
 	readonly content: string | readonly ContentPart[];
 };
 
-function textOf(content: Message['content']): string {
+function joinText(content: Message['content']): string {
 	return typeof content === 'string'
 		? content
 		: content.map(part => part.text ?? '').join('');
@@ -29,15 +29,15 @@
 
 /**
  * @param messages - Messages of a chat.
- * @returns The prompt as one text.
+ * @returns The prompt as a single text.
  */
 export function renderPrompt(messages: readonly Message[]): string {
-	return messages.map(message => `${message.role}: ${textOf(message.content)}\n`).join('');
+	return messages.map(message => `${message.role}: ${joinText(message.content)}\n`).join('');
 }
 
 /**
  * @param prompt - Rendered prompt.
- * @returns Tokens that the text counts as.
+ * @returns Estimated number of tokens of the prompt.
  */
 export function countTokens(prompt: string): number {
 	return Math.ceil(prompt.length / charactersPerToken);
@@ -45,30 +45,30 @@
 
 /**
  * @param text - Any text.
- * @returns A short SHA-256 digest in hexadecimal.
+ * @returns The first 16 hexadecimal digits of the SHA-256 digest.
  */
 export function shortDigest(text: string): string {
 	return createHash('sha256').update(text).digest('hex').slice(0, hashDigits);
 }
 
 /**
- * Hashes each whole block of a prompt together with the blocks before it, so that equal hashes mean equal prefixes.
- * Where a prompt states a multiple of the tokens that its text has, each block takes that much less of the text; the
- * multiple is rounded, so that prompts of one multiple share their prefixes' hashes.
+ * Hashes each complete block of a prompt together with all preceding blocks, so that equal hashes mean equal prefixes.
+ * If the stated number of tokens is a multiple of the number that the text counts as, each block covers correspondingly
+ * less text. The factor is rounded, so that prompts with about the same factor share the hashes of their common prefixes.
  *
  * @param prompt - Rendered prompt.
- * @param tokens - Prompt tokens, as stated or as {@link countTokens} counts them.
- * @returns One hash for each whole block, first block first.
+ * @param tokens - Number of prompt tokens that the request states; {@link countTokens} by default.
+ * @returns One hash per complete block, in order.
  */
 export function hashBlocks(prompt: string, tokens: number = countTokens(prompt)): readonly string[] {
-	const multiple = Math.max(Math.round(tokens / Math.max(countTokens(prompt), 1)), 1);
-	const width = Math.max(Math.floor(blockTokens * charactersPerToken / multiple), 1);
-	const count = Math.min(Math.floor(prompt.length / width), Math.floor(tokens / blockTokens));
+	const factor = Math.max(Math.round(tokens / Math.max(countTokens(prompt), 1)), 1);
+	const charactersPerBlock = Math.max(Math.floor(blockTokens * charactersPerToken / factor), 1);
+	const blockCount = Math.min(Math.floor(prompt.length / charactersPerBlock), Math.floor(tokens / blockTokens));
 	const hashes: string[] = [];
-	let before = '';
-	for (let index = 0; index < count; index++) {
-		before = shortDigest(before + prompt.slice(index * width, (index + 1) * width));
-		hashes.push(before);
+	let previousHash = '';
+	for (let index = 0; index < blockCount; index++) {
+		previousHash = shortDigest(previousHash + prompt.slice(index * charactersPerBlock, (index + 1) * charactersPerBlock));
+		hashes.push(previousHash);
 	}
 
 	return hashes;
--- a/src/protocol/callers.ts
+++ b/src/protocol/callers.ts
@@ -1,21 +1,21 @@
-/** Names of the headers between callers and entry hosts. */
+/** Names of the HTTP headers between callers and entry hosts. */
 
-/** Sent by callers. */
+/** Headers of requests. */
 export const callerHeaders = {
-	/** Milliseconds the caller gives the request. */
+	/** Timeout of the request in milliseconds. */
 	timeout: 'x-timeout-ms',
-	/** `true` if the request may be repeated, `false` if it may run only once. */
+	/** `true` if the request may be repeated, `false` if it must not run more than once. */
 	idempotent: 'x-idempotent',
 	key: 'idempotency-key',
 	ticket: 'x-ticket',
-	/** Urgency from 0 to 9; never above the organisation's. */
+	/** Urgency from 0 to 9, at most that of the organisation. */
 	priority: 'x-priority',
 	promptTokens: 'x-prompt-tokens',
-	/** Position of the last event of a stream that was seen. */
+	/** Position of the last stream event that the caller received. */
 	position: 'last-event-id',
 } as const;
 
-/** Sent back. */
+/** Headers of responses. */
 export const answerHeaders = {
 	outcome: 'x-outcome',
 	code: 'x-result-code',
--- a/src/protocol/configuration/__tests__/difference.test.ts
+++ b/src/protocol/configuration/__tests__/difference.test.ts
@@ -5,7 +5,7 @@
 } from '../index.js';
 import {base, text} from './documents.js';
 
-function read(overrides: Readonly<Record<string, unknown>> = {}): Configuration {
+function parse(overrides: Readonly<Record<string, unknown>> = {}): Configuration {
 	const parsed = parseConfiguration(text(overrides));
 	if (parsed.type === 'invalid') {
 		throw new Error(JSON.stringify(parsed.mistakes));
@@ -14,12 +14,12 @@
 	return parsed.configuration;
 }
 
-function words(overrides: Readonly<Record<string, unknown>>): readonly string[] {
-	return difference(read(), read(overrides)).map(change => changeInWords(change));
+function describeChanges(overrides: Readonly<Record<string, unknown>>): readonly string[] {
+	return difference(parse(), parse(overrides)).map(change => changeInWords(change));
 }
 
-function warnings(overrides: Readonly<Record<string, unknown>>): readonly string[] {
-	return warningsOf(read({revision: 8, ...overrides}), read()).map(({type}) => type);
+function findWarningTypes(overrides: Readonly<Record<string, unknown>>): readonly string[] {
+	return warningsOf(parse({revision: 8, ...overrides}), parse()).map(({type}) => type);
 }
 
 const [check, reference] = base.services;
@@ -27,9 +27,9 @@
 const [k1, k2] = base.tokenKeys;
 
 describe('difference', () => {
-	it('finds none in the same document, whatever the order of its entries', () => {
-		expect(words({})).toEqual([]);
-		expect(words({services: [reference, check], upstreams: base.upstreams.toReversed()})).toEqual([]);
+	it('finds no changes in the same document, regardless of the order of its entries', () => {
+		expect(describeChanges({})).toEqual([]);
+		expect(describeChanges({services: [reference, check], upstreams: base.upstreams.toReversed()})).toEqual([]);
 	});
 
 	it.each([
@@ -49,20 +49,20 @@
 			{takeovers: [{service: 'check', failureDomain: 'north', servedBy: 'legacy'}]},
 			'Service "check" in "north" for every organisation: served by the old endpoint',
 		],
-	])('says in words: %j', (overrides, expected) => {
-		expect(words(overrides)[0]).toBe(expected);
+	])('describes %j', (overrides, expected) => {
+		expect(describeChanges(overrides)[0]).toBe(expected);
 	});
 
-	it('shows no secret', () => {
+	it('contains no secret', () => {
 		const secret = '3'.repeat(64);
-		const said = words({tokenKeys: [{...k1, secret}, {id: 'k3', secret}]}).join('\n');
-		expect(said).not.toContain('333');
+		const description = describeChanges({tokenKeys: [{...k1, secret}, {id: 'k3', secret}]}).join('\n');
+		expect(description).not.toContain('333');
 	});
 });
 
 describe('warnings', () => {
-	it('is silent on a harmless change', () => {
-		expect(warnings({organisations: [{...daily, weight: 2}, weekly]})).toEqual(['no-engine-to-spare']);
+	it('does not warn of a harmless change', () => {
+		expect(findWarningTypes({organisations: [{...daily, weight: 2}, weekly]})).toEqual(['no-engine-to-spare']);
 	});
 
 	it.each([
@@ -94,11 +94,11 @@
 			}],
 		}, 'grace-below-deadline'],
 	])('warns of %j', (overrides, expected) => {
-		expect(warnings(overrides)).toContain(expected);
+		expect(findWarningTypes(overrides)).toContain(expected);
 	});
 
-	it('takes a third takeover as the settlement of two that disagree', () => {
-		expect(warnings({
+	it('does not warn of takeovers that disagree if a third one decides between them', () => {
+		expect(findWarningTypes({
 			takeovers: [
 				{service: 'check', failureDomain: 'north', servedBy: 'legacy'},
 				{service: 'check', organisation: 'daily', servedBy: 'cranberrytide'},
@@ -109,8 +109,8 @@
 		})).not.toContain('takeovers-disagree');
 	});
 
-	it('lets a key rotate in three safe steps', () => {
-		const steps = [[k1, k2], [k2, k1], [k2]].map((tokenKeys, index) => read({revision: 8 + index, tokenKeys}));
+	it('does not warn of a key rotation in three steps', () => {
+		const steps = [[k1, k2], [k2, k1], [k2]].map((tokenKeys, index) => parse({revision: 8 + index, tokenKeys}));
 		const types = steps.slice(1).flatMap((after, index) => warningsOf(after, steps[index]).map(({type}) => type));
 		expect(types.filter(type => type.includes('key'))).toEqual([]);
 	});
--- a/src/protocol/configuration/__tests__/documents.ts
+++ b/src/protocol/configuration/__tests__/documents.ts
@@ -1,8 +1,8 @@
-/** Documents that the tests of this folder start from. */
+/** Configuration documents for tests. */
 
-const hash = (digit: string) => digit.repeat(64);
+const repeatHashDigit = (digit: string) => digit.repeat(64);
 
-/** As a document is written; tests override whole lists. */
+/** A valid document before parsing; tests override whole lists of it. */
 export const base = {
 	schema: 1,
 	revision: 7,
@@ -16,13 +16,13 @@
 		},
 	],
 	organisations: [
-		{id: 'daily', keyHashes: [hash('a')], priority: 2},
-		{id: 'weekly', keyHashes: [hash('b')]},
+		{id: 'daily', keyHashes: [repeatHashDigit('a')], priority: 2},
+		{id: 'weekly', keyHashes: [repeatHashDigit('b')]},
 	],
 	upstreams: [
-		engine('n1', 'north', 9001),
-		engine('n2', 'north', 9002),
-		engine('s1', 'south', 9003),
+		createEngine('n1', 'north', 9001),
+		createEngine('n2', 'north', 9002),
+		createEngine('s1', 'south', 9003),
 		{
 			id: 'plain-1', kind: 'plain', service: 'reference', failureDomain: 'north', address: {host: '10.0.0.1', port: 9100},
 		},
@@ -30,10 +30,10 @@
 			id: 'old-check', kind: 'legacy', service: 'check', failureDomain: 'north', address: {host: '10.0.0.1', port: 9200},
 		},
 	],
-	tokenKeys: [{id: 'k1', secret: hash('1')}, {id: 'k2', secret: hash('2')}],
+	tokenKeys: [{id: 'k1', secret: repeatHashDigit('1')}, {id: 'k2', secret: repeatHashDigit('2')}],
 };
 
-export function engine(id: string, failureDomain: string, port: number) {
+export function createEngine(id: string, failureDomain: string, port: number) {
 	return {
 		id, kind: 'engine', service: 'check', failureDomain, address: {host: '10.0.0.1', port}, memory: 400_000, fencing: true,
 	};
--- a/src/protocol/configuration/__tests__/parse.test.ts
+++ b/src/protocol/configuration/__tests__/parse.test.ts
@@ -1,58 +1,58 @@
 import {createHash} from 'node:crypto';
 import {describe, expect, it} from 'vitest';
 import {parseConfiguration} from '../index.js';
-import {base, engine, text} from './documents.js';
+import {base, createEngine, text} from './documents.js';
 
-function mistakes(document: string) {
+function findMistakes(document: string) {
 	const parsed = parseConfiguration(document);
 	return parsed.type === 'valid' ? [] : parsed.mistakes.map(({path, code}) => `${code} ${path}`);
 }
 
 describe('parseConfiguration', () => {
-	it('gives the configuration with the digest of its text', () => {
+	it('returns the configuration with the digest of its text', () => {
 		const parsed = parseConfiguration(text());
 		expect(parsed).toMatchObject({type: 'valid', configuration: {revision: 7, stopRule: {concurrentHosts: 1}}, unknownFields: []});
 		expect(parsed).toHaveProperty('digest', createHash('sha256').update(text()).digest('hex'));
 	});
 
-	it('refuses what is too large before reading it', () => {
-		expect(mistakes(' '.repeat(1_000_001))).toEqual(['documentTooLarge $']);
+	it('refuses a document that is too large before parsing it', () => {
+		expect(findMistakes(' '.repeat(1_000_001))).toEqual(['documentTooLarge $']);
 		expect(parseConfiguration(text(), 10)).toMatchObject({type: 'invalid', mistakes: [{code: 'documentTooLarge'}]});
 		expect(parseConfiguration('é'.repeat(6), 11)).toMatchObject({mistakes: [{code: 'documentTooLarge'}]});
 	});
 
-	it('refuses what is not JSON', () => {
-		expect(mistakes('{')).toEqual(['badDocument $']);
+	it('refuses text that is not JSON', () => {
+		expect(findMistakes('{')).toEqual(['badDocument $']);
 	});
 
-	it('names each mistake of shape with its path', () => {
+	it('reports each schema violation with its path', () => {
 		const [daily] = base.organisations;
-		expect(mistakes(text({revision: 0, organisations: [{...daily, priority: 12}]}))).toEqual([
+		expect(findMistakes(text({revision: 0, organisations: [{...daily, priority: 12}]}))).toEqual([
 			'badDocument $.revision',
 			'badDocument $.organisations[0].priority',
 		]);
 	});
 
-	it('bounds the list of mistakes', () => {
+	it('limits the list of mistakes', () => {
 		const parsed = parseConfiguration(text({services: Array.from({length: 250}, () => 0)}));
 		expect(parsed).toMatchObject({type: 'invalid', further: 150});
 	});
 
-	it('lists fields that it leaves out', () => {
+	it('lists the unknown fields that it ignores', () => {
 		const [check] = base.services;
 		expect(parseConfiguration(text({takeover: [], services: [{...check, dead: 1}, base.services[1]]})))
 			.toMatchObject({type: 'valid', unknownFields: ['$.services[0].dead', '$.takeover']});
 	});
 
 	it.each([
-		['upstreams', [engine('x', 'west', 1)], ['brokenReference $.upstreams[0].failureDomain']],
-		['upstreams', [{...engine('x', 'north', 1), service: 'none'}], ['brokenReference $.upstreams[0].service']],
-		['upstreams', [{...engine('x', 'north', 1), service: 'reference'}], ['brokenReference $.upstreams[0].service']],
-		['upstreams', [{...engine('x', 'north', 1), target: {model: 'm', version: '1', adapters: ['a', 'a']}}], [
+		['upstreams', [createEngine('x', 'west', 1)], ['brokenReference $.upstreams[0].failureDomain']],
+		['upstreams', [{...createEngine('x', 'north', 1), service: 'none'}], ['brokenReference $.upstreams[0].service']],
+		['upstreams', [{...createEngine('x', 'north', 1), service: 'reference'}], ['brokenReference $.upstreams[0].service']],
+		['upstreams', [{...createEngine('x', 'north', 1), target: {model: 'm', version: '1', adapters: ['a', 'a']}}], [
 			'brokenReference $.upstreams[0].target.model',
 			'duplicateEntry $.upstreams[0].target.adapters[1]',
 		]],
-		['upstreams', [engine('x', 'north', 1), engine('x', 'south', 1)], [
+		['upstreams', [createEngine('x', 'north', 1), createEngine('x', 'south', 1)], [
 			'duplicateEntry $.upstreams[1].id',
 			'duplicateEntry $.upstreams[1].address',
 		]],
@@ -76,7 +76,7 @@
 			{service: 'check', failureDomain: 'north', servedBy: 'cranberrytide'},
 		], ['duplicateEntry $.takeovers[1]']],
 	])('checks references of %s', (list, value, expected) => {
-		expect(mistakes(text({[list]: value}))).toEqual(expected);
+		expect(findMistakes(text({[list]: value}))).toEqual(expected);
 	});
 
 	it.each([
@@ -86,10 +86,10 @@
 		[{readyEngines: 2}, 'impossibleLimit $.services[0].readyEngines'],
 	])('finds limits that cannot be met: %j', (fields, expected) => {
 		const [check, reference] = base.services;
-		expect(mistakes(text({services: [{...check, ...fields}, reference]}))).toEqual([expected]);
+		expect(findMistakes(text({services: [{...check, ...fields}, reference]}))).toEqual([expected]);
 	});
 
 	it('finds engines too small for a short prompt', () => {
-		expect(mistakes(text({upstreams: [{...engine('x', 'north', 1), memory: 4000}]}))).toEqual(['impossibleLimit $.upstreams[0].memory']);
+		expect(findMistakes(text({upstreams: [{...createEngine('x', 'north', 1), memory: 4000}]}))).toEqual(['impossibleLimit $.upstreams[0].memory']);
 	});
 });
--- a/src/protocol/configuration/__tests__/properties.test.ts
+++ b/src/protocol/configuration/__tests__/properties.test.ts
@@ -10,37 +10,37 @@
 	warningsOf,
 	type Parsed,
 } from '../index.js';
-import {base, engine} from './documents.js';
+import {base, createEngine} from './documents.js';
 
-/** The same inputs in every run. */
-const fixed = {seed: 20_261_202, numRuns: 400};
+/** A fixed seed, so that every run has the same inputs. */
+const runOptions = {seed: 20_261_202, numRuns: 400};
 
-type Place = ReadonlyArray<string | number>;
+type DocumentPath = ReadonlyArray<string | number>;
 
-/** Every place in a document, the document itself first. */
-function places(value: unknown, place: Place = []): readonly Place[] {
+/** Lists the path of every value in a document, starting with the document itself. */
+function listPaths(value: unknown, path: DocumentPath = []): readonly DocumentPath[] {
 	if (typeof value !== 'object' || value === null) {
-		return [place];
+		return [path];
 	}
 
 	const isList = Array.isArray(value);
-	return [place, ...Object.entries(value).flatMap(([key, below]) => places(below, [...place, isList ? Number(key) : key]))];
+	return [path, ...Object.entries(value).flatMap(([key, child]) => listPaths(child, [...path, isList ? Number(key) : key]))];
 }
 
-const allPlaces = places(base);
-const mutated = fc.array(fc.tuple(fc.nat(allPlaces.length - 1), fc.jsonValue()), {minLength: 1, maxLength: 3}).map(changes => {
+const allPaths = listPaths(base);
+const mutatedTexts = fc.array(fc.tuple(fc.nat(allPaths.length - 1), fc.jsonValue()), {minLength: 1, maxLength: 3}).map(changes => {
 	let document: unknown = base;
 	for (const [index, value] of changes) {
-		const place = allPlaces[index]!;
-		if (hasIn(document, place)) {
-			document = setIn(document, place, value);
+		const path = allPaths[index]!;
+		if (hasIn(document, path)) {
+			document = setIn(document, path, value);
 		}
 	}
 
 	return JSON.stringify(document);
 });
 
-function isCoded(parsed: Parsed): boolean {
+function isValidOrCoded(parsed: Parsed): boolean {
 	return parsed.type === 'valid'
 		|| (parsed.mistakes.length > 0 && parsed.mistakes.every(({path, code, text}) => path.startsWith('$') && Object.hasOwn(codes, code) && text.endsWith('.')));
 }
@@ -67,7 +67,7 @@
 		organisations: organisations.map((id, index) => ({
 			id, keyHashes: [hashes[index]], priority, limits,
 		})),
-		upstreams: [...base.upstreams, ...domains.map((id, index) => engine(`extra-${id}`, id, 10_000 + index))],
+		upstreams: [...base.upstreams, ...domains.map((id, index) => createEngine(`extra-${id}`, id, 10_000 + index))],
 		tokenKeys: keys.map((secret, index) => ({id: `k${index}`, secret})),
 		takeovers: [{service: 'check', organisation: organisations[0], servedBy}],
 	}));
@@ -78,29 +78,29 @@
 	return parsed.configuration;
 });
 
-describe('parseConfiguration, whatever it is given', () => {
-	it('answers any text by a configuration or coded mistakes', () => {
-		fc.assert(fc.property(fc.string({unit: 'binary', maxLength: 200}), text => isCoded(parseConfiguration(text))), fixed);
+describe('parseConfiguration with arbitrary input', () => {
+	it('returns a configuration or coded mistakes for any text', () => {
+		fc.assert(fc.property(fc.string({unit: 'binary', maxLength: 200}), text => isValidOrCoded(parseConfiguration(text))), runOptions);
 	});
 
-	it('answers any JSON by a configuration or coded mistakes', () => {
-		fc.assert(fc.property(fc.json({maxDepth: 6}), text => isCoded(parseConfiguration(text))), fixed);
+	it('returns a configuration or coded mistakes for any JSON', () => {
+		fc.assert(fc.property(fc.json({maxDepth: 6}), text => isValidOrCoded(parseConfiguration(text))), runOptions);
 	});
 
-	it('answers a document that was changed anywhere by a configuration or coded mistakes', () => {
-		fc.assert(fc.property(mutated, text => isCoded(parseConfiguration(text))), fixed);
+	it('returns a configuration or coded mistakes for a document that was changed at any path', () => {
+		fc.assert(fc.property(mutatedTexts, text => isValidOrCoded(parseConfiguration(text))), runOptions);
 	});
 
-	it('is not led astray by deep nesting or names of prototypes', () => {
+	it('handles deep nesting and the names of prototype members', () => {
 		const deep = `${'['.repeat(100_000)}${']'.repeat(100_000)}`;
-		expect(isCoded(parseConfiguration(deep))).toBe(true);
+		expect(isValidOrCoded(parseConfiguration(deep))).toBe(true);
 		expect(parseConfiguration(JSON.stringify(base).replace('{', `{"x":${deep},"__proto__":{"revision":99},`)))
 			.toMatchObject({type: 'valid', configuration: {revision: 7}, unknownFields: ['$.x', '$.__proto__']});
 	});
 });
 
-describe('difference, whatever it is given', () => {
-	it('is empty from a document to itself and to its reordered copy', () => {
+describe('difference of arbitrary documents', () => {
+	it('is empty for a document compared with itself or with a reordered copy', () => {
 		fc.assert(fc.property(documents, document => {
 			const reordered = {
 				...document,
@@ -111,17 +111,17 @@
 			};
 			expect(difference(document, document)).toEqual([]);
 			expect(difference(document, reordered)).toEqual([]);
-		}), fixed);
+		}), runOptions);
 	});
 
-	it('finds something where documents differ, and says it without a secret', () => {
+	it('is not empty for documents that differ, and its description contains no secret', () => {
 		fc.assert(fc.property(documents, documents, (before, after) => {
 			const changes = difference(before, after);
 			expect(changes.length > 0).toBe(JSON.stringify(before) !== JSON.stringify(after));
-			const said = [...changes.map(change => changeInWords(change)), ...warningsOf(after, before).map(warning => warningInWords(warning))].join('\n');
+			const description = [...changes.map(change => changeInWords(change)), ...warningsOf(after, before).map(warning => warningInWords(warning))].join('\n');
 			for (const {secret} of [...before.tokenKeys, ...after.tokenKeys]) {
-				expect(said).not.toContain(secret);
+				expect(description).not.toContain(secret);
 			}
-		}), fixed);
+		}), runOptions);
 	});
 });
--- a/src/protocol/configuration/capacities.ts
+++ b/src/protocol/configuration/capacities.ts
@@ -1,4 +1,4 @@
-/** Finds limits that cannot be met. */
+/** Finds limits that contradict each other or that the upstreams cannot meet. */
 import {
 	type Configuration,
 	type Engine,
@@ -12,56 +12,56 @@
 type Path = readonly PropertyKey[];
 
 /**
- * @param configuration - A document of the right shape.
- * @returns Every limit that contradicts another one or that the upstreams cannot meet.
+ * @param configuration - Document that matches the schema.
+ * @returns One mistake per limit that cannot be met.
  */
-export function capacityMistakes(configuration: Configuration): readonly Mistake[] {
+export function findCapacityMistakes(configuration: Configuration): readonly Mistake[] {
 	const engines = groupBy(
 		configuration.upstreams.filter(each => each.kind === 'engine'),
 		each => each.service,
 	);
 	return [
 		...configuration.services.flatMap((service, index) => [
-			...deadlineMistakes(service, ['services', index]),
-			...(service.kind === 'model' ? modelMistakes(service, ['services', index], engines.get(service.id) ?? []) : []),
+			...findDeadlineMistakes(service, ['services', index]),
+			...(service.kind === 'model' ? findModelServiceMistakes(service, ['services', index], engines.get(service.id) ?? []) : []),
 		]),
-		...memoryMistakes(configuration),
+		...findMemoryMistakes(configuration),
 	];
 }
 
-function impossible(path: Path, text: string): Mistake {
+function createMistake(path: Path, text: string): Mistake {
 	return {path: formatPath(path), code: 'impossibleLimit', text};
 }
 
-function deadlineMistakes({deadline}: Service, path: Path): readonly Mistake[] {
+function findDeadlineMistakes({deadline}: Service, path: Path): readonly Mistake[] {
 	return deadline.default > deadline.most
-		? [impossible([...path, 'deadline', 'default'], `The default of ${deadline.default} ms is above the most, ${deadline.most} ms.`)]
+		? [createMistake([...path, 'deadline', 'default'], `The default of ${deadline.default} ms is above the most, ${deadline.most} ms.`)]
 		: [];
 }
 
-function modelMistakes(service: ModelService, path: Path, engines: readonly Engine[]): readonly Mistake[] {
+function findModelServiceMistakes(service: ModelService, path: Path, engines: readonly Engine[]): readonly Mistake[] {
 	const {lengthClasses: {short, long}, weights, readyEngines} = service;
 	const mistakes: Mistake[] = [];
 	if (short >= long) {
-		mistakes.push(impossible([...path, 'lengthClasses', 'short'], `Short prompts end at ${short} tokens, but long ones begin at ${long}.`));
+		mistakes.push(createMistake([...path, 'lengthClasses', 'short'], `Short prompts end at ${short} tokens, but long ones begin at ${long}.`));
 	}
 
 	if (weights.slowdown === 0 && weights.firstToken === 0) {
-		mistakes.push(impossible([...path, 'weights'], 'One of the weights must be above 0.'));
+		mistakes.push(createMistake([...path, 'weights'], 'One of the weights must be above 0.'));
 	}
 
-	for (const [domain, members] of groupBy(engines, each => each.failureDomain)) {
-		if (members.length < readyEngines) {
-			const text = `${readyEngines} engines are to stay ready, but the failure domain "${domain}" has ${members.length}.`;
-			mistakes.push(impossible([...path, 'readyEngines'], text));
+	for (const [failureDomain, domainEngines] of groupBy(engines, each => each.failureDomain)) {
+		if (domainEngines.length < readyEngines) {
+			const text = `${readyEngines} engines must stay ready, but the failure domain "${failureDomain}" has ${domainEngines.length}.`;
+			mistakes.push(createMistake([...path, 'readyEngines'], text));
 		}
 	}
 
 	return mistakes;
 }
 
-/** An engine must hold at least a short prompt with its answer. */
-function memoryMistakes(configuration: Configuration): readonly Mistake[] {
+/** The memory of an engine must hold at least a short prompt and its answer. */
+function findMemoryMistakes(configuration: Configuration): readonly Mistake[] {
 	const services = new Map(configuration.services.map(each => [each.id, each]));
 	return configuration.upstreams.flatMap((upstream, index) => {
 		const service = services.get(upstream.service);
@@ -69,11 +69,11 @@
 			return [];
 		}
 
-		const needed = service.lengthClasses.short + service.expectedOutput;
-		return upstream.memory < needed
-			? [impossible(
+		const neededTokens = service.lengthClasses.short + service.expectedOutput;
+		return upstream.memory < neededTokens
+			? [createMistake(
 				['upstreams', index, 'memory'],
-				`${upstream.memory} tokens hold no short prompt of "${service.id}" with its answer, which need ${needed}.`,
+				`${upstream.memory} tokens are too few for a short prompt of "${service.id}" with its answer, which needs ${neededTokens}.`,
 			)]
 			: [];
 	});
--- a/src/protocol/configuration/group.ts
+++ b/src/protocol/configuration/group.ts
@@ -1,9 +1,9 @@
-/** Groups entries by a key. */
-
 /**
- * @param entries - What to group.
- * @param keyOf - Gives the group of an entry.
- * @returns The entries of each group, both in the order of first appearance.
+ * Groups entries by a key.
+ *
+ * @param entries - Entries to group.
+ * @param keyOf - Returns the key of an entry.
+ * @returns The entries by key; groups and their entries are in the order of first appearance.
  */
 export function groupBy<Entry, Key>(entries: readonly Entry[], keyOf: (entry: Entry) => Key): ReadonlyMap<Key, readonly Entry[]> {
 	const groups = new Map<Key, Entry[]>();
--- a/src/protocol/configuration/issue.ts
+++ b/src/protocol/configuration/issue.ts
@@ -1,9 +1,9 @@
-/** Puts what the schema finds wrong into words for operators. */
+/** Describes schema violations for operators. */
 import {type z} from 'zod';
 
 type Issue = z.core.$ZodIssue;
 
-const kinds: Readonly<Record<string, string>> = {
+const expectedTypeNames: Readonly<Record<string, string>> = {
 	string: 'text',
 	number: 'a number',
 	int: 'a whole number',
@@ -13,14 +13,14 @@
 };
 
 /**
- * @param issue - What the schema found.
+ * @param issue - Issue that the schema reports.
  * @returns One sentence.
  */
-export function issueInWords(issue: Issue): string {
+export function describeIssue(issue: Issue): string {
 	switch (issue.code) {
 		case 'invalid_type': {
 			const isMissing = issue.message.endsWith('received undefined');
-			return `${isMissing ? 'This is missing' : 'This is not valid'}: ${kinds[issue.expected] ?? issue.expected} is expected.`;
+			return `${isMissing ? 'This is missing' : 'This is not valid'}: ${expectedTypeNames[issue.expected] ?? issue.expected} is expected.`;
 		}
 
 		case 'invalid_value': {
@@ -28,31 +28,31 @@
 		}
 
 		case 'invalid_union': {
-			return 'The kind is none of those known here.';
+			return 'The kind is unknown.';
 		}
 
 		case 'too_small': {
-			return `${measured(issue.origin)} must be ${issue.inclusive === true ? 'at least' : 'above'} ${issue.minimum}.`;
+			return `${describeQuantity(issue.origin)} must be ${issue.inclusive === true ? 'at least' : 'above'} ${issue.minimum}.`;
 		}
 
 		case 'too_big': {
-			return `${measured(issue.origin)} must be ${issue.inclusive === true ? 'at most' : 'below'} ${issue.maximum}.`;
+			return `${describeQuantity(issue.origin)} must be ${issue.inclusive === true ? 'at most' : 'below'} ${issue.maximum}.`;
 		}
 
 		default: {
-			return sentence(issue.message);
+			return endWithFullStop(issue.message);
 		}
 	}
 }
 
-function measured(origin: string): string {
+function describeQuantity(origin: string): string {
 	return ['string', 'array'].includes(origin) ? 'The length' : 'The number';
 }
 
 /**
- * @param message - Message of a library.
+ * @param message - Message of a library, with or without a full stop.
  * @returns The message with a full stop.
  */
-export function sentence(message: string): string {
+export function endWithFullStop(message: string): string {
 	return message.endsWith('.') ? message : `${message}.`;
 }
--- a/src/protocol/configuration/path.ts
+++ b/src/protocol/configuration/path.ts
@@ -1,7 +1,7 @@
-/** JSON paths in the form `$.services[0].deadline`. */
+/** Formats JSON paths such as `$.services[0].deadline`. */
 
 /**
- * @param steps - Keys and indices from the document down.
+ * @param steps - Keys and indices, starting at the root of the document.
  * @returns The JSON path.
  */
 export function formatPath(steps: readonly PropertyKey[]): string {
--- a/src/protocol/configuration/references.ts
+++ b/src/protocol/configuration/references.ts
@@ -1,4 +1,4 @@
-/** Finds entries that are named twice and names that stand for nothing. */
+/** Finds duplicate entries and references to entries that do not exist. */
 import {
 	type Configuration,
 	type Engine,
@@ -13,33 +13,33 @@
 type Path = readonly PropertyKey[];
 
 /**
- * @param configuration - A document of the right shape.
- * @returns Every duplicate and every reference to something that the document does not have.
+ * @param configuration - Document that matches the schema.
+ * @returns One mistake per duplicate and per broken reference.
  */
-export function referenceMistakes(configuration: Configuration): readonly Mistake[] {
-	const names = namesOf(configuration);
+export function findReferenceMistakes(configuration: Configuration): readonly Mistake[] {
+	const names = collectNames(configuration);
 	return [
-		...duplicateNames(configuration),
-		...duplicateKeyHashes(configuration),
-		...duplicateAddresses(configuration),
-		...configuration.upstreams.flatMap((upstream, index) => upstreamMistakes(upstream, ['upstreams', index], names)),
-		...duplicateStops(configuration),
-		...configuration.plannedStops.flatMap((stop, index) => stopMistakes(stop, ['plannedStops', index], names)),
-		...duplicateTakeovers(configuration),
-		...configuration.takeovers.flatMap((takeover, index) => takeoverMistakes(takeover, ['takeovers', index], names)),
+		...findDuplicateNames(configuration),
+		...findDuplicateKeyHashes(configuration),
+		...findDuplicateAddresses(configuration),
+		...configuration.upstreams.flatMap((upstream, index) => findUpstreamMistakes(upstream, ['upstreams', index], names)),
+		...findDuplicateStops(configuration),
+		...configuration.plannedStops.flatMap((stop, index) => findStopMistakes(stop, ['plannedStops', index], names)),
+		...findDuplicateTakeovers(configuration),
+		...configuration.takeovers.flatMap((takeover, index) => findTakeoverMistakes(takeover, ['takeovers', index], names)),
 	];
 }
 
-type Names = {
+type DeclaredNames = {
 	readonly failureDomains: ReadonlySet<string>;
 	readonly services: ReadonlyMap<string, Service>;
 	readonly organisations: ReadonlySet<string>;
 	readonly upstreams: ReadonlySet<string>;
-	/** Services that have an old endpoint. */
+	/** Ids of the services that have an old endpoint. */
 	readonly legacy: ReadonlySet<string>;
 };
 
-function namesOf(configuration: Configuration): Names {
+function collectNames(configuration: Configuration): DeclaredNames {
 	return {
 		failureDomains: new Set(configuration.failureDomains.map(each => each.id)),
 		services: new Map(configuration.services.map(each => [each.id, each])),
@@ -51,16 +51,16 @@
 	};
 }
 
-function missing(path: Path, kind: string, id: string): Mistake {
+function createBrokenReference(path: Path, kind: string, id: string): Mistake {
 	return {path: formatPath(path), code: 'brokenReference', text: `There is no ${kind} "${id}".`};
 }
 
-function duplicate(path: Path, text: string): Mistake {
+function createDuplicateEntry(path: Path, text: string): Mistake {
 	return {path: formatPath(path), code: 'duplicateEntry', text};
 }
 
-/** Reports each entry whose key an earlier one has. */
-function repeated<Entry>(
+/** Reports each entry that has the same key as an earlier one. */
+function findDuplicates<Entry>(
 	entries: ReadonlyArray<readonly [Path, Entry]>,
 	keyOf: (entry: Entry) => string,
 	text: (key: string) => string,
@@ -70,7 +70,7 @@
 	for (const [path, entry] of entries) {
 		const key = keyOf(entry);
 		if (seen.has(key)) {
-			mistakes.push(duplicate(path, text(key)));
+			mistakes.push(createDuplicateEntry(path, text(key)));
 		}
 
 		seen.add(key);
@@ -81,39 +81,39 @@
 
 const namedLists = ['failureDomains', 'services', 'organisations', 'upstreams', 'tokenKeys', 'plannedStops'] as const;
 
-function duplicateNames(configuration: Configuration): readonly Mistake[] {
-	return namedLists.flatMap(list => repeated(
+function findDuplicateNames(configuration: Configuration): readonly Mistake[] {
+	return namedLists.flatMap(list => findDuplicates(
 		configuration[list].map(({id}, index) => [[list, index, 'id'], id]),
 		id => id,
-		id => `"${id}" stands twice in ${list}.`,
+		id => `"${id}" appears twice in ${list}.`,
 	));
 }
 
-function duplicateKeyHashes(configuration: Configuration): readonly Mistake[] {
+function findDuplicateKeyHashes(configuration: Configuration): readonly Mistake[] {
 	const hashes = configuration.organisations.flatMap((organisation, index) =>
-		organisation.keyHashes.map((hash, place) => [['organisations', index, 'keyHashes', place], hash] as const));
-	return repeated(hashes, hash => hash, hash => `The key hash ${hash.slice(0, 8)}… already belongs to an organisation.`);
+		organisation.keyHashes.map((hash, hashIndex) => [['organisations', index, 'keyHashes', hashIndex], hash] as const));
+	return findDuplicates(hashes, hash => hash, hash => `The key hash ${hash.slice(0, 8)}… already belongs to an organisation.`);
 }
 
-/** Old endpoints may share an address, since one script often serves several services. */
-function duplicateAddresses(configuration: Configuration): readonly Mistake[] {
+/** Old endpoints may share an address because a single script often serves several services. */
+function findDuplicateAddresses(configuration: Configuration): readonly Mistake[] {
 	const addresses = configuration.upstreams.flatMap((upstream, index) => {
 		const {address: {host, port}, kind, service} = upstream;
 		const scope = kind === 'engine' ? '' : service;
 		return kind === 'legacy' ? [] : [[['upstreams', index, 'address'], `${host}:${port} ${scope}`] as const];
 	});
-	return repeated(addresses, address => address, address => `Another upstream has the address ${address.trim()}.`);
+	return findDuplicates(addresses, address => address, address => `Another upstream has the address ${address.trim()}.`);
 }
 
-function upstreamMistakes(upstream: Upstream, path: Path, names: Names): readonly Mistake[] {
+function findUpstreamMistakes(upstream: Upstream, path: Path, names: DeclaredNames): readonly Mistake[] {
 	const mistakes: Mistake[] = [];
 	if (!names.failureDomains.has(upstream.failureDomain)) {
-		mistakes.push(missing([...path, 'failureDomain'], 'failure domain', upstream.failureDomain));
+		mistakes.push(createBrokenReference([...path, 'failureDomain'], 'failure domain', upstream.failureDomain));
 	}
 
 	const service = names.services.get(upstream.service);
 	if (service === undefined) {
-		return [...mistakes, missing([...path, 'service'], 'service', upstream.service)];
+		return [...mistakes, createBrokenReference([...path, 'service'], 'service', upstream.service)];
 	}
 
 	if (upstream.kind !== 'legacy' && (upstream.kind === 'engine') !== (service.kind === 'model')) {
@@ -122,13 +122,13 @@
 	}
 
 	if (upstream.kind === 'engine') {
-		mistakes.push(...targetMistakes(upstream, service, path));
+		mistakes.push(...findTargetMistakes(upstream, service, path));
 	}
 
 	return mistakes;
 }
 
-function targetMistakes({target}: Engine, service: Service, path: Path): readonly Mistake[] {
+function findTargetMistakes({target}: Engine, service: Service, path: Path): readonly Mistake[] {
 	if (target === undefined) {
 		return [];
 	}
@@ -140,50 +140,50 @@
 	}
 
 	const adapters = target.adapters.map((adapter, index) => [[...path, 'target', 'adapters', index], adapter] as const);
-	mistakes.push(...repeated(adapters, adapter => adapter, adapter => `The adapter "${adapter}" stands twice.`));
+	mistakes.push(...findDuplicates(adapters, adapter => adapter, adapter => `The adapter "${adapter}" appears twice.`));
 	return mistakes;
 }
 
-function duplicateStops(configuration: Configuration): readonly Mistake[] {
-	return repeated(
+function findDuplicateStops(configuration: Configuration): readonly Mistake[] {
+	return findDuplicates(
 		configuration.plannedStops.map(({target}, index) => [['plannedStops', index, 'target'], `${target.kind} "${target.id}"`]),
 		target => target,
-		target => `Another planned stop has the ${target}.`,
+		target => `Another planned stop has the same target, ${target}.`,
 	);
 }
 
-/** Hosts are not in the document, so only upstreams can be checked. */
-function stopMistakes({target}: PlannedStop, path: Path, names: Names): readonly Mistake[] {
+/** The document does not list hosts, so only upstreams can be checked. */
+function findStopMistakes({target}: PlannedStop, path: Path, names: DeclaredNames): readonly Mistake[] {
 	return target.kind === 'upstream' && !names.upstreams.has(target.id)
-		? [missing([...path, 'target', 'id'], 'upstream', target.id)]
+		? [createBrokenReference([...path, 'target', 'id'], 'upstream', target.id)]
 		: [];
 }
 
-function scopeOf({service, failureDomain, organisation}: Takeover): string {
+function formatScope({service, failureDomain, organisation}: Takeover): string {
 	return JSON.stringify([service, failureDomain, organisation]);
 }
 
-function duplicateTakeovers(configuration: Configuration): readonly Mistake[] {
-	return repeated(
+function findDuplicateTakeovers(configuration: Configuration): readonly Mistake[] {
+	return findDuplicates(
 		configuration.takeovers.map((takeover, index) => [['takeovers', index], takeover]),
-		scopeOf,
+		formatScope,
 		() => 'Another takeover has the same service, failure domain and organisation.',
 	);
 }
 
-function takeoverMistakes(takeover: Takeover, path: Path, names: Names): readonly Mistake[] {
+function findTakeoverMistakes(takeover: Takeover, path: Path, names: DeclaredNames): readonly Mistake[] {
 	const {service, failureDomain, organisation, servedBy} = takeover;
 	const mistakes: Mistake[] = [];
 	if (!names.services.has(service)) {
-		mistakes.push(missing([...path, 'service'], 'service', service));
+		mistakes.push(createBrokenReference([...path, 'service'], 'service', service));
 	}
 
 	if (failureDomain !== undefined && !names.failureDomains.has(failureDomain)) {
-		mistakes.push(missing([...path, 'failureDomain'], 'failure domain', failureDomain));
+		mistakes.push(createBrokenReference([...path, 'failureDomain'], 'failure domain', failureDomain));
 	}
 
 	if (organisation !== undefined && !names.organisations.has(organisation)) {
-		mistakes.push(missing([...path, 'organisation'], 'organisation', organisation));
+		mistakes.push(createBrokenReference([...path, 'organisation'], 'organisation', organisation));
 	}
 
 	if (mistakes.length > 0 || servedBy !== 'legacy') {
--- a/src/protocol/configuration/types.ts
+++ b/src/protocol/configuration/types.ts
@@ -1,12 +1,12 @@
-/** What reading a configuration document can find. */
+/** Results of parsing a configuration document. */
 import {type CodeName, type Configuration} from '../../core/index.js';
 
-/** One thing that keeps a document from being valid. */
+/** A reason why a document is invalid. */
 export type Mistake = {
-	/** JSON path, `$` being the document. */
+	/** JSON path; `$` is the document itself. */
 	readonly path: string;
 	readonly code: CodeName;
-	/** What is wrong, for people. */
+	/** Description for operators. */
 	readonly text: string;
 };
 
@@ -15,22 +15,22 @@
 	readonly configuration: Configuration;
 	/** SHA-256 of the text in UTF-8, in lower-case hexadecimal. */
 	readonly digest: string;
-	/** JSON paths of fields that this version does not know and leaves out. */
+	/** JSON paths of the fields that this version does not know and ignores. */
 	readonly unknownFields: readonly string[];
 };
 
 export type Invalid = {
 	readonly type: 'invalid';
-	/** At least one, in the order of the document as far as it goes; at most {@link mistakeLimit}. */
+	/** At least one and at most {@link maxListedMistakes}, in document order where possible. */
 	readonly mistakes: readonly Mistake[];
-	/** Mistakes found beyond those listed. */
+	/** Number of mistakes that are not listed. */
 	readonly further: number;
 };
 
 export type Parsed = Valid | Invalid;
 
-/** Mistakes that are listed for one document. */
-export const mistakeLimit = 100;
+/** Maximum number of mistakes listed per document. */
+export const maxListedMistakes = 100;
 
-/** Size that the platform's service holds, in bytes. */
+/** Maximum size of a document in bytes; the platform's configuration service has the same limit. */
 export const documentLimit = 1_000_000;
--- a/src/protocol/configuration/warning.ts
+++ b/src/protocol/configuration/warning.ts
@@ -1,8 +1,8 @@
-/** Dangers that an operator should know before a document is published. */
+/** Warnings that an operator should see before publishing a document. */
 import {assertNever, type Takeover} from '../../core/index.js';
-import {durationInWords, scopeInWords} from './words.js';
+import {durationInWords, describeScope} from './descriptions.js';
 
-/** Dangers of a change. */
+/** Warnings about a change from one document to the next. */
 export type ChangeWarning
 	= | {readonly type: 'revision-not-higher'; readonly before: number; readonly after: number}
 		| {readonly type: 'service-removed'; readonly service: string}
@@ -22,8 +22,8 @@
 		| {readonly type: 'secret-changed'; readonly key: string}
 		| {readonly type: 'unrepeatable-service-moved'; readonly scope: Omit<Takeover, 'servedBy'>; readonly servedBy: Takeover['servedBy'] | 'default'};
 
-/** Dangers of a document by itself. */
-export type StandingWarning
+/** Warnings about a single document. */
+export type DocumentWarning
 	= | {readonly type: 'old-endpoint-elsewhere'; readonly service: string; readonly failureDomain: string}
 		| {readonly type: 'takeovers-disagree'; readonly service: string; readonly failureDomain: string; readonly organisation: string; readonly servedBy: Takeover['servedBy']}
 		| {readonly type: 'service-without-upstream'; readonly service: string}
@@ -31,11 +31,11 @@
 		| {readonly type: 'grace-below-deadline'; readonly stop: string; readonly grace: number; readonly deadline: number}
 		| {readonly type: 'organisation-without-key'; readonly organisation: string};
 
-export type Warning = ChangeWarning | StandingWarning;
+export type Warning = ChangeWarning | DocumentWarning;
 
 /**
- * @param warning - A danger.
- * @returns What may happen and, where there is one, the safer way.
+ * @param warning - Warning to describe.
+ * @returns What may happen and, if there is one, a safer alternative.
  */
 export function warningInWords(warning: Warning): string {
 	switch (warning.type) {
@@ -44,15 +44,15 @@
 		}
 
 		case 'service-removed': {
-			return `The service "${warning.service}" goes: its callers are refused from then on.`;
+			return `The service "${warning.service}" is removed: its callers will be refused.`;
 		}
 
 		case 'service-kind-changed': {
-			return `The service "${warning.service}" changes its kind: its callers' requests no longer fit it.`;
+			return `The service "${warning.service}" changes its kind: requests of its present callers no longer match it.`;
 		}
 
 		case 'service-now-idempotent': {
-			return `Requests of "${warning.service}" that say nothing may be repeated from now on: a payment or booking could run twice.`;
+			return `Requests of "${warning.service}" that do not state otherwise may now be repeated: a payment or booking could run twice.`;
 		}
 
 		case 'ticket-rule-relaxed': {
@@ -60,11 +60,11 @@
 		}
 
 		case 'deadline-shortened': {
-			return `"${warning.service}" gives at most ${durationInWords(warning.after)} in place of ${durationInWords(warning.before)}: long work may no longer finish.`;
+			return `"${warning.service}" allows at most ${durationInWords(warning.after)} instead of ${durationInWords(warning.before)}: long requests may no longer finish.`;
 		}
 
 		case 'organisation-removed': {
-			return `The organisation "${warning.organisation}" goes: its keys are refused from then on.`;
+			return `The organisation "${warning.organisation}" is removed: its keys will be refused.`;
 		}
 
 		case 'keys-replaced-at-once': {
@@ -76,7 +76,7 @@
 		}
 
 		case 'failure-domain-removed': {
-			return `The failure domain "${warning.failureDomain}" goes: hosts there find no upstreams of their own.`;
+			return `The failure domain "${warning.failureDomain}" is removed: hosts there have no upstreams in their own domain.`;
 		}
 
 		case 'upstreams-halved': {
@@ -85,20 +85,20 @@
 
 		case 'fencing-changed': {
 			return warning.fencing
-				? `"${warning.upstream}" is now said to refuse old orders. If it does not, a late order can undo a newer one.`
-				: `"${warning.upstream}" is now said not to refuse old orders: a late order is repaired, not prevented.`;
+				? `"${warning.upstream}" is now declared to refuse old orders. If it does not, a late order can undo a newer one.`
+				: `"${warning.upstream}" is now declared not to refuse old orders: a late order is repaired, not prevented.`;
 		}
 
 		case 'address-changed': {
-			return `"${warning.upstream}" gets another address: work that runs at the old one can no longer be resumed or cancelled there.`;
+			return `"${warning.upstream}" gets another address: requests that run at the old one can no longer be resumed or cancelled there.`;
 		}
 
 		case 'token-key-removed-at-once': {
-			return `The key "${warning.key}" signed until now: its tickets and stream positions are refused. Keep it second until they have expired.`;
+			return `The key "${warning.key}" has signed until now: its tickets and stream positions will be refused. Keep it in second place until they have expired.`;
 		}
 
 		case 'token-key-signs-at-once': {
-			return `The key "${warning.key}" signs at once: hosts that adopt the document later refuse its tokens. Add it second first.`;
+			return `The key "${warning.key}" signs immediately: hosts that have not adopted the document yet refuse its tokens. First add it in second place.`;
 		}
 
 		case 'secret-changed': {
@@ -106,25 +106,25 @@
 		}
 
 		case 'unrepeatable-service-moved': {
-			return `${scopeInWords(warning.scope)} moves and may not be repeated: `
-				+ 'hosts adopt this within seconds of each other, and until then both sides serve it. '
-				+ 'Callers must come through cranberrytide alone, which runs each request on one side.';
+			return `${describeScope(warning.scope)} moves to the other system, and its requests may not be repeated: `
+				+ 'hosts adopt this within seconds of each other, and until then both systems serve it. '
+				+ 'Callers must come through cranberrytide alone, which runs each request on one system.';
 		}
 
 		default: {
-			return standingInWords(warning);
+			return describeDocumentWarning(warning);
 		}
 	}
 }
 
-function standingInWords(warning: StandingWarning): string {
+function describeDocumentWarning(warning: DocumentWarning): string {
 	switch (warning.type) {
 		case 'old-endpoint-elsewhere': {
-			return `"${warning.service}" has no old endpoint in "${warning.failureDomain}": hosts there use those of other failure domains and cannot when cut off.`;
+			return `"${warning.service}" has no old endpoint in "${warning.failureDomain}": hosts there use old endpoints of other failure domains, which they cannot reach when cut off.`;
 		}
 
 		case 'takeovers-disagree': {
-			return `For "${warning.organisation}" in "${warning.failureDomain}" two takeovers of "${warning.service}" disagree; that of the organisation counts (served by ${warning.servedBy}).`;
+			return `For "${warning.organisation}" in "${warning.failureDomain}", two takeovers of "${warning.service}" disagree; the one for the organisation applies (served by ${warning.servedBy}).`;
 		}
 
 		case 'service-without-upstream': {
@@ -132,15 +132,15 @@
 		}
 
 		case 'no-engine-to-spare': {
-			return `In "${warning.failureDomain}" as many engines of "${warning.service}" must stay ready as there are (${warning.readyEngines}): none may stop or change its version.`;
+			return `In "${warning.failureDomain}" all engines of "${warning.service}" must stay ready (${warning.readyEngines}): none may stop or change its version.`;
 		}
 
 		case 'grace-below-deadline': {
-			return `The planned stop "${warning.stop}" gives ${durationInWords(warning.grace)}, but requests may run ${durationInWords(warning.deadline)}: some could be cut.`;
+			return `The planned stop "${warning.stop}" allows ${durationInWords(warning.grace)}, but requests may run for ${durationInWords(warning.deadline)}: some could be cut off.`;
 		}
 
 		case 'organisation-without-key': {
-			return `The organisation "${warning.organisation}" has no key: nobody can call in its name.`;
+			return `The organisation "${warning.organisation}" has no key: no caller can use it.`;
 		}
 
 		default: {
--- a/src/protocol/configuration/warnings.ts
+++ b/src/protocol/configuration/warnings.ts
@@ -1,35 +1,35 @@
-/** Finds what is valid but dangerous: in a document by itself, and in a change from the one before. */
+/** Finds what is valid but dangerous in a document and in the change from the previous one. */
 import {type Configuration} from '../../core/index.js';
-import {changeDangers} from './dangers.js';
+import {findChangeWarnings} from './change-warnings.js';
 import {groupBy} from './group.js';
 import {type Warning} from './warning.js';
 
 /**
  * @param after - A valid document.
- * @param before - The document that it follows, if there is one.
- * @returns Every danger found.
+ * @param before - The previous document, if there is one.
+ * @returns All warnings.
  */
 export function warningsOf(after: Configuration, before?: Configuration): readonly Warning[] {
 	return [
-		...(before === undefined ? [] : changeDangers(before, after)),
-		...unservedServices(after),
-		...crowdedDomains(after),
-		...shortGraces(after),
-		...openOrganisations(after),
-		...distantEndpoints(after),
-		...disagreements(after),
+		...(before === undefined ? [] : findChangeWarnings(before, after)),
+		...findServicesWithoutUpstream(after),
+		...findDomainsWithoutSpareEngine(after),
+		...findShortGraces(after),
+		...findOrganisationsWithoutKey(after),
+		...findMissingOldEndpoints(after),
+		...findDisagreeingTakeovers(after),
 	];
 }
 
-function unservedServices(configuration: Configuration): readonly Warning[] {
+function findServicesWithoutUpstream(configuration: Configuration): readonly Warning[] {
 	const served = new Set(configuration.upstreams.map(each => each.service));
 	return configuration.services
 		.filter(service => !served.has(service.id))
 		.map(service => ({type: 'service-without-upstream', service: service.id}));
 }
 
-/** Where as many engines must stay ready as there are, none may stop or change its version. */
-function crowdedDomains(configuration: Configuration): readonly Warning[] {
+/** If all engines of a failure domain must stay ready, none may stop or change its version. */
+function findDomainsWithoutSpareEngine(configuration: Configuration): readonly Warning[] {
 	return configuration.services.flatMap(service => {
 		if (service.kind !== 'model') {
 			return [];
@@ -44,12 +44,12 @@
 	});
 }
 
-function shortGraces(configuration: Configuration): readonly Warning[] {
+function findShortGraces(configuration: Configuration): readonly Warning[] {
 	const services = new Map(configuration.services.map(each => [each.id, each]));
-	const longest = Math.max(0, ...configuration.services.map(each => each.deadline.most));
+	const longestDeadline = Math.max(0, ...configuration.services.map(each => each.deadline.most));
 	return configuration.plannedStops.flatMap(({id, target, grace}) => {
-		const stopping = target.kind === 'upstream' ? configuration.upstreams.find(each => each.id === target.id) : undefined;
-		const deadline = stopping === undefined ? longest : services.get(stopping.service)?.deadline.most ?? 0;
+		const stoppedUpstream = target.kind === 'upstream' ? configuration.upstreams.find(each => each.id === target.id) : undefined;
+		const deadline = stoppedUpstream === undefined ? longestDeadline : services.get(stoppedUpstream.service)?.deadline.most ?? 0;
 		return grace < deadline
 			? [{
 				type: 'grace-below-deadline', stop: id, grace, deadline,
@@ -58,30 +58,30 @@
 	});
 }
 
-function openOrganisations(configuration: Configuration): readonly Warning[] {
+function findOrganisationsWithoutKey(configuration: Configuration): readonly Warning[] {
 	return configuration.organisations
 		.filter(organisation => organisation.keyHashes.length === 0)
 		.map(organisation => ({type: 'organisation-without-key', organisation: organisation.id}));
 }
 
-function distantEndpoints({takeovers, upstreams, failureDomains}: Configuration): readonly Warning[] {
-	const near = new Set(upstreams.filter(each => each.kind === 'legacy').map(each => `${each.service} ${each.failureDomain}`));
+function findMissingOldEndpoints({takeovers, upstreams, failureDomains}: Configuration): readonly Warning[] {
+	const available = new Set(upstreams.filter(each => each.kind === 'legacy').map(each => `${each.service} ${each.failureDomain}`));
 	const needed = takeovers
 		.filter(each => each.servedBy === 'legacy')
 		.flatMap(({service, failureDomain}) => failureDomains
 			.filter(({id}) => failureDomain === undefined || failureDomain === id)
 			.map(({id}) => [`${service} ${id}`, {type: 'old-endpoint-elsewhere', service, failureDomain: id}] as const));
-	return [...new Map<string, Warning>(needed)].filter(([key]) => !near.has(key)).map(([, warning]) => warning);
+	return [...new Map<string, Warning>(needed)].filter(([key]) => !available.has(key)).map(([, warning]) => warning);
 }
 
-/** Of a rule for an organisation and one for a failure domain, the organisation's counts where both apply. */
-function disagreements({takeovers}: Configuration): readonly Warning[] {
+/** If a takeover for an organisation and one for a failure domain both apply, the one for the organisation takes precedence. */
+function findDisagreeingTakeovers({takeovers}: Configuration): readonly Warning[] {
 	const byDomain = takeovers.filter(each => each.organisation === undefined && each.failureDomain !== undefined);
 	const byOrganisation = takeovers.filter(each => each.organisation !== undefined && each.failureDomain === undefined);
-	const settled = new Set(takeovers.map(each => JSON.stringify([each.service, each.failureDomain, each.organisation])));
+	const explicitScopes = new Set(takeovers.map(each => JSON.stringify([each.service, each.failureDomain, each.organisation])));
 	return byOrganisation.flatMap(({service, organisation, servedBy}) => byDomain
 		.filter(each => each.service === service && each.servedBy !== servedBy)
-		.filter(each => !settled.has(JSON.stringify([service, each.failureDomain, organisation])))
+		.filter(each => !explicitScopes.has(JSON.stringify([service, each.failureDomain, organisation])))
 		.map(each => ({
 			type: 'takeovers-disagree', service, failureDomain: each.failureDomain!, organisation: organisation!, servedBy,
 		})));
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -1,83 +1,87 @@
-/** Frames between hosts: a length of four bytes, big-endian, then so many bytes. */
+/** Length-prefixed frames: a big-endian length of four bytes, followed by a body of that length. */
 import {Buffer} from 'node:buffer';
 import {raise} from '../core/index.js';
 
-const lengthBytes = 4;
+const lengthPrefixBytes = 4;
 
 /**
- * @param body - Bytes of one message.
- * @returns Its frame.
+ * Creates a frame.
+ *
+ * @param body - Encoded message.
+ * @returns The body with its length prefix.
  */
 export function frame(body: Uint8Array): Uint8Array {
-	const bytes = new Uint8Array(lengthBytes + body.length);
+	const bytes = new Uint8Array(lengthPrefixBytes + body.length);
 	new DataView(bytes.buffer).setUint32(0, body.length);
-	bytes.set(body, lengthBytes);
+	bytes.set(body, lengthPrefixBytes);
 	return bytes;
 }
 
-/** Cuts a byte stream into messages; holds at most one incomplete frame. */
+/** Splits a byte stream into messages. Between calls it buffers at most one incomplete frame. */
 export class FrameReader<T> {
 	readonly #decode: (body: Uint8Array) => T;
-	readonly #longest: number;
+	readonly #maxBodyBytes: number;
 	#chunks: Uint8Array[] = [];
-	#held = 0;
+	#bufferedBytes = 0;
 
 	/**
-	 * @param decode - Reads one message.
-	 * @param longest - Bytes that a message may have.
+	 * @param decode - Decodes the body of one frame.
+	 * @param maxBodyBytes - Maximum length of a body in bytes.
 	 */
-	constructor(decode: (body: Uint8Array) => T, longest: number) {
+	constructor(decode: (body: Uint8Array) => T, maxBodyBytes: number) {
 		this.#decode = decode;
-		this.#longest = longest;
+		this.#maxBodyBytes = maxBodyBytes;
 	}
 
 	/**
+	 * Adds the next bytes of the stream.
+	 *
 	 * @param chunk - Next bytes of the stream.
-	 * @returns The messages that are complete now, in order.
-	 * @throws Failure `badPeerMessage` when the stream cannot be read on.
+	 * @returns The messages that this chunk completes, in order.
+	 * @throws Failure `badPeerMessage` for a body that is too long, and whatever `decode` throws. The stream cannot be read further.
 	 */
 	push(chunk: Uint8Array): readonly T[] {
 		this.#chunks.push(chunk);
-		this.#held += chunk.length;
+		this.#bufferedBytes += chunk.length;
 		const messages: T[] = [];
-		for (let body = this.#take(); body !== undefined; body = this.#take()) {
+		for (let body = this.#readBody(); body !== undefined; body = this.#readBody()) {
 			messages.push(this.#decode(body));
 		}
 
 		return messages;
 	}
 
-	#take(): Uint8Array | undefined {
-		if (this.#held < lengthBytes) {
+	#readBody(): Uint8Array | undefined {
+		if (this.#bufferedBytes < lengthPrefixBytes) {
 			return undefined;
 		}
 
-		const length = this.#length();
-		if (length > this.#longest) {
-			raise('badPeerMessage', `a message of ${length} bytes`);
+		const length = this.#readLength();
+		if (length > this.#maxBodyBytes) {
+			raise('badPeerMessage', `a message of ${length} bytes is too large`);
 		}
 
-		if (this.#held < lengthBytes + length) {
+		if (this.#bufferedBytes < lengthPrefixBytes + length) {
 			return undefined;
 		}
 
-		const bytes = this.#joined();
-		const rest = bytes.subarray(lengthBytes + length);
+		const bytes = this.#joinChunks();
+		const rest = bytes.subarray(lengthPrefixBytes + length);
 		this.#chunks = rest.length === 0 ? [] : [rest];
-		this.#held = rest.length;
-		return bytes.subarray(lengthBytes, lengthBytes + length);
+		this.#bufferedBytes = rest.length;
+		return bytes.subarray(lengthPrefixBytes, lengthPrefixBytes + length);
 	}
 
-	#length(): number {
-		if (this.#chunks[0]!.length < lengthBytes) {
-			this.#chunks = [this.#joined()];
+	#readLength(): number {
+		if (this.#chunks[0]!.length < lengthPrefixBytes) {
+			this.#chunks = [this.#joinChunks()];
 		}
 
 		const {buffer, byteOffset} = this.#chunks[0]!;
-		return new DataView(buffer, byteOffset, lengthBytes).getUint32(0);
+		return new DataView(buffer, byteOffset, lengthPrefixBytes).getUint32(0);
 	}
 
-	#joined(): Uint8Array {
+	#joinChunks(): Uint8Array {
 		return this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
 	}
 }
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,4 +1,4 @@
-/** Messages between hosts on the wire: a length of four bytes, big-endian, then one CBOR value. */
+/** Encodes and decodes the messages between hosts: each is a frame that holds one CBOR value. */
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {Encoder} from 'cbor-x';
@@ -6,44 +6,44 @@
 import {messageOf, raise, type PeerMessage} from '../core/index.js';
 import {frame, FrameReader} from './frames.js';
 
-/** The longest message taken: a whole configuration document and some room. */
+/** Maximum size of a message in bytes: a configuration document of the maximum size, plus overhead. */
 export const longestMessage = 1_200_000;
 
-const listLimit = 4096;
+const maxListItems = 4096;
 
-const text = z.string().max(256);
+const shortText = z.string().max(256);
 const count = z.number().int().nonnegative();
 const amount = z.number().nonnegative();
 const phase = z.enum(['starting', 'serving', 'leaving']);
-const address = z.object({host: text.min(1), port: z.number().int().min(0).max(65_535)});
-const incarnation = z.object({host: text.min(1), started: z.number()});
+const address = z.object({host: shortText.min(1), port: z.number().int().min(0).max(65_535)});
+const incarnation = z.object({host: shortText.min(1), started: z.number()});
 const member = z.object({
 	incarnation,
-	failureDomain: text,
+	failureDomain: shortText,
 	peerAddress: address,
 	callerAddress: address,
 });
 const load = z.object({
-	upstream: text, requests: count, prefill: amount, decode: amount,
+	upstream: shortText, requests: count, prefill: amount, decode: amount,
 });
-const demand = z.object({organisation: text, requestsPerSecond: amount, tokensPerSecond: amount});
+const demand = z.object({organisation: shortText, requestsPerSecond: amount, tokensPerSecond: amount});
 const mix = z.object({
-	service: text, short: amount, middle: amount, long: amount,
+	service: shortText, short: amount, middle: amount, long: amount,
 });
 const suspicion = z.object({
-	fingerprint: text,
-	crashes: z.array(text).max(listLimit),
+	fingerprint: shortText,
+	crashes: z.array(shortText).max(maxListItems),
 	expires: z.number(),
 });
 const target = z.object({
-	model: text,
-	version: text,
-	adapters: z.array(text).max(listLimit),
+	model: shortText,
+	version: shortText,
+	adapters: z.array(shortText).max(maxListItems),
 	role: z.enum(['mixed', 'prefill', 'decode']),
 });
 const report = z.object({
-	upstream: text,
-	incarnation: text,
+	upstream: shortText,
+	incarnation: shortText,
 	age: z.number(),
 	ready: z.boolean(),
 	running: amount,
@@ -53,7 +53,7 @@
 	memory: amount,
 	current: target.optional(),
 	loading: target.optional(),
-	orderNumber: z.object({counter: z.number().int(), host: text}).optional(),
+	orderNumber: z.object({counter: z.number().int(), host: shortText}).optional(),
 });
 const digest = z.object({
 	incarnation,
@@ -61,22 +61,22 @@
 	phase,
 	revision: count,
 	silent: z.boolean().optional(),
-	loads: z.array(load).max(listLimit),
-	demands: z.array(demand).max(listLimit),
-	mixes: z.array(mix).max(listLimit).optional(),
+	loads: z.array(load).max(maxListItems),
+	demands: z.array(demand).max(maxListItems),
+	mixes: z.array(mix).max(maxListItems).optional(),
 });
 
-const relayedMessages = [
+const relayedMessageSchemas = [
 	z.object({type: z.literal('key-join'), member, digest: count}),
 	z.object({
-		type: z.literal('key-joined'), member, members: z.array(member).max(listLimit), ended: z.array(incarnation).max(listLimit),
+		type: z.literal('key-joined'), member, members: z.array(member).max(maxListItems), ended: z.array(incarnation).max(maxListItems),
 	}),
 	z.object({
-		type: z.literal('key-claim'), id: text, minted: count, claimant: member,
+		type: z.literal('key-claim'), id: shortText, minted: count, claimant: member,
 	}),
 	z.object({
 		type: z.literal('key-answer'),
-		id: text,
+		id: shortText,
 		claimant: incarnation,
 		answer: z.discriminatedUnion('type', [
 			z.object({type: z.literal('yielded')}),
@@ -86,11 +86,11 @@
 		]),
 	}),
 	z.object({
-		type: z.literal('seal'), id: text, right: text, expires: z.number(), keeper: incarnation,
+		type: z.literal('seal'), id: shortText, right: shortText, expires: z.number(), keeper: incarnation,
 	}),
 	z.object({
 		type: z.literal('sealed'),
-		id: text,
+		id: shortText,
 		answer: z.discriminatedUnion('type', [
 			z.object({type: z.literal('sealed')}),
 			z.object({type: z.literal('used')}),
@@ -98,19 +98,19 @@
 	}),
 ] as const;
 
-/** The document deflated last: one goes to several peers. */
-let lastDeflated: {readonly text: string; readonly bytes: Uint8Array} = {text: '', bytes: new Uint8Array()};
+/** The last document that was compressed, kept because a host sends the same document to several peers. */
+let lastDeflatedDocument: {readonly text: string; readonly bytes: Uint8Array} = {text: '', bytes: new Uint8Array()};
 
-/** Documents repeat themselves and are relayed whole. */
-function deflated(text: string): Uint8Array {
-	if (lastDeflated.text !== text) {
-		lastDeflated = {text, bytes: deflateRawSync(Buffer.from(text))};
+/** Configuration documents are repetitive and relayed in full, so compression reduces their size considerably. */
+function deflateText(text: string): Uint8Array {
+	if (lastDeflatedDocument.text !== text) {
+		lastDeflatedDocument = {text, bytes: deflateRawSync(Buffer.from(text))};
 	}
 
-	return lastDeflated.bytes;
+	return lastDeflatedDocument.bytes;
 }
 
-function inflated(bytes: Uint8Array, context: RefinementCtx): string {
+function inflateText(bytes: Uint8Array, context: RefinementCtx): string {
 	try {
 		return inflateRawSync(bytes, {maxOutputLength: longestMessage}).toString('utf8');
 	} catch (error) {
@@ -128,34 +128,36 @@
 		sequence: count,
 		phase,
 		revision: count,
-		digest: text,
+		digest: shortText,
 		whole: z.boolean(),
-		loads: z.array(load).max(listLimit),
-		demands: z.array(demand).max(listLimit),
-		mixes: z.array(mix).max(listLimit).optional(),
-		suspicions: z.array(suspicion).max(listLimit),
-		members: z.array(member).max(listLimit),
-		relayed: z.array(digest).max(listLimit),
+		loads: z.array(load).max(maxListItems),
+		demands: z.array(demand).max(maxListItems),
+		mixes: z.array(mix).max(maxListItems).optional(),
+		suspicions: z.array(suspicion).max(maxListItems),
+		members: z.array(member).max(maxListItems),
+		relayed: z.array(digest).max(maxListItems),
 	}),
-	z.object({type: z.literal('reports'), reports: z.array(report).max(listLimit)}),
+	z.object({type: z.literal('reports'), reports: z.array(report).max(maxListItems)}),
 	z.object({type: z.literal('configuration-wanted'), above: count}),
-	z.object({type: z.literal('configuration'), text: z.instanceof(Uint8Array).transform((bytes, context) => inflated(bytes, context))}),
-	z.object({type: z.literal('suspected'), suspicions: z.array(suspicion).max(listLimit)}),
-	...relayedMessages,
+	z.object({type: z.literal('configuration'), text: z.instanceof(Uint8Array).transform((bytes, context) => inflateText(bytes, context))}),
+	z.object({type: z.literal('suspected'), suspicions: z.array(suspicion).max(maxListItems)}),
+	...relayedMessageSchemas,
 	z.object({
-		type: z.literal('relay'), from: text, to: text, hops: count, message: z.discriminatedUnion('type', relayedMessages),
+		type: z.literal('relay'), from: shortText, to: shortText, hops: count, message: z.discriminatedUnion('type', relayedMessageSchemas),
 	}),
 ]) satisfies z.ZodType<PeerMessage>;
 
-// Records write the field names of a list's items once per message.
+// With records, the field names of list items are encoded once per message.
 const codec = new Encoder({useRecords: true, mapsAsObjects: true, tagUint8Array: false});
 
 /**
+ * Encodes a message.
+ *
  * @param message - Message to send.
- * @returns Its frame.
+ * @returns The frame to write to the connection.
  */
 export function encodeFrame(message: PeerMessage): Uint8Array {
-	const body = codec.encode(message.type === 'configuration' ? {...message, text: deflated(message.text)} : message);
+	const body = codec.encode(message.type === 'configuration' ? {...message, text: deflateText(message.text)} : message);
 	return frame(body);
 }
 
@@ -176,7 +178,7 @@
 	return parsed.data;
 }
 
-/** @returns A reader of the messages of one connection. */
+/** @returns A reader that decodes the messages of one connection. */
 export function messageReader(): FrameReader<PeerMessage> {
 	return new FrameReader(decodeBody, longestMessage);
 }
--- a/src/protocol/per-connection.ts
+++ b/src/protocol/per-connection.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), in lower case: whoever passes a message on drops them. */
+/** Headers that apply to a single connection (RFC 9110, section 7.6.1), in lower case. Intermediaries remove them when forwarding. */
 export const perConnectionHeaders: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,13 +1,15 @@
-/** Settings files: JSON, validated, each mistake named with its path. */
+/** Reads and validates settings files in JSON. */
 import {readFileSync} from 'node:fs';
 import {type z} from 'zod';
 import {messageOf, raise} from '../core/index.js';
 
 /**
+ * Validates settings.
+ *
  * @param schema - Schema of the settings.
  * @param value - Parsed JSON.
  * @returns Valid settings.
- * @throws Failure `badSettings` that names each mistake with its path.
+ * @throws Failure `badSettings` that lists each mistake with its path.
  */
 export function parseSettings<T>(schema: z.ZodType<T>, value: unknown): T {
 	const result = schema.safeParse(value);
@@ -20,6 +22,8 @@
 }
 
 /**
+ * Reads and validates a settings file.
+ *
  * @param schema - Schema of the settings.
  * @param path - Settings file.
  * @returns Valid settings.
--- a/src/protocol/token.ts
+++ b/src/protocol/token.ts
@@ -1,16 +1,16 @@
-/** Tokens that callers carry for us: tickets and stream positions, signed with the keys of the configuration. */
+/** Signs and verifies the tokens that callers send back: tickets and stream positions. The configuration holds the keys. */
 import {Buffer} from 'node:buffer';
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import {z} from 'zod';
 import {raise, type Ticket, type TokenKey} from '../core/index.js';
 
-/** What was read from a token; a bad one tells nothing about itself. */
-export type Verdict<T>
+/** Result of verifying a token; a bad token yields no details. */
+export type TokenVerification<T>
 	= | {readonly type: 'valid'; readonly value: T}
 		| {readonly type: 'bad'}
 		| {readonly type: 'expired'};
 
-/** The stream of one attempt, readable by one organisation. */
+/** Identifies the stream of one attempt, which only one organisation may read. */
 export type StreamToken = {
 	readonly service: string;
 	readonly organisation: string;
@@ -20,10 +20,10 @@
 	readonly expires: number;
 };
 
-/** A place in a stream: the offset of the next frame that the caller lacks. */
+/** A position in a stream; the offset is that of the next frame to send. */
 export type StreamPosition = StreamToken & {readonly offset: number};
 
-const maximumLength = 2048;
+const maxTokenLength = 2048;
 const offsetSeparator = ':';
 
 const ticketSchema = z.object({
@@ -43,39 +43,39 @@
 	expires: z.number(),
 }).readonly();
 
-type Kind = 'ticket' | 'stream';
+type TokenKind = 'ticket' | 'stream';
 
-/** The kind is signed too, so that a token of one kind never passes for another. */
-function signature(key: TokenKey, kind: Kind, payload: string): Uint8Array {
+/** The signature covers the kind, so that a token of one kind is not accepted as another. */
+function computeSignature(key: TokenKey, kind: TokenKind, payload: string): Uint8Array {
 	return createHmac('sha256', Buffer.from(key.secret, 'hex')).update(`${kind}.${payload}`).digest();
 }
 
-function sign(keys: readonly TokenKey[], kind: Kind, value: unknown): string {
-	const first = keys[0] ?? raise('notConfigured', 'there is no token key');
+function sign(keys: readonly TokenKey[], kind: TokenKind, value: unknown): string {
+	const signingKey = keys[0] ?? raise('notConfigured', 'there is no token key');
 	const payload = Buffer.from(JSON.stringify(value)).toString('base64url');
-	return `${payload}.${Buffer.from(signature(first, kind, payload)).toString('base64url')}`;
+	return `${payload}.${Buffer.from(computeSignature(signingKey, kind, payload)).toString('base64url')}`;
 }
 
-function isSigned(keys: readonly TokenKey[], kind: Kind, payload: string, mark: Uint8Array): boolean {
+function hasValidSignature(keys: readonly TokenKey[], kind: TokenKind, payload: string, actual: Uint8Array): boolean {
 	return keys.some(key => {
-		const expected = signature(key, kind, payload);
-		return expected.length === mark.length && timingSafeEqual(expected, mark);
+		const expected = computeSignature(key, kind, payload);
+		return expected.length === actual.length && timingSafeEqual(expected, actual);
 	});
 }
 
-/** The signed value, or undefined if the token is not one of ours. */
-function open(keys: readonly TokenKey[], kind: Kind, token: string): unknown {
-	const [payload, mark, ...rest] = token.split('.');
-	if (token.length > maximumLength || payload === undefined || mark === undefined || rest.length > 0) {
+/** Returns the signed value, or undefined if the token is malformed or no key verifies it. */
+function readSignedValue(keys: readonly TokenKey[], kind: TokenKind, token: string): unknown {
+	const [payload, encodedSignature, ...rest] = token.split('.');
+	if (token.length > maxTokenLength || payload === undefined || encodedSignature === undefined || rest.length > 0) {
 		return undefined;
 	}
 
-	return isSigned(keys, kind, payload, Buffer.from(mark, 'base64url'))
+	return hasValidSignature(keys, kind, payload, Buffer.from(encodedSignature, 'base64url'))
 		? JSON.parse(Buffer.from(payload, 'base64url').toString())
 		: undefined;
 }
 
-function judge<T extends {readonly expires: number}>(schema: z.ZodType<T>, value: unknown, wall: number): Verdict<T> {
+function validate<T extends {readonly expires: number}>(schema: z.ZodType<T>, value: unknown, wall: number): TokenVerification<T> {
 	const parsed = schema.safeParse(value);
 	if (!parsed.success) {
 		return {type: 'bad'};
@@ -85,39 +85,45 @@
 }
 
 /**
- * @param keys - Keys of the configuration; the first signs.
- * @param ticket - Ticket to hand out.
- * @returns The ticket as text for a header.
+ * Signs a ticket.
+ *
+ * @param keys - Keys of the configuration; the first one signs.
+ * @param ticket - Ticket to issue.
+ * @returns The value of the ticket header.
  */
 export function signTicket(keys: readonly TokenKey[], ticket: Ticket): string {
 	return sign(keys, 'ticket', ticket);
 }
 
 /**
- * @param keys - Keys of the configuration; each of them verifies.
- * @param token - Text that a caller sent as its ticket.
+ * Verifies a ticket.
+ *
+ * @param keys - Keys of the configuration; any of them may have signed.
+ * @param token - Ticket header that the caller sent.
  * @param wall - Wall-clock time in milliseconds since 1970.
- * @returns The ticket, or that it is bad or expired.
+ * @returns The ticket, or why it is not valid.
  */
-export function verifyTicket(keys: readonly TokenKey[], token: string, wall: number): Verdict<Ticket> {
-	return judge(ticketSchema, open(keys, 'ticket', token), wall);
+export function verifyTicket(keys: readonly TokenKey[], token: string, wall: number): TokenVerification<Ticket> {
+	return validate(ticketSchema, readSignedValue(keys, 'ticket', token), wall);
 }
 
 /**
- * Signs once for a whole stream: only the offset differs between frames, and a caller that changes it
- * merely reads its own stream from another place. A frame then costs no HMAC.
+ * Signs a stream once, so that frames need no HMAC of their own. The signature does not cover the offset: a caller that
+ * changes it only reads its own stream from another position.
  *
- * @param keys - Keys of the configuration; the first signs.
+ * @param keys - Keys of the configuration; the first one signs.
  * @param stream - Stream of one attempt.
- * @returns Text that {@link positionOf} completes for each frame.
+ * @returns Token that {@link positionOf} combines with the offset of each frame.
  */
 export function signStream(keys: readonly TokenKey[], stream: StreamToken): string {
 	return sign(keys, 'stream', stream);
 }
 
 /**
+ * Formats a stream position.
+ *
  * @param token - Signed stream.
- * @param offset - Offset of the next frame wanted.
+ * @param offset - Offset of the next frame to send.
  * @returns The position as an event id.
  */
 export function positionOf(token: string, offset: number): string {
@@ -125,17 +131,19 @@
 }
 
 /**
- * @param keys - Keys of the configuration; each of them verifies.
+ * Verifies a stream position.
+ *
+ * @param keys - Keys of the configuration; any of them may have signed.
  * @param position - Event id that a caller sent back.
  * @param wall - Wall-clock time in milliseconds since 1970.
- * @returns The stream position, or that it is bad or expired.
+ * @returns The stream position, or why it is not valid.
  */
-export function verifyPosition(keys: readonly TokenKey[], position: string, wall: number): Verdict<StreamPosition> {
-	const [token, text, ...rest] = position.split(offsetSeparator);
-	if (token === undefined || text === undefined || rest.length > 0 || !/^\d{1,12}$/v.test(text)) {
+export function verifyPosition(keys: readonly TokenKey[], position: string, wall: number): TokenVerification<StreamPosition> {
+	const [token, offsetText, ...rest] = position.split(offsetSeparator);
+	if (token === undefined || offsetText === undefined || rest.length > 0 || !/^\d{1,12}$/v.test(offsetText)) {
 		return {type: 'bad'};
 	}
 
-	const verdict = judge(streamSchema, open(keys, 'stream', token), wall);
-	return verdict.type === 'valid' ? {type: 'valid', value: {...verdict.value, offset: Number(text)}} : verdict;
+	const verification = validate(streamSchema, readSignedValue(keys, 'stream', token), wall);
+	return verification.type === 'valid' ? {type: 'valid', value: {...verification.value, offset: Number(offsetText)}} : verification;
 }
