--- a/src/cli/__tests__/documents.test.ts
+++ b/src/cli/__tests__/documents.test.ts
@@ -22,14 +22,14 @@
 });
 
 describe('check', () => {
-	it('sums up a valid document from a file or standard input', async () => {
+	it('summarises a valid document from a file or standard input', async () => {
 		const fromFile = await command(['check', file('a.json')]);
 		expect(fromFile).toMatchObject({code: 0, complaints: ''});
 		expect(fromFile.out).toContain('Revision 7 is valid: 2 services, 2 organisations, 5 upstreams.');
 		expect(await command(['check', '-'], text())).toEqual(fromFile);
 	});
 
-	it('names mistakes and exits with their class', async () => {
+	it('lists mistakes and exits with the class of their code', async () => {
 		const {code, out} = await command(['check', file('bad.json')]);
 		expect(code).toBe(50);
 		expect(out).toMatch(/^\$\.revision: .+ \(badDocument\)$/mv);
@@ -44,21 +44,21 @@
 });
 
 describe('diff', () => {
-	it('says what changes and exits with 1', async () => {
+	it('lists changes and exits with 1', async () => {
 		const {code, out} = await command(['diff', file('a.json'), file('b.json')]);
 		expect(code).toBe(1);
 		expect(out.split('\n').slice(0, 2)).toEqual(['Document: revision changes from 7 to 8', 'Removes the organisation "weekly"']);
 	});
 
-	it('is silent on the same document', async () => {
+	it('writes nothing for identical documents', async () => {
 		expect(await command(['diff', file('a.json'), '-'], text())).toEqual({code: 0, out: '', complaints: ''});
 	});
 
-	it('refuses an invalid or absent document', async () => {
+	it('rejects an invalid or missing document', async () => {
 		expect(await command(['diff', file('a.json'), file('bad.json')])).toMatchObject({code: 50});
-		const absent = await command(['diff', file('a.json'), file('none.json')]);
-		expect(absent.code).toBe(70);
-		expect(absent.complaints).toMatch(/^error 7001: /v);
+		const missing = await command(['diff', file('a.json'), file('none.json')]);
+		expect(missing.code).toBe(70);
+		expect(missing.complaints).toMatch(/^error 7001: /v);
 	});
 });
 
@@ -81,8 +81,8 @@
 		[['status', '--hosts', 'nowhere'], 70],
 		[['drain', 'a', '--hosts', '127.0.0.1:1', '--grace', 'long'], 70],
 		[['completion', 'fish'], 70],
-	])('refuses %j with a code', async (words, expected) => {
-		const {code, complaints} = await command(words);
+	])('rejects %j with a result code', async (commandArguments, expected) => {
+		const {code, complaints} = await command(commandArguments);
 		expect(code).toBe(expected);
 		expect(complaints).toMatch(/^error 700\d: /v);
 	});
--- a/src/cli/__tests__/fakes.ts
+++ b/src/cli/__tests__/fakes.ts
@@ -1,37 +1,37 @@
-/** A terminal that remembers, and small HTTP servers on loopback. */
+/** Runs commands on a terminal that records its output, and HTTP servers on loopback in place of hosts. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
-import {run} from '../program.js';
+import {runCommandLine} from '../program.js';
 
-export async function command(words: readonly string[], input = '', environment: Readonly<Record<string, string>> = {}) {
+export async function command(commandArguments: readonly string[], input = '', environment: Readonly<Record<string, string>> = {}) {
 	const written: string[] = [];
-	const complained: string[] = [];
-	const code = await run(words, {
+	const complaints: string[] = [];
+	const code = await runCommandLine(commandArguments, {
 		write(text) {
 			written.push(text);
 		},
 		complain(text) {
-			complained.push(text);
+			complaints.push(text);
 		},
 		input: (async function * () {
 			yield Buffer.from(input);
 		})(),
 		environment,
 	});
-	return {code, out: written.join(''), complaints: complained.join('')};
+	return {code, out: written.join(''), complaints: complaints.join('')};
 }
 
-export type Handle = (request: IncomingMessage, response: ServerResponse, body: string) => void;
+export type RequestHandler = (request: IncomingMessage, response: ServerResponse, body: string) => void;
 
-export async function serve(handle: Handle) {
+export async function startServer(handleRequest: RequestHandler) {
 	const server = createServer((request, response) => {
 		let body = '';
 		request.on('data', chunk => {
 			body += String(chunk);
 		});
 		request.on('end', () => {
-			handle(request, response, body);
+			handleRequest(request, response, body);
 		});
 	});
 	server.listen(0, '127.0.0.1');
--- a/src/cli/__tests__/fleet.test.ts
+++ b/src/cli/__tests__/fleet.test.ts
@@ -1,10 +1,10 @@
 import {describe, expect, it} from 'vitest';
 import {type Status} from '../../protocol/admin.js';
 import {
-	command, sendJson, serve, type Handle,
+	command, sendJson, startServer, type RequestHandler,
 } from './fakes.js';
 
-const nobody = '127.0.0.1:1';
+const unreachable = '127.0.0.1:1';
 
 function status(host: string, overrides: Partial<Status> = {}): Status {
 	return {
@@ -50,7 +50,7 @@
 };
 const concluded = {type: 'concluded', request: 'r1', outcome: {type: 'unknown', code: 4001, detail: 'cut'}};
 
-function host(name: string, revision = 7): Handle {
+function handleAsHost(name: string, revision = 7): RequestHandler {
 	return ({url, method}, response, body) => {
 		switch (url) {
 			case '/admin/status': {
@@ -91,9 +91,9 @@
 }
 
 describe('status', () => {
-	it('puts the whole fleet into tables', async () => {
-		await using a = await serve(host('a'));
-		await using b = await serve(host('b'));
+	it('shows hosts, upstreams and queues of the whole fleet in tables', async () => {
+		await using a = await startServer(handleAsHost('a'));
+		await using b = await startServer(handleAsHost('b'));
 		const {code, out} = await command(['status', '--hosts', `${a.address},${b.address}`]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/^a +north +serving +7 +1\/1 +2 +1$/mv);
@@ -101,9 +101,9 @@
 		expect(out).toMatch(/^check +4 +2 +3 s$/mv);
 	});
 
-	it('tells partial results by its exit code', async () => {
-		await using a = await serve(host('a'));
-		const {code, out, complaints} = await command(['status', '--json', '--hosts', `${a.address},${nobody}`]);
+	it('reports a host that does not answer by its exit code', async () => {
+		await using a = await startServer(handleAsHost('a'));
+		const {code, out, complaints} = await command(['status', '--json', '--hosts', `${a.address},${unreachable}`]);
 		expect(code).toBe(70);
 		expect(JSON.parse(out)).toHaveLength(1);
 		expect(complaints).toMatch(/^error 7002: /v);
@@ -111,9 +111,9 @@
 });
 
 describe('show', () => {
-	it('tells which hosts hold which revision', async () => {
-		await using a = await serve(host('a'));
-		await using b = await serve(host('b', 8));
+	it('shows which revision is in force on which host', async () => {
+		await using a = await startServer(handleAsHost('a'));
+		await using b = await startServer(handleAsHost('b', 8));
 		const hosts = `${a.address},${b.address}`;
 		const {code, out} = await command(['show', '--hosts', hosts]);
 		expect(code).toBe(1);
@@ -125,21 +125,21 @@
 
 describe('drain', () => {
 	it('finds the host by name', async () => {
-		await using a = await serve(host('a'));
-		await using b = await serve(host('b'));
+		await using a = await startServer(handleAsHost('a'));
+		await using b = await startServer(handleAsHost('b'));
 		const {code, out} = await command(['drain', 'b', '--grace', '9', '--hosts', `${a.address},${b.address}`]);
 		expect({code, out}).toEqual({code: 0, out: 'b is leaving; 2 requests to finish.\n'});
 		expect(await command(['drain', 'c', '--hosts', a.address])).toMatchObject({code: 70});
 	});
 
 	it('waits until the host no longer answers', async () => {
-		let looks = 0;
-		await using a = await serve((request, response, body) => {
-			looks += request.url === '/admin/status' ? 1 : 0;
-			if (looks > 2) {
+		let statusRequests = 0;
+		await using a = await startServer((request, response, body) => {
+			statusRequests += request.url === '/admin/status' ? 1 : 0;
+			if (statusRequests > 2) {
 				response.destroy();
 			} else {
-				host('a')(request, response, body);
+				handleAsHost('a')(request, response, body);
 			}
 		});
 		const {code, out} = await command(['drain', a.address, '--wait']);
@@ -149,37 +149,37 @@
 });
 
 describe('explain', () => {
-	const words = [
+	const timeline = [
 		'1970-01-01T00:00:00.002Z',
 		'+0 ms  a  Sent to n1 as attempt r1.1 for daily on check: less work of two (scores, lower is better: n1 10, n2 90.4)',
 		'+3 ms  a  Outcome unknown: 4001 The request may have run. (cut)',
 	];
 
-	it('asks hosts', async () => {
-		await using a = await serve(host('a'));
-		await using b = await serve(host('b'));
+	it('queries hosts', async () => {
+		await using a = await startServer(handleAsHost('a'));
+		await using b = await startServer(handleAsHost('b'));
 		const {code, out} = await command(['explain', 'r1', '--hosts', `${a.address},${b.address}`]);
-		expect({code, lines: out.trim().split('\n')}).toEqual({code: 0, lines: words});
+		expect({code, lines: out.trim().split('\n')}).toEqual({code: 0, lines: timeline});
 	});
 
-	it('reads a log in any order, skipping what is no decision about the request', async () => {
+	it('reads log lines in any order and skips those that are no decision about the request', async () => {
 		const line = (time: number, {type, ...fields}: Readonly<Record<string, unknown>>) =>
 			JSON.stringify({
 				time: new Date(time).toISOString(), level: 'info', host: 'a', event: type, ...fields,
 			});
 		const log = [line(5, concluded), 'r1 no JSON', line(1, {...routed, request: 'r10', attempt: 'r10.1'}), line(2, routed), ''];
 		const {out} = await command(['explain', 'r1', '--log', '-'], log.join('\n'));
-		expect(out.trim().split('\n')).toEqual(words);
+		expect(out.trim().split('\n')).toEqual(timeline);
 		const unknown = line(7, {type: 'new-kind', attempt: 'r1.1', reason: 'x'});
 		const generic = await command(['explain', 'r1', '--log', '-'], unknown);
 		expect(generic.out).toContain('new-kind, attempt r1.1, reason x');
 	});
 
-	it('says that nothing is known, and why', async () => {
-		await using a = await serve(host('a'));
+	it('reports that no decision is known, and why', async () => {
+		await using a = await startServer(handleAsHost('a'));
 		const {code, complaints} = await command(['explain', 'r2', '--hosts', a.address]);
 		expect(code).toBe(70);
-		expect(complaints).toContain('a no longer knows its older decisions');
+		expect(complaints).toContain('a no longer keeps its older decisions');
 		expect(complaints).toContain('error 7006');
 	});
 });
--- a/src/cli/__tests__/incidents.test.ts
+++ b/src/cli/__tests__/incidents.test.ts
@@ -1,6 +1,6 @@
 import {expect, it} from 'vitest';
-import {sumUp} from '../commands/incidents.js';
-import {readLog} from '../log-lines.js';
+import {summarise} from '../commands/incidents.js';
+import {parseLog} from '../log-lines.js';
 
 function line(milliseconds: number, host: string, fields: Readonly<Record<string, unknown>>): string {
 	const time = new Date(1_800_000_000_000 + milliseconds).toISOString();
@@ -9,19 +9,19 @@
 	});
 }
 
-it('counts a host once for news that it repeats', () => {
+it('lists a host once for an event that it logs repeatedly', () => {
 	const lines = [0, 200, 400].flatMap(at => ['host-1', 'host-2'].map(host => line(at, host, {event: 'store-lost', detail: 'reset'})));
-	const {happenings} = sumUp(readLog(lines.join('\n')));
+	const {happenings} = summarise(parseLog(lines.join('\n')));
 	expect(happenings).toMatchObject([{event: 'store-lost', hosts: ['host-1', 'host-2'], detail: 'reset'}]);
 });
 
-it('tells news of different upstreams and domains apart', () => {
+it('separates events of different upstreams and failure domains', () => {
 	const lines = [
 		line(0, 'host-1', {event: 'upstream-doubted', upstream: 'e1', risk: 0.2}),
 		line(10, 'host-2', {event: 'upstream-doubted', upstream: 'e2', risk: 0.2}),
 		line(20, 'host-2', {event: 'domain-unreachable', domain: 'b', reason: 'attempts fail'}),
 		line(2500, 'host-1', {event: 'upstream-trusted', upstream: 'e1'}),
 	];
-	const told = sumUp(readLog(lines.join('\n'))).happenings.map(each => `${each.event} ${each.subject} ${each.hosts.join(',')}`);
-	expect(told).toEqual(['upstream-doubted e1 host-1', 'upstream-doubted e2 host-2', 'domain-unreachable b host-2', 'upstream-trusted e1 host-1']);
+	const descriptions = summarise(parseLog(lines.join('\n'))).happenings.map(each => `${each.event} ${each.subject} ${each.hosts.join(',')}`);
+	expect(descriptions).toEqual(['upstream-doubted e1 host-1', 'upstream-doubted e2 host-2', 'domain-unreachable b host-2', 'upstream-trusted e1 host-1']);
 });
--- a/src/cli/__tests__/losses.test.ts
+++ b/src/cli/__tests__/losses.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
-import {readLog} from '../log-lines.js';
-import {accountOf} from '../losses/causes.js';
+import {parseLog} from '../log-lines.js';
+import {createLossReport} from '../losses/causes.js';
 import {command} from './fakes.js';
 
 type Fields = Readonly<Record<string, unknown>>;
@@ -30,16 +30,16 @@
 }
 
 function causes(...lines: readonly string[]): ReadonlyArray<readonly [string, string, number]> {
-	return accountOf(readLog(lines.join('\n'))).losses.map(({request, cause, lost}) => [request, cause, lost]);
+	return createLossReport(parseLog(lines.join('\n'))).losses.map(({request, cause, lost}) => [request, cause, lost]);
 }
 
-describe('a late first event is put to', () => {
-	it('load where it was predicted, and to the prediction where it was not', () => {
+describe('a late first event is attributed to', () => {
+	it('load if it was predicted, otherwise to the prediction', () => {
 		expect(causes(placed(0, 'a', {predicted: 500}), ended(900, 'a', {firstByte: 480}))).toEqual([['a', 'all engines busy', 1.5]]);
 		expect(causes(placed(0, 'a'), ended(900, 'a', {firstByte: 480}))).toEqual([['a', 'slower than predicted', 1.5]]);
 	});
 
-	it('the first attempt where there was another', () => {
+	it('the end of the first attempt if there was another', () => {
 		for (const [ending, reason, cause] of [
 			['cancelled', 'silent', 'new attempt'], ['cancelled', 'moved', 'moved'], ['not-run', 'no connection in time', 'no connection'], ['not-run', 'refused with 503 by e1', 'new attempt'],
 		] as const) {
@@ -48,28 +48,28 @@
 	});
 });
 
-describe('a pause that is too long is put to', () => {
-	it('a long prompt that came to the engine meanwhile', () => {
+describe('a pause that is too long is attributed to', () => {
+	it('a long prompt that arrived at the engine meanwhile', () => {
 		expect(causes(placed(0, 'a'), placed(200, 'b', {upstream: 'e2', helpers: ['e1'], tokens: 90_000}), ended(900, 'a', {longestPause: 400}))).toEqual([['a', 'pause beside a long prompt', 1.5]]);
 		expect(causes(placed(0, 'a'), placed(200, 'b', {upstream: 'e2', tokens: 90_000}), ended(900, 'a', {longestPause: 400}))).toEqual([['a', 'pause', 1.5]]);
 	});
 
-	it('a cut that was found soon after', () => {
+	it('an unreachable failure domain that was detected soon after', () => {
 		expect(causes(placed(0, 'a'), ended(1500, 'a', {longestPause: 1200}), line(1900, 'domain-unreachable', {domain: 'b'}))).toEqual([['a', 'pause while a domain was out of reach', 1.5]]);
 	});
 });
 
-it('what was not served is lost whole, a caller that changed its mind is none of ours', () => {
+it('a request that was not served is lost in full; a caller that left early is no loss', () => {
 	expect(causes(placed(0, 'a'), ended(900, 'a', {outcome: 'refusedByUpstream'}))).toEqual([['a', 'refused', 2]]);
-	const turnedAway = line(0, 'not-placed', {
+	const refused = line(0, 'not-placed', {
 		request: 'a', upstream: 'e1', tokens: 90_000, predicted: 3000, loss: 40, weight: 8, returnAfter: 2000,
 	});
-	expect(causes(turnedAway, ended(1, 'a', {outcome: 'overloaded', attempts: 0}))).toEqual([['a', 'refused', 8]]);
+	expect(causes(refused, ended(1, 'a', {outcome: 'overloaded', attempts: 0}))).toEqual([['a', 'refused', 8]]);
 	expect(causes(placed(0, 'a'), ended(900, 'a', {outcome: 'caller left', silentFor: 2000}))).toEqual([['a', 'given up by the caller', 2]]);
 	expect(causes(placed(0, 'a'), ended(900, 'a', {outcome: 'caller left', silentFor: 30}), placed(0, 'b'), ended(900, 'b'))).toEqual([]);
 });
 
-it('the command sums losses by cause and length, and names each', async () => {
+it('the command sums losses by cause and prompt length, and lists each with --each', async () => {
 	const log = [placed(0, 'a', {predicted: 500}), ended(900, 'a', {firstByte: 480}), placed(10, 'b'), ended(900, 'b')].join('\n');
 	const summed = await command(['losses', '--logs', '-'], log);
 	expect(summed.code).toBe(0);
@@ -77,5 +77,5 @@
 	const named = await command(['losses', '--logs', '-', '--each'], log);
 	expect(named.out).toMatch(/a .*host-1 .*e1 .*all engines busy/v);
 	const nothing = await command(['losses', '--logs', '-'], 'nothing');
-	expect(nothing.complaints).toContain('no request is told of in the log');
+	expect(nothing.complaints).toContain('the log contains no requests');
 });
--- a/src/cli/__tests__/send.test.ts
+++ b/src/cli/__tests__/send.test.ts
@@ -1,11 +1,11 @@
 import {type ServerResponse} from 'node:http';
 import {describe, expect, it} from 'vitest';
 import {
-	command, sendJson, serve, type Handle,
+	command, sendJson, startServer, type RequestHandler,
 } from './fakes.js';
 
 const key = {CRANBERRYTIDE_KEY: 'secret'};
-const nobody = '127.0.0.1:1';
+const unreachable = '127.0.0.1:1';
 
 function frame(offset: number, content: string): string {
 	return `id: token:${offset + 1}\ndata: ${JSON.stringify({attempt: 'x', offset, choices: [{index: 0, delta: {content}}]})}\n\n`;
@@ -28,14 +28,14 @@
 	}, status, {'x-result-code': String(code)});
 }
 
-async function send(handle: Handle, ...words: readonly string[]) {
-	await using host = await serve(handle);
-	const result = await command(['send', '--service', 'check', '--hosts', `${nobody},${host.address}`, ...words], 'Hello', key);
+async function send(handleRequest: RequestHandler, ...extraArguments: readonly string[]) {
+	await using host = await startServer(handleRequest);
+	const result = await command(['send', '--service', 'check', '--hosts', `${unreachable},${host.address}`, ...extraArguments], 'Hello', key);
 	return result;
 }
 
 describe('send', () => {
-	it('writes a stream as it comes, from the first host that can be reached', async () => {
+	it('writes a stream as it arrives, from the first reachable host', async () => {
 		const {code, out} = await send((request, response, body) => {
 			expect(request.headers.authorization).toBe('Bearer secret');
 			expect(JSON.parse(body)).toMatchObject({model: 'check', stream: true, messages: [{content: 'Hello'}]});
@@ -45,7 +45,7 @@
 		expect({code, out}).toEqual({code: 0, out: 'Good day\n'});
 	});
 
-	it('resumes a stream where it was cut, without a gap or a repeat', async () => {
+	it('resumes an interrupted stream without a gap or a repetition', async () => {
 		const {code, out} = await send((request, response) => {
 			if (request.headers['last-event-id'] === 'token:1') {
 				stream(response, frame(1, 'day'), end);
@@ -60,7 +60,7 @@
 		expect({code, out}).toEqual({code: 0, out: 'Good day\n'});
 	});
 
-	it('comes back with the ticket it is given', async () => {
+	it('repeats the request with the ticket that the host issued', async () => {
 		const seen: unknown[] = [];
 		const {code, out} = await send((request, response) => {
 			seen.push(request.headers['x-ticket']);
@@ -73,7 +73,7 @@
 		expect({code, out, seen}).toEqual({code: 0, out: 'Once\n', seen: [undefined, 't1']});
 	});
 
-	it('never repeats by itself what may have run', async () => {
+	it('does not repeat a request that may have run', async () => {
 		let runs = 0;
 		const {code} = await send((_request, response) => {
 			runs += 1;
@@ -82,7 +82,7 @@
 		expect({code, runs}).toEqual({code: 40, runs: 1});
 	});
 
-	it('repeats what says that it may be', async () => {
+	it('repeats an idempotent request', async () => {
 		let runs = 0;
 		const {code} = await send((_request, response) => {
 			runs += 1;
@@ -101,7 +101,7 @@
 		[2001, 503, 20],
 		[3001, 502, 30],
 		[4002, 502, 40],
-	])('exits by the class of %i', async (result, status, expected) => {
+	])('exits with the class of result code %i', async (result, status, expected) => {
 		const {code, complaints} = await send((_request, response) => {
 			refuse(response, result, status);
 		});
@@ -109,7 +109,7 @@
 		expect(complaints).toContain(`error ${result}: not run: No.`);
 	});
 
-	it('tells an error inside a stream', async () => {
+	it('reports an error inside a stream', async () => {
 		const {code, out} = await send((_request, response) => {
 			stream(response, frame(0, 'Go'), 'event: error\ndata: {"error":{"message":"Cut.","type":"failed","code":3003}}\n\n');
 			response.end();
@@ -125,8 +125,8 @@
 		expect(JSON.parse(out)).toEqual({method: 'PUT', url: '/v1/services/check/bookings/1?x=2', body: 'Hello'});
 	});
 
-	it('gives up where no host can be reached', async () => {
-		expect(await command(['send', '--service', 'check', '--hosts', nobody], 'Hello', key)).toMatchObject({code: 20});
-		expect(await command(['send', '--service', 'check', '--hosts', nobody], 'Hello')).toMatchObject({code: 70});
+	it('fails if no host is reachable', async () => {
+		expect(await command(['send', '--service', 'check', '--hosts', unreachable], 'Hello', key)).toMatchObject({code: 20});
+		expect(await command(['send', '--service', 'check', '--hosts', unreachable], 'Hello')).toMatchObject({code: 70});
 	});
 });
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -1,4 +1,4 @@
-/** `cranberrytide check`: reads a document and names every mistake and danger. */
+/** `cranberrytide check`: validates a configuration document and warns of dangerous changes. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
 import {
@@ -7,43 +7,43 @@
 	warningsOf,
 	type Parsed,
 } from '../../protocol/configuration/index.js';
-import {mistakeLines, readConfiguration, readText} from '../input.js';
-import {type Registration} from '../registration.js';
+import {formatMistakes, readConfiguration, readText} from '../input.js';
+import {type CommandServices} from '../command-services.js';
 import {writeJson, writeLines, type Terminal} from '../terminal.js';
 
-type Choices = {
+type CheckOptions = {
 	readonly against?: string;
 	readonly json?: boolean;
 };
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addCheck(program: Command, {terminal, act}: Registration): void {
+export function addCheckCommand(program: Command, {terminal, wrapAction}: CommandServices): void {
 	program.command('check')
-		.description('Check a configuration document and name every mistake with its path and code.')
+		.description('Check a configuration document and list every mistake with its path and code.')
 		.argument('<file>', 'document, - for standard input')
-		.option('--against <file>', 'document in force, to be warned of dangerous changes')
+		.option('--against <file>', 'document in force; warns of dangerous changes to it')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide check next.json --against current.json')
-		.action(act(async (file: string, choices: Choices) => check(terminal, file, choices)));
+		.action(wrapAction(async (file: string, options: CheckOptions) => check(terminal, file, options)));
 }
 
-async function check(terminal: Terminal, file: string, {against, json}: Choices): Promise<Code> {
+async function check(terminal: Terminal, file: string, {against, json}: CheckOptions): Promise<Code> {
 	const before = against === undefined ? undefined : await readConfiguration(terminal, against);
 	const parsed = parseConfiguration(await readText(terminal, file));
 	const warnings = parsed.type === 'valid' ? warningsOf(parsed.configuration, before) : [];
 	if (json === true) {
-		writeJson(terminal, report(parsed, warnings.map(warning => ({...warning, text: warningInWords(warning)}))));
+		writeJson(terminal, formatReport(parsed, warnings.map(warning => ({...warning, text: warningInWords(warning)}))));
 	} else {
-		writeLines(terminal, [...summary(parsed), ...warnings.map(warning => `warning: ${warningInWords(warning)}`)]);
+		writeLines(terminal, [...formatSummary(parsed), ...warnings.map(warning => `warning: ${warningInWords(warning)}`)]);
 	}
 
 	return parsed.type === 'valid' ? codes.done : codes[parsed.mistakes[0]!.code];
 }
 
-function report(parsed: Parsed, warnings: readonly unknown[]): unknown {
+function formatReport(parsed: Parsed, warnings: readonly unknown[]): unknown {
 	return parsed.type === 'valid'
 		? {
 			valid: true,
@@ -59,15 +59,15 @@
 		};
 }
 
-function summary(parsed: Parsed): readonly string[] {
+function formatSummary(parsed: Parsed): readonly string[] {
 	if (parsed.type === 'invalid') {
-		return mistakeLines(parsed);
+		return formatMistakes(parsed);
 	}
 
 	const {configuration: {revision, services, organisations, upstreams}, digest, unknownFields} = parsed;
 	return [
 		`Revision ${revision} is valid: ${services.length} services, ${organisations.length} organisations, ${upstreams.length} upstreams.`,
 		`SHA-256 ${digest}`,
-		...unknownFields.map(path => `warning: ${path} is not known and is left out.`),
+		...unknownFields.map(path => `warning: ${path} is an unknown field and is ignored.`),
 	];
 }
--- a/src/cli/commands/completion.ts
+++ b/src/cli/commands/completion.ts
@@ -1,50 +1,50 @@
-/** `cranberrytide completion`: a script that completes commands, options and files in a shell. */
+/** `cranberrytide completion`: writes a script that completes commands, options and files in a shell. */
 import {type Command} from 'commander';
 import {codes, raise, type Code} from '../../core/index.js';
-import {type Registration} from '../registration.js';
+import {type CommandServices} from '../command-services.js';
 import {type Terminal} from '../terminal.js';
 
 /**
  * @param program - Command that it belongs to, and whose commands are completed.
- * @param registration - Runs its action.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addCompletion(program: Command, {terminal, act}: Registration): void {
+export function addCompletionCommand(program: Command, {terminal, wrapAction}: CommandServices): void {
 	program.command('completion')
 		.description('Write a completion script for bash or zsh.')
 		.argument('<shell>', 'bash or zsh')
 		.addHelpText('after', '\nExample:\n  source <(cranberrytide completion bash)')
-		.action(act(async (shell: string) => complete(terminal, program, shell)));
+		.action(wrapAction(async (shell: string) => writeScript(terminal, program, shell)));
 }
 
-async function complete(terminal: Terminal, program: Command, shell: string): Promise<Code> {
-	terminal.write(scriptOf(program, shell));
+async function writeScript(terminal: Terminal, program: Command, shell: string): Promise<Code> {
+	terminal.write(createScript(program, shell));
 	return codes.done;
 }
 
-function scriptOf(program: Command, shell: string): string {
+function createScript(program: Command, shell: string): string {
 	switch (shell) {
 		case 'bash': {
-			return bashScript(program);
+			return createBashScript(program);
 		}
 
 		case 'zsh': {
-			return zshScript(program);
+			return createZshScript(program);
 		}
 
 		default: {
-			return raise('badArgument', `There is no completion for "${shell}".`);
+			return raise('badArgument', `Unsupported shell "${shell}"; use bash or zsh.`);
 		}
 	}
 }
 
-function optionsOf(command: Command): readonly string[] {
+function listOptions(command: Command): readonly string[] {
 	return command.options.flatMap(({long}) => long === undefined ? [] : [long]);
 }
 
-function bashScript(program: Command): string {
+function createBashScript(program: Command): string {
 	const name = program.name();
 	const cases = program.commands.map(command =>
-		`\t\t${command.name()}) words="${[...optionsOf(command), '--help'].join(' ')}" ;;`);
+		`\t\t${command.name()}) words="${[...listOptions(command), '--help'].join(' ')}" ;;`);
 	return `_${name}() {
 	local word="\${COMP_WORDS[COMP_CWORD]}" words
 	if [ "$COMP_CWORD" -eq 1 ]; then
@@ -64,12 +64,12 @@
 `;
 }
 
-function zshScript(program: Command): string {
+function createZshScript(program: Command): string {
 	const name = program.name();
-	const commands = program.commands.map(command => `\t\t'${command.name()}:${quote(command.description())}'`);
+	const commands = program.commands.map(command => `\t\t'${command.name()}:${escapeText(command.description())}'`);
 	const cases = program.commands.map(command => {
 		const options = command.options.map(({long, description, required}) =>
-			`'${long}[${quote(description).replaceAll(/[\[\]]/gv, '')}]${required ? ':value:_files' : ''}'`);
+			`'${long}[${escapeText(description).replaceAll(/[\[\]]/gv, '')}]${required ? ':value:_files' : ''}'`);
 		return `\t\t${command.name()}) _arguments ${[...options, '\'*:file:_files\''].join(' ')} ;;`;
 	});
 	return `#compdef ${name}
@@ -92,6 +92,6 @@
 `;
 }
 
-function quote(text: string): string {
+function escapeText(text: string): string {
 	return text.replaceAll('\'', String.raw`'\''`).replaceAll(':', String.raw`\:`);
 }
--- a/src/cli/commands/diff.ts
+++ b/src/cli/commands/diff.ts
@@ -1,4 +1,4 @@
-/** `cranberrytide diff`: says in words what changes from one document to another. */
+/** `cranberrytide diff`: describes the changes from one configuration document to another. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
 import {
@@ -8,28 +8,28 @@
 	warningsOf,
 } from '../../protocol/configuration/index.js';
 import {readConfiguration} from '../input.js';
-import {type Registration} from '../registration.js';
+import {type CommandServices} from '../command-services.js';
 import {writeJson, writeLines, type Terminal} from '../terminal.js';
 
-type Choices = {
+type DiffOptions = {
 	readonly json?: boolean;
 };
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addDiff(program: Command, {terminal, act}: Registration): void {
+export function addDiffCommand(program: Command, {terminal, wrapAction}: CommandServices): void {
 	program.command('diff')
-		.description('Say in words what changes from document A to document B; exit with 1 if anything does.')
+		.description('Describe the changes from document A to document B; exit with 1 if there are any.')
 		.argument('<a>', 'document, - for standard input')
-		.argument('<b>', 'document that follows it')
+		.argument('<b>', 'document that replaces it, - for standard input')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide diff current.json next.json')
-		.action(act(async (a: string, b: string, choices: Choices) => compare(terminal, a, b, choices)));
+		.action(wrapAction(async (a: string, b: string, options: DiffOptions) => compareDocuments(terminal, a, b, options)));
 }
 
-async function compare(terminal: Terminal, a: string, b: string, {json}: Choices): Promise<Code> {
+async function compareDocuments(terminal: Terminal, a: string, b: string, {json}: DiffOptions): Promise<Code> {
 	const before = await readConfiguration(terminal, a);
 	const after = await readConfiguration(terminal, b);
 	const changes = difference(before, after);
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `cranberrytide drain`: asks one host to leave. */
+/** `cranberrytide drain`: drains one host. */
 import {setTimeout} from 'node:timers/promises';
 import {type Command} from 'commander';
 import {
@@ -14,41 +14,41 @@
 } from '../../admin/client.js';
 import {addHostOptions} from '../fleet.js';
 import {formatAddress} from '../../protocol/address.js';
-import {readHosts, type HostSource} from '../hosts.js';
-import {type Registration} from '../registration.js';
+import {readHostAddresses, type HostOptions} from '../hosts.js';
+import {type CommandServices} from '../command-services.js';
 import {type Terminal} from '../terminal.js';
 
-type Choices = HostSource & {
+type DrainOptions = HostOptions & {
 	readonly grace?: number;
 	readonly wait?: boolean;
 };
 
-/** Milliseconds between two looks at a host that is leaving. */
-const lookInterval = 500;
+/** Interval at which the status of a draining host is polled. */
+const pollIntervalMs = 500;
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addDrain(program: Command, {terminal, act, wholeNumber}: Registration): void {
+export function addDrainCommand(program: Command, {terminal, wrapAction, parseWholeNumber}: CommandServices): void {
 	addHostOptions(program.command('drain'))
-		.description('Ask a host to leave: it takes no new work, finishes what it runs and stops.')
-		.argument('<host>', 'name of the host, or the address of its operators\' listener')
-		.option('--grace <ms>', 'time for running requests, in milliseconds', wholeNumber)
-		.option('--wait', 'wait until the host no longer answers')
+		.description('Drain a host: it accepts no new requests, finishes those that run and stops.')
+		.argument('<host>', 'name of the host, or address of its admin listener')
+		.option('--grace <ms>', 'time that running requests have to finish, in milliseconds', parseWholeNumber)
+		.option('--wait', 'wait until the host no longer responds')
 		.addHelpText('after', '\nExample:\n  cranberrytide drain karachi-a-3 --hosts 10.0.0.1:7071,10.0.0.2:7071 --wait')
-		.action(act(async (host: string, choices: Choices) => drain(terminal, host, choices)));
+		.action(wrapAction(async (host: string, options: DrainOptions) => drain(terminal, host, options)));
 }
 
-async function drain(terminal: Terminal, host: string, choices: Choices): Promise<Code> {
-	const address = await findHost(terminal, host, choices);
-	const answer = await orderDrain(address, choices.grace === undefined ? {} : {grace: choices.grace});
-	terminal.write(`${answer.host} is ${answer.phase}; ${inWords(answer.unfinished)} to finish.\n`);
-	return choices.wait === true ? waitForStop(terminal, address, answer) : codes.done;
+async function drain(terminal: Terminal, host: string, options: DrainOptions): Promise<Code> {
+	const address = await findHostAddress(terminal, host, options);
+	const answer = await orderDrain(address, options.grace === undefined ? {} : {grace: options.grace});
+	terminal.write(`${answer.host} is ${answer.phase}; ${formatRequestCount(answer.unfinished)} to finish.\n`);
+	return options.wait === true ? waitForStop(terminal, address, answer) : codes.done;
 }
 
-async function findHost(terminal: Terminal, host: string, choices: Choices): Promise<Address> {
-	const addresses = await readHosts(terminal, {hosts: host.includes(':') ? host : undefined, ...choices}, 'admin');
+async function findHostAddress(terminal: Terminal, host: string, options: DrainOptions): Promise<Address> {
+	const addresses = await readHostAddresses(terminal, {hosts: host.includes(':') ? host : undefined, ...options}, 'admin');
 	const answers = await askAll(addresses, fetchStatus);
 	for (const answer of answers) {
 		if (formatAddress(answer.address) === host || (answer.type === 'answered' && answer.content.incarnation.host === host)) {
@@ -56,25 +56,25 @@
 		}
 	}
 
-	return raise('unreachableHost', `No host that answered is called "${host}".`);
+	return raise('unreachableHost', `None of the hosts that answered is called "${host}".`);
 }
 
 async function waitForStop(terminal: Terminal, address: Address, {host, unfinished}: Drain): Promise<Code> {
-	for (let left: number | undefined = unfinished; left !== undefined;) {
-		await setTimeout(lookInterval);
+	for (let remaining: number | undefined = unfinished; remaining !== undefined;) {
+		await setTimeout(pollIntervalMs);
 		const now = await countUnfinished(address);
-		if (now !== undefined && now !== left) {
-			terminal.write(`${inWords(now)} to finish.\n`);
+		if (now !== undefined && now !== remaining) {
+			terminal.write(`${formatRequestCount(now)} to finish.\n`);
 		}
 
-		left = now;
+		remaining = now;
 	}
 
 	terminal.write(`${host} no longer answers.\n`);
 	return codes.done;
 }
 
-/** Undefined once the host no longer answers. */
+/** Returns undefined once the host no longer answers. */
 async function countUnfinished(address: Address): Promise<number | undefined> {
 	try {
 		const {queues} = await fetchStatus(address);
@@ -88,6 +88,6 @@
 	}
 }
 
-function inWords(requests: number): string {
+function formatRequestCount(requests: number): string {
 	return requests === 1 ? '1 request' : `${requests} requests`;
 }
--- a/src/cli/commands/incidents.ts
+++ b/src/cli/commands/incidents.ts
@@ -1,22 +1,22 @@
-/** `cranberrytide incidents`: sums up from logs what was lost and regained in a window, and what became of requests. */
+/** `cranberrytide incidents`: summarises incidents, outcomes of requests and failed attempts of a time window from logs. */
 import {type Command} from 'commander';
 import {z} from 'zod';
 import {codes, raise, type Code} from '../../core/index.js';
-import {gatewaySchema} from '../gateway-lines.js';
+import {gatewayLineSchema} from '../gateway-lines.js';
 import {readText, standardInput} from '../input.js';
-import {readLog, type LogEntry} from '../log-lines.js';
-import {type Registration} from '../registration.js';
+import {parseLog, type LogEntry} from '../log-lines.js';
+import {type CommandServices} from '../command-services.js';
 import {writeJson, writeLines, type Terminal} from '../terminal.js';
 
-type Choices = {
+type IncidentsOptions = {
 	readonly logs: readonly string[];
 	readonly from?: string;
 	readonly to?: string;
 	readonly json?: boolean;
 };
 
-/** Events that change what a host believes, or that it starts or stops. */
-const notable: ReadonlySet<string> = new Set([
+/** Events of the life of a host, and of changes in what it considers reachable, healthy or in force. */
+const incidentEvents: ReadonlySet<string> = new Set([
 	'started',
 	'stopping',
 	'stopped',
@@ -45,13 +45,13 @@
 	'exchange-failed',
 ]);
 
-/** Milliseconds within which the same news at several hosts is told as one. */
-const sameNews = 2000;
+/** Longest time between two log lines of the same incident, at one or several hosts. */
+const mergeWindowMs = 2000;
 
-/** Something that happened at one or more hosts. */
-export type Happening = {
+/** Event that one or more hosts logged. */
+export type Incident = {
 	readonly event: string;
-	/** What it was about: an upstream, a peer, a version. */
+	/** What the event concerns: an upstream, a peer, a failure domain, a fingerprint or a version; may be empty. */
 	readonly subject: string;
 	/** Milliseconds since 1970. */
 	readonly from: number;
@@ -63,52 +63,52 @@
 export type Summary = {
 	readonly from: number;
 	readonly to: number;
-	readonly happenings: readonly Happening[];
-	/** Requests by how they ended. */
+	readonly happenings: readonly Incident[];
+	/** Number of requests by outcome. */
 	readonly outcomes: Readonly<Record<string, number>>;
-	/** Attempts that did not bring an answer, by upstream and ending. */
+	/** Number of attempts without an answer, by upstream and ending. */
 	readonly failures: Readonly<Record<string, Readonly<Record<string, number>>>>;
 };
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addIncidents(program: Command, {terminal, act}: Registration): void {
+export function addIncidentsCommand(program: Command, {terminal, wrapAction}: CommandServices): void {
 	program.command('incidents')
-		.description('Sum up from logs what was lost and regained, and what became of requests.')
-		.requiredOption('--logs <file...>', 'log lines of one or more hosts, - for standard input')
-		.option('--from <time>', 'begin of the window, as in the log')
-		.option('--to <time>', 'end of the window, as in the log')
+		.description('Summarise incidents, outcomes of requests and failed attempts from logs.')
+		.requiredOption('--logs <file...>', 'log files of one or more hosts, - for standard input')
+		.option('--from <time>', 'start of the time window, in the format of the log')
+		.option('--to <time>', 'end of the time window, in the format of the log')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide incidents --logs host-*.log --from 2026-03-24T14:19:20Z --to 2026-03-24T14:20:00Z')
-		.action(act(async (choices: Choices) => incidents(terminal, choices)));
+		.action(wrapAction(async (options: IncidentsOptions) => incidents(terminal, options)));
 }
 
-function timeOf(text: string | undefined, otherwise: number): number {
+function parseTime(text: string | undefined, fallback: number): number {
 	if (text === undefined) {
-		return otherwise;
+		return fallback;
 	}
 
 	const time = Date.parse(text);
-	return Number.isNaN(time) ? raise('badArgument', `${text} is no time`) : time;
+	return Number.isNaN(time) ? raise('badArgument', `${text} is not a valid time`) : time;
 }
 
-async function incidents(terminal: Terminal, choices: Choices): Promise<Code> {
-	const from = timeOf(choices.from, Number.NEGATIVE_INFINITY);
-	const to = timeOf(choices.to, Number.POSITIVE_INFINITY);
-	const files = choices.logs.includes(standardInput) ? [standardInput] : choices.logs;
+async function incidents(terminal: Terminal, options: IncidentsOptions): Promise<Code> {
+	const from = parseTime(options.from, Number.NEGATIVE_INFINITY);
+	const to = parseTime(options.to, Number.POSITIVE_INFINITY);
+	const files = options.logs.includes(standardInput) ? [standardInput] : options.logs;
 	const texts = await Promise.all(files.map(async file => readText(terminal, file)));
-	const entries = readLog(texts.join('\n')).filter(({time}) => time >= from && time <= to);
+	const entries = parseLog(texts.join('\n')).filter(({time}) => time >= from && time <= to);
 	if (entries.length === 0) {
-		return raise('unreadableFile', 'no log line lies in the window');
+		return raise('unreadableFile', 'the time window contains no log lines');
 	}
 
-	const summary = sumUp(entries);
-	if (choices.json === true) {
+	const summary = summarise(entries);
+	if (options.json === true) {
 		writeJson(terminal, summary);
 	} else {
-		writeLines(terminal, inWords(summary));
+		writeLines(terminal, formatSummary(summary));
 	}
 
 	return codes.done;
@@ -123,35 +123,35 @@
 	draining: z.boolean().optional(),
 });
 
-function subjectOf({decision}: LogEntry): string {
+function getSubject({decision}: LogEntry): string {
 	const {upstream, peer, fingerprint, domain, version, draining} = subjectSchema.safeParse(decision).data ?? {};
 	const subject = upstream ?? peer ?? fingerprint ?? domain ?? (version === undefined ? '' : `version ${version}`);
 	return `${subject}${draining === true ? ' draining' : ''}`;
 }
 
 /**
- * @param entries - Log lines by time.
- * @returns What they tell.
+ * @param entries - Log entries, oldest first; at least one.
+ * @returns Incidents and counts.
  */
-export function sumUp(entries: readonly LogEntry[]): Summary {
-	const happenings: Array<Happening & {hosts: string[]; to: number}> = [];
+export function summarise(entries: readonly LogEntry[]): Summary {
+	const happenings: Array<Incident & {hosts: string[]; to: number}> = [];
 	const outcomes: Record<string, number> = {};
 	const failures: Record<string, Record<string, number>> = {};
 	for (const entry of entries) {
 		const {decision, host, time} = entry;
-		if (notable.has(decision.type)) {
-			const subject = subjectOf(entry);
-			const known = happenings.findLast(each => each.event === decision.type && each.subject === subject && time - each.to <= sameNews);
-			if (known === undefined) {
+		if (incidentEvents.has(decision.type)) {
+			const subject = getSubject(entry);
+			const current = happenings.findLast(each => each.event === decision.type && each.subject === subject && time - each.to <= mergeWindowMs);
+			if (current === undefined) {
 				const {detail, reason} = decision;
-				const why = detail ?? reason;
+				const cause = detail ?? reason;
 				happenings.push({
-					event: decision.type, subject, from: time, to: time, hosts: [host], detail: typeof why === 'string' ? why : undefined,
+					event: decision.type, subject, from: time, to: time, hosts: [host], detail: typeof cause === 'string' ? cause : undefined,
 				});
 			} else {
-				known.to = time;
-				if (!known.hosts.includes(host)) {
-					known.hosts.push(host);
+				current.to = time;
+				if (!current.hosts.includes(host)) {
+					current.hosts.push(host);
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 }
 
 function countLine(decision: LogEntry['decision'], outcomes: Record<string, number>, failures: Record<string, Record<string, number>>): void {
-	const line = gatewaySchema.safeParse(decision);
+	const line = gatewayLineSchema.safeParse(decision);
 	if (!line.success) {
 		return;
 	}
@@ -179,18 +179,18 @@
 	}
 }
 
-function counted(counts: Readonly<Record<string, number>>): string {
+function formatCounts(counts: Readonly<Record<string, number>>): string {
 	return Object.entries(counts).toSorted(([, a], [, b]) => b - a).map(([name, count]) => `${name} ${count}`).join(', ');
 }
 
-function inWords({from, to, happenings, outcomes, failures}: Summary): readonly string[] {
+function formatSummary({from, to, happenings, outcomes, failures}: Summary): readonly string[] {
 	return [
 		`${new Date(from).toISOString()} to ${new Date(to).toISOString()}`,
-		`Requests: ${counted(outcomes)}`,
+		`Requests: ${formatCounts(outcomes)}`,
 		...happenings.map(each => {
 			const hosts = each.hosts.length === 1 ? each.hosts[0] : `${each.hosts.length} hosts, first ${each.hosts[0]}`;
 			return `+${each.from - from} ms  ${each.event} ${each.subject} (${hosts})${each.detail === undefined ? '' : `: ${each.detail}`}`;
 		}),
-		...Object.entries(failures).map(([upstream, counts]) => `Attempts without an answer at ${upstream}: ${counted(counts)}`),
+		...Object.entries(failures).map(([upstream, counts]) => `Attempts without an answer at ${upstream}: ${formatCounts(counts)}`),
 	];
 }
--- a/src/cli/commands/send.ts
+++ b/src/cli/commands/send.ts
@@ -1,12 +1,12 @@
-/** `cranberrytide send`: sends a prompt, or a call to a plain service, and writes the answer as it comes. */
+/** `cranberrytide send`: sends a prompt, or a call to a plain service, and writes the answer as it arrives. */
 import {type Command} from 'commander';
 import {type Method} from 'got';
 import {raise} from '../../core/index.js';
 import {callerHeaders} from '../../protocol/callers.js';
 import {addHostOptions} from '../fleet.js';
-import {readHosts, type HostSource} from '../hosts.js';
+import {readHostAddresses, type HostOptions} from '../hosts.js';
 import {readText} from '../input.js';
-import {type Registration} from '../registration.js';
+import {type CommandServices} from '../command-services.js';
 import {type Call} from '../sending/call.js';
 import {Sender} from '../sending/sender.js';
 import {type Terminal} from '../terminal.js';
@@ -16,7 +16,7 @@
 
 const methods: readonly Method[] = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE'];
 
-type Choices = HostSource & {
+type SendOptions = HostOptions & {
 	readonly service: string;
 	readonly keyFile?: string;
 	readonly idempotent?: boolean;
@@ -31,83 +31,83 @@
 };
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addSend(program: Command, {terminal, act, wholeNumber}: Registration): void {
+export function addSendCommand(program: Command, {terminal, wrapAction, parseWholeNumber}: CommandServices): void {
 	addHostOptions(program.command('send'))
-		.description('Send a prompt and write the answer as it comes; a stream that is cut is resumed at the next host.')
+		.description('Send a prompt and write the answer as it arrives; an interrupted stream is resumed at the next host.')
 		.argument('[file]', 'prompt, - for standard input', '-')
-		.requiredOption('--service <name>', 'service that answers')
-		.option('--key-file <file>', `file with the organisation's API key; otherwise ${keyVariable} holds it`)
+		.requiredOption('--service <name>', 'service that the request is for')
+		.option('--key-file <file>', `file with the organisation's API key; default: the value of ${keyVariable}`)
 		.option('--idempotent', 'the request may be repeated')
-		.option('--once', 'the request may run only once; a ticket is taken if the host asks for one')
-		.option('--idempotency-key <key>', 'key under which the request runs at most once')
-		.option('--timeout <ms>', 'time that the request may take, in milliseconds', wholeNumber)
-		.option('--priority <number>', 'urgency from 0 to 9, 0 first', wholeNumber)
-		.option('--max-tokens <number>', 'the most tokens that are written', wholeNumber)
-		.option('--whole', 'take the answer at once instead of as a stream')
-		.option('--path <path>', 'call a plain service at this path; the file is the body')
-		.option('--method <method>', 'method of a call to a plain service', 'POST')
+		.option('--once', 'the request may run only once; uses a ticket if the host requires one')
+		.option('--idempotency-key <key>', 'idempotency key; requests with the same key run at most once')
+		.option('--timeout <ms>', 'time limit of the request, in milliseconds', parseWholeNumber)
+		.option('--priority <number>', 'urgency from 0 (most urgent) to 9', parseWholeNumber)
+		.option('--max-tokens <number>', 'maximum number of generated tokens', parseWholeNumber)
+		.option('--whole', 'request the whole answer at once instead of a stream')
+		.option('--path <path>', 'call a plain service at this path, with the file as the body')
+		.option('--method <method>', 'HTTP method of a call to a plain service', 'POST')
 		.addHelpText('after', `
 Examples:
   echo 'Check this paragraph.' | ${keyVariable}=secret cranberrytide send --service check --hosts 10.0.0.1:8080,10.0.0.2:8080
   cranberrytide send booking.json --service portal --path /bookings --once --key-file key --hosts 10.0.0.1:8080`)
-		.action(act(async (file: string, choices: Choices) => send(terminal, file, choices)));
+		.action(wrapAction(async (file: string, options: SendOptions) => send(terminal, file, options)));
 }
 
-async function send(terminal: Terminal, file: string, choices: Choices): Promise<number> {
-	const hosts = await readHosts(terminal, choices, 'callers');
-	const key = await readKey(terminal, choices);
-	const headers = headersOf(choices, key);
-	const call = choices.path === undefined
-		? chatCall(await readText(terminal, file), choices, headers)
-		: await plainCall(terminal, file, choices, headers);
-	const mayRepeat = choices.idempotent === true || choices.idempotencyKey !== undefined;
-	return new Sender(terminal, hosts, call, mayRepeat).send();
+async function send(terminal: Terminal, file: string, options: SendOptions): Promise<number> {
+	const hosts = await readHostAddresses(terminal, options, 'callers');
+	const key = await readKey(terminal, options);
+	const headers = createHeaders(options, key);
+	const call = options.path === undefined
+		? createChatCall(await readText(terminal, file), options, headers)
+		: await createPlainCall(terminal, file, options, headers);
+	const isRepeatable = options.idempotent === true || options.idempotencyKey !== undefined;
+	return new Sender(terminal, hosts, call, isRepeatable).send();
 }
 
-async function readKey(terminal: Terminal, {keyFile}: Choices): Promise<string> {
+async function readKey(terminal: Terminal, {keyFile}: SendOptions): Promise<string> {
 	const key = keyFile === undefined ? terminal.environment[keyVariable] : await readText(terminal, keyFile);
-	return key?.trim() ?? raise('badArgument', `No API key: give --key-file or ${keyVariable}.`);
+	return key?.trim() ?? raise('badArgument', `No API key: pass --key-file or set ${keyVariable}.`);
 }
 
-function headersOf(choices: Choices, key: string): Readonly<Record<string, string>> {
-	if (choices.idempotent === true && choices.once === true) {
-		return raise('badArgument', 'Choose one of --idempotent and --once.');
+function createHeaders(options: SendOptions, key: string): Readonly<Record<string, string>> {
+	if (options.idempotent === true && options.once === true) {
+		return raise('badArgument', 'Options --idempotent and --once exclude each other.');
 	}
 
 	return {
 		authorization: `Bearer ${key}`,
-		...(choices.idempotent === true && {[callerHeaders.idempotent]: 'true'}),
-		...(choices.once === true && {[callerHeaders.idempotent]: 'false'}),
-		...(choices.idempotencyKey !== undefined && {[callerHeaders.key]: choices.idempotencyKey}),
-		...(choices.timeout !== undefined && {[callerHeaders.timeout]: String(choices.timeout)}),
-		...(choices.priority !== undefined && {[callerHeaders.priority]: String(choices.priority)}),
+		...(options.idempotent === true && {[callerHeaders.idempotent]: 'true'}),
+		...(options.once === true && {[callerHeaders.idempotent]: 'false'}),
+		...(options.idempotencyKey !== undefined && {[callerHeaders.key]: options.idempotencyKey}),
+		...(options.timeout !== undefined && {[callerHeaders.timeout]: String(options.timeout)}),
+		...(options.priority !== undefined && {[callerHeaders.priority]: String(options.priority)}),
 	};
 }
 
-function chatCall(prompt: string, choices: Choices, headers: Readonly<Record<string, string>>): Call {
+function createChatCall(prompt: string, options: SendOptions, headers: Readonly<Record<string, string>>): Call {
 	return {
 		method: 'POST',
 		path: '/v1/chat/completions',
 		headers: {...headers, 'content-type': 'application/json'},
 		body: JSON.stringify({
-			model: choices.service,
+			model: options.service,
 			messages: [{role: 'user', content: prompt}],
-			stream: choices.whole !== true,
-			...(choices.maxTokens !== undefined && {max_tokens: choices.maxTokens}),
+			stream: options.whole !== true,
+			...(options.maxTokens !== undefined && {max_tokens: options.maxTokens}),
 		}),
 	};
 }
 
-async function plainCall(terminal: Terminal, file: string, choices: Choices, headers: Readonly<Record<string, string>>): Promise<Call> {
-	const method = methods.find(each => each === choices.method.toUpperCase())
-		?? raise('badArgument', `"${choices.method}" is none of ${methods.join(', ')}.`);
-	const path = choices.path!.startsWith('/') ? choices.path! : `/${choices.path!}`;
+async function createPlainCall(terminal: Terminal, file: string, options: SendOptions, headers: Readonly<Record<string, string>>): Promise<Call> {
+	const method = methods.find(each => each === options.method.toUpperCase())
+		?? raise('badArgument', `Unsupported method "${options.method}"; use one of ${methods.join(', ')}.`);
+	const path = options.path!.startsWith('/') ? options.path! : `/${options.path!}`;
 	return {
 		method,
-		path: `/v1/services/${encodeURIComponent(choices.service)}${path}`,
+		path: `/v1/services/${encodeURIComponent(options.service)}${path}`,
 		headers: method === 'GET' ? headers : {...headers, 'content-type': 'application/json'},
 		...(method !== 'GET' && {body: await readText(terminal, file)}),
 	};
--- a/src/cli/commands/show.ts
+++ b/src/cli/commands/show.ts
@@ -1,51 +1,51 @@
-/** `cranberrytide show`: which document is in force, and on which hosts. */
+/** `cranberrytide show`: lists which configuration document is in force on which host. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
 import {type InForce} from '../../protocol/admin.js';
 import {askAll, fetchInForce, type Answer} from '../../admin/client.js';
 import {formatAddress} from '../../protocol/address.js';
-import {readHosts, type HostSource} from '../hosts.js';
-import {type Registration} from '../registration.js';
-import {addHostOptions, complainOfSilent, resultOf} from '../fleet.js';
+import {readHostAddresses, type HostOptions} from '../hosts.js';
+import {type CommandServices} from '../command-services.js';
+import {addHostOptions, reportFailedHosts, getResultCode} from '../fleet.js';
 import {formatTable} from '../table.js';
 import {writeJson, writeLines, type Terminal} from '../terminal.js';
 
-type Choices = HostSource & {
+type ShowOptions = HostOptions & {
 	readonly json?: boolean;
 	readonly document?: boolean;
 };
 
 /**
- * @param program - Command that it belongs to.
- * @param registration - Runs its action.
+ * @param program - Program that the command is added to.
+ * @param services - Terminal and helpers that all commands share.
  */
-export function addShow(program: Command, {terminal, act}: Registration): void {
+export function addShowCommand(program: Command, {terminal, wrapAction}: CommandServices): void {
 	addHostOptions(program.command('show'))
-		.description('Show the revision in force and on which hosts; exit with 1 if they differ.')
+		.description('Show the revision in force on each host; exit with 1 if the documents differ.')
 		.option('--document', 'write the document with the highest revision instead')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide show --hosts 10.0.0.1:7071,10.0.0.2:7071 --document > current.json')
-		.action(act(async (choices: Choices) => show(terminal, choices)));
+		.action(wrapAction(async (options: ShowOptions) => show(terminal, options)));
 }
 
-async function show(terminal: Terminal, choices: Choices): Promise<Code> {
-	const answers = await askAll(await readHosts(terminal, choices, 'admin'), async address => fetchInForce(address));
+async function show(terminal: Terminal, options: ShowOptions): Promise<Code> {
+	const answers = await askAll(await readHostAddresses(terminal, options, 'admin'), async address => fetchInForce(address));
 	const documents = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	const newest = documents.toSorted((first, second) => second.revision - first.revision)[0];
-	if (choices.document === true) {
+	if (options.document === true) {
 		terminal.write(newest?.text ?? '');
-	} else if (choices.json === true) {
-		writeJson(terminal, answers.map(answer => row(answer)));
+	} else if (options.json === true) {
+		writeJson(terminal, answers.map(answer => createJsonEntry(answer)));
 	} else {
-		writeLines(terminal, table(documents));
+		writeLines(terminal, formatDocuments(documents));
 	}
 
-	complainOfSilent(terminal, answers);
-	const differ = documents.some(each => each.digest !== newest?.digest);
-	return differ ? codes.differs : resultOf(answers);
+	reportFailedHosts(terminal, answers);
+	const isDifferent = documents.some(each => each.digest !== newest?.digest);
+	return isDifferent ? codes.differs : getResultCode(answers);
 }
 
-function row(answer: Answer<InForce>): unknown {
+function createJsonEntry(answer: Answer<InForce>): unknown {
 	const address = formatAddress(answer.address);
 	if (answer.type === 'silent') {
 		return {address, code: answer.failure.code};
@@ -57,7 +57,7 @@
 	};
 }
 
-function table(documents: readonly InForce[]): readonly string[] {
+function formatDocuments(documents: readonly InForce[]): readonly string[] {
 	const rows = documents
 		.toSorted((first, second) => second.revision - first.revision || first.host.localeCompare(second.host))
 		.map(({host, revision, digest}) => [host, revision, digest]);
--- a/src/cli/decisions.ts
+++ b/src/cli/decisions.ts
@@ -1,13 +1,13 @@
-/** Puts logged decisions into words. */
+/** Describes logged decisions in sentences. */
 import {z} from 'zod';
 import {
 	assertNever, codes, nameOfCode, texts,
 } from '../core/index.js';
 import {type LoggedDecision} from '../protocol/admin.js';
-import {gatewayInWords, gatewaySchema} from './gateway-lines.js';
+import {describeGatewayLine, gatewayLineSchema} from './gateway-lines.js';
 
-/** Fields of each decision that the words need. */
-const knownSchema = z.discriminatedUnion('type', [
+/** Fields of each known decision that its description uses. */
+const knownDecisionSchema = z.discriminatedUnion('type', [
 	z.object({
 		type: z.literal('routed'),
 		organisation: z.string(),
@@ -31,54 +31,54 @@
 	z.object({type: z.literal('forwarded'), to: z.string(), reason: z.string()}),
 ]);
 
-type Known = z.infer<typeof knownSchema>;
-type Outcome = Extract<Known, {type: 'concluded'}>['outcome'];
+type KnownDecision = z.infer<typeof knownDecisionSchema>;
+type Outcome = Extract<KnownDecision, {type: 'concluded'}>['outcome'];
 
-/** Significant digits of a score. */
+/** Significant digits of a printed score. */
 const scoreDigits = 3;
 
-/** Candidates that are named beside the chosen one. */
-const candidatesShown = 5;
+/** Candidates that are printed; the rest is only counted. */
+const maxPrintedCandidates = 5;
 
 /**
- * @param decision - Decision as it was logged.
- * @returns One sentence without a full stop; types that are not known are given field by field.
+ * @param decision - Decision as logged.
+ * @returns One sentence without a full stop; the fields of a decision of unknown type.
  */
-export function decisionInWords(decision: LoggedDecision): string {
-	const known = knownSchema.safeParse(decision);
+export function describeDecision(decision: LoggedDecision): string {
+	const known = knownDecisionSchema.safeParse(decision);
 	if (known.success) {
-		return knownInWords(known.data);
+		return describeKnownDecision(known.data);
 	}
 
-	const line = gatewaySchema.safeParse(decision);
-	return line.success ? gatewayInWords(line.data) : fieldsInWords(decision);
+	const line = gatewayLineSchema.safeParse(decision);
+	return line.success ? describeGatewayLine(line.data) : describeFields(decision);
 }
 
-function knownInWords(decision: Known): string {
+function describeKnownDecision(decision: KnownDecision): string {
 	switch (decision.type) {
 		case 'routed': {
 			const {organisation, service, attempt, upstream, candidates, reason} = decision;
-			return `Sent to ${upstream} as attempt ${attempt} for ${organisation} on ${service}: ${reason} (${candidatesInWords(candidates)})`;
+			return `Sent to ${upstream} as attempt ${attempt} for ${organisation} on ${service}: ${reason} (${describeCandidates(candidates)})`;
 		}
 
 		case 'queued': {
-			return `Waits for ${decision.service}, organisation ${decision.organisation}: ${decision.reason}`;
+			return `Queued for ${decision.service}, organisation ${decision.organisation}: ${decision.reason}`;
 		}
 
 		case 'refused': {
-			return `Refused for ${decision.organisation} on ${decision.service}: ${codeInWords(decision.code)} (${decision.reason})`;
+			return `Refused for ${decision.organisation} on ${decision.service}: ${describeCode(decision.code)} (${decision.reason})`;
 		}
 
 		case 'retried': {
-			return `Tried again after attempt ${decision.attempt}: ${decision.reason}`;
+			return `Retried after attempt ${decision.attempt}: ${decision.reason}`;
 		}
 
 		case 'concluded': {
-			return outcomeInWords(decision.outcome);
+			return describeOutcome(decision.outcome);
 		}
 
 		case 'forwarded': {
-			return `Passed on to ${decision.to}: ${decision.reason}`;
+			return `Forwarded to ${decision.to}: ${decision.reason}`;
 		}
 
 		default: {
@@ -87,17 +87,17 @@
 	}
 }
 
-function candidatesInWords(candidates: ReadonlyArray<{readonly upstream: string; readonly score: number}>): string {
+function describeCandidates(candidates: ReadonlyArray<{readonly upstream: string; readonly score: number}>): string {
 	const shown = candidates
 		.toSorted((first, second) => first.score - second.score)
-		.slice(0, candidatesShown)
+		.slice(0, maxPrintedCandidates)
 		.map(({upstream, score}) => `${upstream} ${Number(score.toPrecision(scoreDigits))}`);
-	const further = candidates.length - shown.length;
-	return `scores, lower is better: ${shown.join(', ')}${further > 0 ? ` and ${further} more` : ''}`;
+	const omittedCount = candidates.length - shown.length;
+	return `scores, lower is better: ${shown.join(', ')}${omittedCount > 0 ? ` and ${omittedCount} more` : ''}`;
 }
 
-function outcomeInWords({type, code, detail}: Outcome): string {
-	const reason = `${code === undefined ? '' : `: ${codeInWords(code)}`}${detail === undefined ? '' : ` (${detail})`}`;
+function describeOutcome({type, code, detail}: Outcome): string {
+	const reason = `${code === undefined ? '' : `: ${describeCode(code)}`}${detail === undefined ? '' : ` (${detail})`}`;
 	switch (type) {
 		case 'done': {
 			return 'Answered in full';
@@ -125,12 +125,12 @@
  * @param code - Result code.
  * @returns The code with its text, if it has one.
  */
-export function codeInWords(code: number): string {
+export function describeCode(code: number): string {
 	const name = nameOfCode(code);
 	return codes[name] === code ? `${code} ${texts[name]}` : String(code);
 }
 
-function fieldsInWords({type, ...fields}: LoggedDecision): string {
+function describeFields({type, ...fields}: LoggedDecision): string {
 	const shown = Object.entries(fields).map(([name, value]) => `${name} ${typeof value === 'string' ? value : JSON.stringify(value)}`);
 	return [type, ...shown].join(', ');
 }
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,18 +1,18 @@
-/** Exit codes, which are one byte, from result codes. */
+/** Maps result codes to exit codes, which have to fit into one byte. */
 import {codes} from '../core/index.js';
 
-const classSize = 1000;
-const exitStep = 10;
+const codesPerClass = 1000;
+const exitCodeStep = 10;
 
-/** As of `diff`. */
-const differsExit = 1;
+/** Same as the exit code of the `diff` tool for files that differ. */
+const differsExitCode = 1;
 
 /**
- * The class of the result code times ten: 1006 exits with 10, 4001 with 40. Done exits with 0, documents that differ with 1.
+ * Returns the class of the result code times ten: 10 for 1006, 40 for 4001. `done` gives 0, documents that differ give 1.
  *
  * @param code - Result code.
  * @returns The exit code.
  */
-export function exitCode(code: number): number {
-	return code === codes.differs ? differsExit : Math.floor(code / classSize) * exitStep;
+export function toExitCode(code: number): number {
+	return code === codes.differs ? differsExitCode : Math.floor(code / codesPerClass) * exitCodeStep;
 }
--- a/src/cli/fleet.ts
+++ b/src/cli/fleet.ts
@@ -1,4 +1,4 @@
-/** What commands that ask many hosts share. */
+/** Shared by commands that query several hosts: options, error output and the result code. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../core/index.js';
 import {type Answer} from '../admin/client.js';
@@ -6,20 +6,24 @@
 import {type Terminal} from './terminal.js';
 
 /**
- * @param command - Command that asks hosts.
+ * Adds the options that name the hosts.
+ *
+ * @param command - Command that queries hosts.
  * @returns The same command.
  */
 export function addHostOptions(command: Command): Command {
 	return command
-		.option('--hosts <addresses>', 'host:port,… of the hosts')
-		.option('--settings <file>', `JSON settings with the addresses; otherwise those that ${settingsVariable} names`);
+		.option('--hosts <addresses>', 'hosts as host:port,…')
+		.option('--settings <file>', `JSON settings file with the addresses; default: the file that ${settingsVariable} names`);
 }
 
 /**
- * @param terminal - Where to write.
- * @param answers - Answers of all hosts asked.
+ * Writes an error line for each host that gave no valid answer.
+ *
+ * @param terminal - Receives the lines on standard error.
+ * @param answers - Answers of all queried hosts.
  */
-export function complainOfSilent(terminal: Terminal, answers: ReadonlyArray<Answer<unknown>>): void {
+export function reportFailedHosts(terminal: Terminal, answers: ReadonlyArray<Answer<unknown>>): void {
 	for (const answer of answers) {
 		if (answer.type === 'silent') {
 			terminal.complain(`error ${answer.failure.code}: ${answer.failure.message}\n`);
@@ -28,10 +32,10 @@
 }
 
 /**
- * @param answers - Answers of all hosts asked.
- * @returns Done if every host answered, otherwise the code of the first that did not.
+ * @param answers - Answers of all queried hosts.
+ * @returns `done` if every host answered, otherwise the code of the first failure.
  */
-export function resultOf(answers: ReadonlyArray<Answer<unknown>>): Code {
+export function getResultCode(answers: ReadonlyArray<Answer<unknown>>): Code {
 	for (const answer of answers) {
 		if (answer.type === 'silent') {
 			return answer.failure.code;
--- a/src/cli/gateway-lines.ts
+++ b/src/cli/gateway-lines.ts
@@ -1,10 +1,10 @@
-/** Puts lines of the gateway's log into words. */
+/** Parses log lines of the gateway and describes them in sentences. */
 import {z} from 'zod';
 import {assertNever} from '../core/index.js';
 
 const milliseconds = z.number().optional();
 
-export const gatewaySchema = z.discriminatedUnion('type', [
+export const gatewayLineSchema = z.discriminatedUnion('type', [
 	z.object({
 		type: z.literal('placed'),
 		attempt: z.string(),
@@ -14,7 +14,7 @@
 		tokens: z.number(),
 		predicted: z.number(),
 		loss: z.number(),
-		/** In requests of usual worth. */
+		/** In requests of usual weight. */
 		weight: z.number().optional(),
 		jobs: z.number(),
 		left: z.number(),
@@ -47,9 +47,9 @@
 		attempts: z.number(),
 		firstByte: milliseconds,
 		longestPause: milliseconds,
-		/** Since the last event, or since the request came. */
+		/** Since the last event, or since the request arrived. */
 		silentFor: milliseconds,
-		/** Within which the first byte, and each next event, was wanted. */
+		/** Latency targets of the first byte, and below of the pause between two events. */
 		objective: milliseconds,
 		pause: milliseconds,
 		took: z.number(),
@@ -58,42 +58,42 @@
 	}),
 ]);
 
-export type GatewayLine = z.infer<typeof gatewaySchema>;
-export type Placed = Extract<GatewayLine, {type: 'placed'}>;
-export type NotPlaced = Extract<GatewayLine, {type: 'not-placed'}>;
-export type AttemptEnded = Extract<GatewayLine, {type: 'attempt-ended'}>;
-export type Ended = Extract<GatewayLine, {type: 'ended'}>;
+export type GatewayLine = z.infer<typeof gatewayLineSchema>;
+export type PlacedLine = Extract<GatewayLine, {type: 'placed'}>;
+export type NotPlacedLine = Extract<GatewayLine, {type: 'not-placed'}>;
+export type AttemptEndedLine = Extract<GatewayLine, {type: 'attempt-ended'}>;
+export type EndedLine = Extract<GatewayLine, {type: 'ended'}>;
 
-function placedInWords(line: Placed): string {
+function describePlacement(line: PlacedLine): string {
 	const {attempt, upstream, helpers, hold, tokens, predicted, loss, jobs, left, version, confirmedAge} = line;
-	const shared = helpers.length === 0 ? '' : `, read together with ${helpers.join(', ')}`;
-	const held = hold === undefined ? '' : `, memory held as ${hold}`;
-	const size = tokens === 0 ? '' : ` of ${tokens} tokens, first event expected after ${predicted} ms`;
-	return `Sent to ${upstream} as attempt ${attempt}${size}${shared}${held}: expected loss ${loss}, ${jobs} requests known at upstreams, `
+	const helperText = helpers.length === 0 ? '' : `, prefilled together with ${helpers.join(', ')}`;
+	const holdText = hold === undefined ? '' : `, memory reserved by hold ${hold}`;
+	const sizeText = tokens === 0 ? '' : ` of ${tokens} tokens, first event expected after ${predicted} ms`;
+	return `Sent to ${upstream} as attempt ${attempt}${sizeText}${helperText}${holdText}: expected loss ${loss}, ${jobs} requests known at upstreams, `
 		+ `${left} ms left, configuration ${version ?? 'unknown'} confirmed ${confirmedAge} ms ago`;
 }
 
-function attemptInWords({attempt, upstream, ending, reason, status}: AttemptEnded): string {
-	const why = reason ?? (status === undefined ? '' : `status ${status}`);
+function describeAttempt({attempt, upstream, ending, reason, status}: AttemptEndedLine): string {
+	const reasonText = reason ?? (status === undefined ? '' : `status ${status}`);
 	switch (ending) {
 		case 'answered': {
-			return `Attempt ${attempt} was answered by ${upstream}: ${why}`;
+			return `Attempt ${attempt} was answered by ${upstream}: ${reasonText}`;
 		}
 
 		case 'not-run': {
-			return `Attempt ${attempt} was provably not run at ${upstream}: ${why}`;
+			return `Attempt ${attempt} was provably not run at ${upstream}: ${reasonText}`;
 		}
 
 		case 'failed': {
-			return `Attempt ${attempt} ran at ${upstream} and failed: ${why}`;
+			return `Attempt ${attempt} ran at ${upstream} and failed: ${reasonText}`;
 		}
 
 		case 'unknown': {
-			return `Attempt ${attempt} may have run at ${upstream}, no whole answer came: ${why}`;
+			return `Attempt ${attempt} may have run at ${upstream}, no whole answer came: ${reasonText}`;
 		}
 
 		case 'cancelled': {
-			return `Attempt ${attempt} was given up at ${upstream}: ${why}`;
+			return `Attempt ${attempt} was cancelled at ${upstream}: ${reasonText}`;
 		}
 
 		default: {
@@ -102,28 +102,28 @@
 	}
 }
 
-function endedInWords({outcome, route, attempts, firstByte, longestPause, took}: Ended): string {
-	const first = firstByte === undefined ? 'no byte of an answer' : `first byte after ${firstByte} ms`;
-	const pause = longestPause === undefined ? '' : `, longest pause ${longestPause} ms`;
-	return `Ended as "${outcome}" after ${took} ms on route ${route ?? 'unknown'}: ${attempts} attempts, ${first}${pause}`;
+function describeEnd({outcome, route, attempts, firstByte, longestPause, took}: EndedLine): string {
+	const firstText = firstByte === undefined ? 'no byte of an answer' : `first byte after ${firstByte} ms`;
+	const pauseText = longestPause === undefined ? '' : `, longest pause ${longestPause} ms`;
+	return `Ended as "${outcome}" after ${took} ms on route ${route ?? 'unknown'}: ${attempts} attempts, ${firstText}${pauseText}`;
 }
 
 /**
- * @param line - Line of the gateway.
+ * @param line - Log line of the gateway.
  * @returns One sentence without a full stop.
  */
-export function gatewayInWords(line: GatewayLine): string {
+export function describeGatewayLine(line: GatewayLine): string {
 	switch (line.type) {
 		case 'placed': {
-			return placedInWords(line);
+			return describePlacement(line);
 		}
 
 		case 'attempt-ended': {
-			return attemptInWords(line);
+			return describeAttempt(line);
 		}
 
 		case 'not-placed': {
-			return `Refused: at ${line.upstream}, the best place, it would cost callers ${line.loss} and is worth ${line.weight}; it may come again after ${line.returnAfter} ms`;
+			return `Refused: at ${line.upstream}, the best upstream, its expected loss of ${line.loss} is too high for its weight of ${line.weight}; the caller may retry after ${line.returnAfter} ms`;
 		}
 
 		case 'retry-denied': {
@@ -131,11 +131,11 @@
 		}
 
 		case 'hold-refused': {
-			return `Memory ${line.hold} was not granted by ${line.refused.join(', ')}`;
+			return `Hold ${line.hold} was refused by ${line.refused.join(', ')}`;
 		}
 
 		case 'ended': {
-			return endedInWords(line);
+			return describeEnd(line);
 		}
 
 		default: {
--- a/src/cli/hosts.ts
+++ b/src/cli/hosts.ts
@@ -1,4 +1,4 @@
-/** Addresses of hosts, from `--hosts` or from the JSON settings of the command line. */
+/** Reads the addresses of hosts from `--hosts` or from the JSON settings of the command line. */
 import {z} from 'zod';
 import {raise, type Address} from '../core/index.js';
 import {parseAddress} from '../protocol/address.js';
@@ -10,14 +10,14 @@
 
 /** Settings of the command line; every address is `host:port`. */
 const settingsSchema = z.strictObject({
-	/** Listeners for operators. */
+	/** Admin listeners. */
 	admin: z.array(z.string()).readonly().default([]),
-	/** Listeners for callers. */
+	/** Listeners that accept requests of callers. */
 	callers: z.array(z.string()).readonly().default([]),
 }).readonly();
 
-/** What a command was told about where the hosts are. */
-export type HostSource = {
+/** Options of a command that say where the hosts are. */
+export type HostOptions = {
 	readonly hosts?: string;
 	readonly settings?: string;
 };
@@ -25,22 +25,22 @@
 type Listener = keyof z.infer<typeof settingsSchema>;
 
 /**
- * @param terminal - Environment and standard input.
- * @param source - What the command was told.
- * @param listener - Which addresses of the settings count.
+ * @param terminal - Provides the environment and standard input.
+ * @param options - `--hosts` takes precedence over the settings.
+ * @param listener - Listener whose addresses are read from the settings.
  * @returns At least one address.
  * @throws Failure `badArgument`, `unreadableFile` or `badSettings`.
  */
-export async function readHosts(terminal: Terminal, source: HostSource, listener: Listener): Promise<readonly Address[]> {
-	const texts = source.hosts === undefined
-		? await hostsOfSettings(terminal, source.settings, listener)
-		: source.hosts.split(',').map(each => each.trim()).filter(each => each !== '');
+export async function readHostAddresses(terminal: Terminal, options: HostOptions, listener: Listener): Promise<readonly Address[]> {
+	const texts = options.hosts === undefined
+		? await readAddressesFromSettings(terminal, options.settings, listener)
+		: options.hosts.split(',').map(each => each.trim()).filter(each => each !== '');
 	return texts.length === 0
-		? raise('badArgument', `No hosts: give --hosts host:port,… or "${listener}" in the settings.`)
+		? raise('badArgument', `No hosts: pass --hosts host:port,… or set "${listener}" in the settings.`)
 		: texts.map(text => parseAddress(text));
 }
 
-async function hostsOfSettings(terminal: Terminal, file: string | undefined, listener: Listener): Promise<readonly string[]> {
+async function readAddressesFromSettings(terminal: Terminal, file: string | undefined, listener: Listener): Promise<readonly string[]> {
 	const path = file ?? terminal.environment[settingsVariable];
 	if (path === undefined) {
 		return [];
@@ -51,8 +51,8 @@
 		return result.data[listener];
 	}
 
-	const mistakes = result.error.issues.map(issue => `${issue.path.join('.') || '(root)'}: ${issue.message}`);
-	return raise('badSettings', `${path}: ${mistakes.join('; ')}`);
+	const issues = result.error.issues.map(issue => `${issue.path.join('.') || '(root)'}: ${issue.message}`);
+	return raise('badSettings', `${path}: ${issues.join('; ')}`);
 }
 
 function parseJson(text: string, path: string): unknown {
--- a/src/cli/input.ts
+++ b/src/cli/input.ts
@@ -1,17 +1,17 @@
-/** Reads what the commands work on. */
+/** Reads files and configuration documents that commands take as arguments. */
 import {Buffer} from 'node:buffer';
 import {readFile} from 'node:fs/promises';
 import {raise, type Configuration} from '../core/index.js';
 import {parseConfiguration, type Invalid, type Valid} from '../protocol/configuration/index.js';
 import {type Terminal} from './terminal.js';
 
-/** Name that stands for standard input. */
+/** File argument that stands for standard input. */
 export const standardInput = '-';
 
 /**
- * @param terminal - Standard input.
+ * @param terminal - Provides standard input.
  * @param file - Path, or {@link standardInput}.
- * @returns The whole content.
+ * @returns The content as UTF-8.
  * @throws Failure `unreadableFile`.
  */
 export async function readText(terminal: Terminal, file: string): Promise<string> {
@@ -32,16 +32,16 @@
 }
 
 /**
- * @param invalid - Mistakes of a document.
- * @returns One line each.
+ * @param invalid - Invalid document.
+ * @returns One line for each mistake, and one for those left out.
  */
-export function mistakeLines({mistakes, further}: Invalid): readonly string[] {
+export function formatMistakes({mistakes, further}: Invalid): readonly string[] {
 	const lines = mistakes.map(({path, code, text}) => `${path}: ${text} (${code})`);
 	return further === 0 ? lines : [...lines, `… and ${further} more`];
 }
 
 /**
- * @param terminal - Where mistakes are written.
+ * @param terminal - Receives the mistakes on standard error.
  * @param file - Path, or {@link standardInput}.
  * @returns The valid document.
  * @throws Failure `unreadableFile`, or the code of the first mistake.
@@ -52,7 +52,7 @@
 		return parsed;
 	}
 
-	for (const line of mistakeLines(parsed)) {
+	for (const line of formatMistakes(parsed)) {
 		terminal.complain(`${file}: ${line}\n`);
 	}
 
@@ -60,7 +60,7 @@
 }
 
 /**
- * @param terminal - Where mistakes are written.
+ * @param terminal - Receives the mistakes on standard error.
  * @param file - Path, or {@link standardInput}.
  * @returns The configuration of a valid document.
  */
--- a/src/cli/log-lines.ts
+++ b/src/cli/log-lines.ts
@@ -1,8 +1,8 @@
-/** Reads log lines of hosts, also where something stands before the JSON of a line. */
+/** Parses log lines of hosts. Log collectors may put a prefix before the JSON of a line. */
 import {z} from 'zod';
 import {type LoggedDecision} from '../protocol/admin.js';
 
-/** One line with the host and time it was written at. */
+/** One log line with its host and time. */
 export type LogEntry = {
 	readonly host: string;
 	/** Milliseconds since 1970. */
@@ -29,9 +29,9 @@
 
 /**
  * @param line - One line.
- * @returns What it says; undefined if it is none of ours.
+ * @returns The entry; undefined if the line is not a log line of a host.
  */
-export function readLine(line: string): LogEntry | undefined {
+export function parseLogLine(line: string): LogEntry | undefined {
 	const start = line.indexOf('{');
 	const parsed = lineSchema.safeParse(start === -1 ? undefined : parseJson(line.slice(start)));
 	if (!parsed.success) {
@@ -43,12 +43,12 @@
 }
 
 /**
- * @param log - Lines of one or more hosts.
- * @returns What they say, by time.
+ * @param log - Log lines of one or more hosts, in any order.
+ * @returns The entries, oldest first.
  */
-export function readLog(log: string): readonly LogEntry[] {
+export function parseLog(log: string): readonly LogEntry[] {
 	return log
 		.split('\n')
-		.flatMap(line => readLine(line) ?? [])
+		.flatMap(line => parseLogLine(line) ?? [])
 		.toSorted((first, second) => first.time - second.time);
 }
--- a/src/cli/losses/causes.ts
+++ b/src/cli/losses/causes.ts
@@ -1,19 +1,19 @@
-/** Puts each request that callers did not get in full and in time to one cause, from log lines alone. */
+/** Attributes each request that was not served in full and in time to one cause, from log lines alone. */
 import {assertNever} from '../../core/index.js';
 import {lateLoss} from '../../core/gateway/losses.js';
 import {
-	gatewaySchema, type AttemptEnded, type Ended, type GatewayLine, type NotPlaced, type Placed,
+	gatewayLineSchema, type AttemptEndedLine, type EndedLine, type GatewayLine, type NotPlacedLine, type PlacedLine,
 } from '../gateway-lines.js';
 import {type LogEntry} from '../log-lines.js';
 
-/** Milliseconds of silence after which a caller that left is taken to have given up a stream, and not to have changed its mind. */
-const givenUpAfter = 1900;
+/** A caller that disconnects after longer silence gave up waiting; after less, it no longer wanted the answer. */
+const abandonmentSilenceMs = 1900;
 
-/** Milliseconds for which a failure domain that was found out of reach explains a pause before. */
-const cutMemory = 3000;
+/** A pause is attributed to an unreachable failure domain that is detected up to this long after the end of the request. */
+const cutDetectionWindowMs = 3000;
 
-/** Times as long as a stream's own prompt from which on another prompt at its engine explains a pause. */
-const longBeside = 4;
+/** A pause is attributed to another prompt at the same engine that is more than this many times as long as the request's own. */
+const longPromptRatio = 4;
 
 /** Why a request was not served in full and in time. */
 export type Cause
@@ -34,76 +34,76 @@
 
 export type Loss = {
 	readonly request: string;
-	/** Milliseconds since 1970 of its sending. */
+	/** Milliseconds since 1970 of its first placement, or of its refusal. */
 	readonly at: number;
 	readonly host: string;
 	readonly upstream: string;
 	readonly tokens: number;
 	readonly cause: Cause;
-	/** In requests of usual worth. */
+	/** In requests of usual weight. */
 	readonly lost: number;
-	/** Milliseconds until its first event as predicted when it was sent first, and as it was. */
+	/** Milliseconds until its first event: predicted at the first placement, and measured. */
 	readonly predicted: number;
 	readonly firstByte?: number;
 };
 
-export type Account = {
-	/** Worth of all requests that were sent, served or not. */
+export type LossReport = {
+	/** Total weight of all requests, served or not. */
 	readonly asked: number;
 	readonly losses: readonly Loss[];
 };
 
-type At<Line> = {readonly at: number; readonly host: string; readonly line: Line};
+type Logged<Line> = {readonly at: number; readonly host: string; readonly line: Line};
 
-/** What the log says of one request. */
-type Story = {
-	readonly placed: Array<At<Placed>>;
-	readonly endings: AttemptEnded[];
-	refused?: At<NotPlaced>;
-	ended?: At<Ended>;
+/** Log lines of one request. */
+type History = {
+	readonly placed: Array<Logged<PlacedLine>>;
+	readonly endings: AttemptEndedLine[];
+	refused?: Logged<NotPlacedLine>;
+	ended?: Logged<EndedLine>;
 };
 
-/** What ran where, to tell what a stream met. */
+/** Events at engines and failure domains that may explain a pause. */
 type Context = {
-	/** What was sent to each engine, to answer or to help. */
-	readonly byEngine: ReadonlyMap<string, ReadonlyArray<At<Placed>>>;
-	/** Times at which a failure domain was found out of reach. */
+	/** Requests placed at each engine, as upstream or as helper. */
+	readonly byEngine: ReadonlyMap<string, ReadonlyArray<Logged<PlacedLine>>>;
+	/** Times at which a failure domain was found unreachable. */
 	readonly cuts: readonly number[];
 };
 
-function storiesOf(entries: readonly LogEntry[]): ReadonlyMap<string, Story> {
-	const stories = new Map<string, Story>();
+function collectHistories(entries: readonly LogEntry[]): ReadonlyMap<string, History> {
+	const histories = new Map<string, History>();
 	for (const {decision, host, time} of entries) {
-		const parsed = gatewaySchema.safeParse(decision);
+		const parsed = gatewayLineSchema.safeParse(decision);
 		if (parsed.success && typeof decision.request === 'string') {
-			const story: Story = stories.get(decision.request) ?? {placed: [], endings: []};
-			stories.set(decision.request, story);
-			addLine(story, {at: time, host, line: parsed.data});
+			const history: History = histories.get(decision.request) ?? {placed: [], endings: []};
+			histories.set(decision.request, history);
+			addLine(history, {at: time, host, line: parsed.data});
 		}
 	}
 
-	return stories;
+	return histories;
 }
 
-function addLine(story: Story, {at, host, line}: At<GatewayLine>): void {
+function addLine(history: History, {at, host, line}: Logged<GatewayLine>): void {
 	switch (line.type) {
 		case 'placed': {
-			story.placed.push({at, host, line});
+			history.placed.push({at, host, line});
 			return;
 		}
 
 		case 'attempt-ended': {
-			story.endings.push(line);
+			history.endings.push(line);
 			return;
 		}
 
 		case 'ended': {
-			story.ended ??= {at, host, line};
+			history.ended ??= {at, host, line};
 			return;
 		}
 
 		case 'not-placed': {
-			story.refused = {at, host, line};
+			history.refused = {at, host, line};
 			return;
 		}
 
@@ -118,9 +118,9 @@
 	}
 }
 
-function contextOf(entries: readonly LogEntry[], stories: Iterable<Story>): Context {
-	const byEngine = new Map<string, Array<At<Placed>>>();
-	for (const each of [...stories].flatMap(({placed}) => placed)) {
+function createContext(entries: readonly LogEntry[], histories: Iterable<History>): Context {
+	const byEngine = new Map<string, Array<Logged<PlacedLine>>>();
+	for (const each of [...histories].flatMap(({placed}) => placed)) {
 		for (const engine of [each.line.upstream, ...each.line.helpers]) {
 			const sent = byEngine.get(engine) ?? [];
 			sent.push(each);
@@ -132,10 +132,10 @@
 	return {byEngine, cuts};
 }
 
-/** Why another attempt was made. */
-function causeOfFirst(story: Story): Cause | undefined {
-	const [first] = story.endings;
-	if (story.placed.length < 2 || first === undefined) {
+/** Why the first attempt was followed by another. */
+function findCauseOfRetry(history: History): Cause | undefined {
+	const [first] = history.endings;
+	if (history.placed.length < 2 || first === undefined) {
 		return undefined;
 	}
 
@@ -146,39 +146,39 @@
 	return first.ending === 'not-run' && first.reason?.startsWith('refused') !== true ? 'no connection' : 'new attempt';
 }
 
-function causeOfPause(story: Story, ended: At<Ended>, {byEngine, cuts}: Context): Cause {
-	const again = causeOfFirst(story);
-	if (again !== undefined) {
-		return again;
+function findCauseOfPause(history: History, ended: Logged<EndedLine>, {byEngine, cuts}: Context): Cause {
+	const retryCause = findCauseOfRetry(history);
+	if (retryCause !== undefined) {
+		return retryCause;
 	}
 
-	const [first] = story.placed;
+	const [first] = history.placed;
 	const {upstream, tokens} = first!.line;
-	if (cuts.some(at => at > first!.at && at < ended.at + cutMemory)) {
+	if (cuts.some(at => at > first!.at && at < ended.at + cutDetectionWindowMs)) {
 		return 'pause while a domain was out of reach';
 	}
 
-	const isBeside = byEngine.get(upstream)?.some(({at, line}) => at > first!.at && at < ended.at && line.tokens > tokens * longBeside);
-	return isBeside === true ? 'pause beside a long prompt' : 'pause';
+	const hasLongPrompt = byEngine.get(upstream)?.some(({at, line}) => at > first!.at && at < ended.at && line.tokens > tokens * longPromptRatio);
+	return hasLongPrompt === true ? 'pause beside a long prompt' : 'pause';
 }
 
-function causeOfLateness(story: Story, objective: number): Cause {
-	return causeOfFirst(story) ?? (story.placed[0]!.line.predicted > objective ? 'all engines busy' : 'slower than predicted');
+function findCauseOfDelay(history: History, objective: number): Cause {
+	return findCauseOfRetry(history) ?? (history.placed[0]!.line.predicted > objective ? 'all engines busy' : 'slower than predicted');
 }
 
-function causeOf(story: Story, ended: At<Ended>, context: Context): Cause | undefined {
+function findCause(history: History, ended: Logged<EndedLine>, context: Context): Cause | undefined {
 	const {outcome, firstByte = 0, longestPause = 0, objective = Number.POSITIVE_INFINITY, pause = Number.POSITIVE_INFINITY, silentFor = 0} = ended.line;
 	switch (outcome) {
 		case 'answered': {
 			if (firstByte > objective) {
-				return causeOfLateness(story, objective);
+				return findCauseOfDelay(history, objective);
 			}
 
-			return longestPause > pause ? causeOfPause(story, ended, context) : undefined;
+			return longestPause > pause ? findCauseOfPause(history, ended, context) : undefined;
 		}
 
 		case 'caller left': {
-			return silentFor > givenUpAfter ? 'given up by the caller' : undefined;
+			return silentFor > abandonmentSilenceMs ? 'given up by the caller' : undefined;
 		}
 
 		case 'failed': {
@@ -205,27 +205,27 @@
 }
 
 /**
- * @param entries - Log lines of all hosts, by time.
- * @returns What was asked, and each request that was not served in full and in time.
+ * @param entries - Log entries of all hosts, oldest first.
+ * @returns The total weight of requests, and each request that was not served in full and in time. Requests still running don't count.
  */
-export function accountOf(entries: readonly LogEntry[]): Account {
-	const stories = storiesOf(entries);
-	const context = contextOf(entries, stories.values());
+export function createLossReport(entries: readonly LogEntry[]): LossReport {
+	const histories = collectHistories(entries);
+	const context = createContext(entries, histories.values());
 	const losses: Loss[] = [];
 	let asked = 0;
-	for (const [request, story] of stories) {
-		const first = story.placed[0] ?? story.refused;
-		if (first === undefined || story.ended === undefined) {
+	for (const [request, history] of histories) {
+		const first = history.placed[0] ?? history.refused;
+		if (first === undefined || history.ended === undefined) {
 			continue;
 		}
 
 		const {weight = 1, tokens, upstream, predicted} = first.line;
 		asked += weight;
-		const cause = causeOf(story, story.ended, context);
+		const cause = findCause(history, history.ended, context);
 		if (cause !== undefined) {
-			const lost = story.ended.line.outcome === 'answered' ? weight * lateLoss : weight;
+			const lost = history.ended.line.outcome === 'answered' ? weight * lateLoss : weight;
 			losses.push({
-				request, at: first.at, host: first.host, upstream, tokens, cause, lost, predicted, firstByte: story.ended.line.firstByte,
+				request, at: first.at, host: first.host, upstream, tokens, cause, lost, predicted, firstByte: history.ended.line.firstByte,
 			});
 		}
 	}
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
-/** The operators' command line. */
+/** Entry point of the command line tool for operators. */
 import process from 'node:process';
-import {run} from './program.js';
+import {runCommandLine} from './program.js';
 
-// A reader such as `head` may close the pipe before all is written.
+// A reader such as `head` may close the pipe before the output is complete.
 process.stdout.on('error', () => {
 	process.exit();
 });
 
-process.exitCode = await run(process.argv.slice(2), {
+process.exitCode = await runCommandLine(process.argv.slice(2), {
 	write(text) {
 		process.stdout.write(text);
 	},
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The command line as a whole: its commands, how they end and how they fail. */
+/** Builds the command line program, runs one command and reports its errors. */
 import {Command, CommanderError, InvalidArgumentError} from 'commander';
 import {
 	codes,
@@ -6,50 +6,50 @@
 	texts,
 	type Code,
 } from '../core/index.js';
-import {addCheck} from './commands/check.js';
-import {addCompletion} from './commands/completion.js';
-import {addDiff} from './commands/diff.js';
-import {addDrain} from './commands/drain.js';
-import {addExplain} from './commands/explain.js';
-import {addIncidents} from './commands/incidents.js';
-import {addLosses} from './commands/losses.js';
-import {addSend} from './commands/send.js';
-import {addShow} from './commands/show.js';
-import {addStatus} from './commands/status.js';
-import {exitCode} from './exit-codes.js';
-import {type Registration} from './registration.js';
+import {addCheckCommand} from './commands/check.js';
+import {addCompletionCommand} from './commands/completion.js';
+import {addDiffCommand} from './commands/diff.js';
+import {addDrainCommand} from './commands/drain.js';
+import {addExplainCommand} from './commands/explain.js';
+import {addIncidentsCommand} from './commands/incidents.js';
+import {addLossesCommand} from './commands/losses.js';
+import {addSendCommand} from './commands/send.js';
+import {addShowCommand} from './commands/show.js';
+import {addStatusCommand} from './commands/status.js';
+import {toExitCode} from './exit-codes.js';
+import {type CommandServices} from './command-services.js';
 import {type Terminal} from './terminal.js';
 
 const version = '0.1.0';
-const additions = [addCheck, addDiff, addShow, addStatus, addDrain, addExplain, addIncidents, addLosses, addSend, addCompletion] as const;
+const commandAdders = [addCheckCommand, addDiffCommand, addShowCommand, addStatusCommand, addDrainCommand, addExplainCommand, addIncidentsCommand, addLossesCommand, addSendCommand, addCompletionCommand] as const;
 
 /**
- * Runs one command to its end. Never throws.
+ * Parses the arguments and runs one command. Never throws.
  *
- * @param words - Arguments without the names of the runtime and the program.
- * @param terminal - What the command reads from and writes to.
+ * @param commandArguments - Arguments without the paths of Node.js and the script.
+ * @param terminal - Input, outputs and environment of the command.
  * @returns The exit code.
  */
-export async function run(words: readonly string[], terminal: Terminal): Promise<number> {
-	const results: number[] = [];
+export async function runCommandLine(commandArguments: readonly string[], terminal: Terminal): Promise<number> {
+	const resultCodes: number[] = [];
 	const program = createProgram(terminal, {
 		terminal,
-		wholeNumber,
-		act: action => async (...parameters) => {
-			results.push(await action(...parameters));
+		parseWholeNumber,
+		wrapAction: action => async (...parameters) => {
+			resultCodes.push(await action(...parameters));
 		},
 	});
 	try {
-		await program.parseAsync(words, {from: 'user'});
-		return exitCode(results[0] ?? codes.done);
+		await program.parseAsync(commandArguments, {from: 'user'});
+		return toExitCode(resultCodes[0] ?? codes.done);
 	} catch (error) {
-		return exitCode(report(error, terminal));
+		return toExitCode(reportError(error, terminal));
 	}
 }
 
-function createProgram(terminal: Terminal, registration: Registration): Command {
+function createProgram(terminal: Terminal, services: CommandServices): Command {
 	const program = new Command('cranberrytide')
-		.description('Operate cranberrytide: check documents, look at hosts, send requests.')
+		.description('Operate cranberrytide: check documents, inspect hosts, send requests.')
 		.version(version)
 		.exitOverride()
 		.configureOutput({
@@ -59,15 +59,15 @@
 				write(`error ${codes.badArgument}: ${message.replace(/^error: /v, '')}`);
 			},
 		})
-		.addHelpText('after', '\nExit codes are the class of the result code times ten; see docs/CODES.md.');
-	for (const add of additions) {
-		add(program, registration);
+		.addHelpText('after', '\nThe exit code is the class of the result code times ten; see docs/CODES.md.');
+	for (const add of commandAdders) {
+		add(program, services);
 	}
 
 	return program;
 }
 
-function report(error: unknown, terminal: Terminal): Code {
+function reportError(error: unknown, terminal: Terminal): Code {
 	if (error instanceof CommanderError) {
 		return error.exitCode === 0 ? codes.done : codes.badArgument;
 	}
@@ -81,10 +81,10 @@
 	return codes.internal;
 }
 
-function wholeNumber(text: string): number {
+function parseWholeNumber(text: string): number {
 	const value = Number(text);
 	if (!/^\d+$/v.test(text) || !Number.isSafeInteger(value)) {
-		throw new InvalidArgumentError('It takes a whole number.');
+		throw new InvalidArgumentError('Expected a whole number.');
 	}
 
 	return value;
--- a/src/cli/sending/answer.ts
+++ b/src/cli/sending/answer.ts
@@ -1,11 +1,11 @@
-/** Reads answers of entry hosts: streams of events, whole completions and refusals. */
+/** Parses answers of hosts: event streams, whole completions and errors. */
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 import {z} from 'zod';
 import {codes} from '../../core/index.js';
 import {streamEnd} from '../../upstream/protocol.js';
 
-/** A refusal or failure as hosts write it. */
-const complaintSchema = z.object({
+/** Error body of a host. */
+const apiErrorSchema = z.object({
 	error: z.object({
 		message: z.string(),
 		type: z.string(),
@@ -14,7 +14,7 @@
 	}),
 });
 
-export type Complaint = z.infer<typeof complaintSchema>['error'];
+export type ApiError = z.infer<typeof apiErrorSchema>['error'];
 
 const frameSchema = z.looseObject({
 	choices: z.array(z.looseObject({
@@ -26,33 +26,33 @@
 /** How a stream ended. */
 export type StreamEnd
 	= | {readonly type: 'done'}
-		| {readonly type: 'complained'; readonly complaint: Complaint}
-	/** Without its terminal event. */
+		| {readonly type: 'failed'; readonly error: ApiError}
+	/** The connection ended before the terminal event. */
 		| {readonly type: 'cut'};
 
-/** Takes what a stream brings. */
-export type Reader = {
+/** Handlers for the content of a stream. */
+export type StreamHandlers = {
 	readonly content: (text: string) => void;
-	/** Where the stream can be resumed. */
+	/** Receives the event id after which the stream can be resumed. */
 	readonly position: (id: string) => void;
 };
 
 /**
  * @param text - Body of an answer.
- * @returns The complaint that it holds.
+ * @returns The error in it, or a general one if it has none.
  */
-export function readComplaint(text: string): Complaint {
-	const parsed = complaintSchema.safeParse(parseJson(text));
+export function parseApiError(text: string): ApiError {
+	const parsed = apiErrorSchema.safeParse(parseJson(text));
 	return parsed.success
 		? parsed.data.error
-		: {message: 'The host gave no reason.', type: 'failed', code: codes.upstreamFailed};
+		: {message: 'The answer has no error message.', type: 'failed', code: codes.upstreamFailed};
 }
 
 /**
  * @param text - Body of a whole completion, or data of one frame.
- * @returns What the model wrote.
+ * @returns The generated text in it.
  */
-export function readContent(text: string): string {
+export function parseContent(text: string): string {
 	const parsed = frameSchema.safeParse(parseJson(text));
 	const choice = parsed.data?.choices[0];
 	return choice?.delta?.content ?? choice?.message?.content ?? '';
@@ -60,15 +60,15 @@
 
 /**
  * @param body - Body of an event stream.
- * @param reader - Takes its content.
- * @returns How it ended.
+ * @param handlers - Called for each event.
+ * @returns How the stream ended.
  */
-export async function followStream(body: AsyncIterable<Uint8Array>, reader: Reader): Promise<StreamEnd> {
+export async function readStream(body: AsyncIterable<Uint8Array>, handlers: StreamHandlers): Promise<StreamEnd> {
 	let end: StreamEnd = {type: 'cut'};
 	const decoder = new TextDecoder();
 	const parser = createParser({
 		onEvent(message) {
-			end = takeEvent(message, reader) ?? end;
+			end = handleEvent(message, handlers) ?? end;
 		},
 	});
 	try {
@@ -76,24 +76,24 @@
 			parser.feed(decoder.decode(chunk, {stream: true}));
 		}
 	} catch {
-		// A broken connection shows in the missing terminal event.
+		// A lost connection shows as a missing terminal event.
 	}
 
 	return end;
 }
 
-function takeEvent({id, event, data}: EventSourceMessage, reader: Reader): StreamEnd | undefined {
+function handleEvent({id, event, data}: EventSourceMessage, handlers: StreamHandlers): StreamEnd | undefined {
 	if (event === 'error') {
-		return {type: 'complained', complaint: readComplaint(data)};
+		return {type: 'failed', error: parseApiError(data)};
 	}
 
 	if (data === streamEnd) {
 		return {type: 'done'};
 	}
 
-	reader.content(readContent(data));
+	handlers.content(parseContent(data));
 	if (id !== undefined) {
-		reader.position(id);
+		handlers.position(id);
 	}
 
 	return undefined;
--- a/src/cli/sending/call.ts
+++ b/src/cli/sending/call.ts
@@ -1,4 +1,4 @@
-/** Sends one HTTP request and gives its answer as it comes. */
+/** Sends one HTTP request and returns its answer as a stream. */
 import {Buffer} from 'node:buffer';
 import {
 	got, type Method, type PlainResponse, type Request,
@@ -6,7 +6,7 @@
 import {type Address} from '../../core/index.js';
 import {formatAddress} from '../../protocol/address.js';
 
-/** What is sent. */
+/** HTTP request, without the address of the host. */
 export type Call = {
 	readonly method: Method;
 	readonly path: string;
@@ -14,23 +14,23 @@
 	readonly body?: string;
 };
 
-/** What came of it. */
+/** Result of a call. */
 export type Reply
 	/** Nothing was sent. */
 	= | {readonly type: 'unreached'; readonly reason: string}
-	/** Something may have been sent, and no answer began. */
+	/** The request may have been sent, but no answer began. */
 		| {readonly type: 'lost'; readonly reason: string}
 		| {readonly type: 'answered'; readonly status: number; readonly headers: Headers; readonly body: AsyncIterable<Uint8Array>};
 
-/** Errors after which it is certain that no byte was sent. */
-const unreached = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN']);
+/** Error codes that prove that no byte was sent. */
+const unsentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN']);
 
 /**
- * @param address - Host.
- * @param call - What to send.
- * @returns The answer, whose body throws if it is cut.
+ * @param address - Caller listener of a host.
+ * @param call - Request.
+ * @returns The answer; its body throws if the connection is lost.
  */
-export async function place(address: Address, call: Call): Promise<Reply> {
+export async function sendCall(address: Address, call: Call): Promise<Reply> {
 	const stream = got.stream(`http://${formatAddress(address)}${call.path}`, {
 		method: call.method,
 		headers: call.headers,
@@ -41,31 +41,31 @@
 		decompress: false,
 	});
 	try {
-		const response = await responseOf(stream);
+		const response = await waitForResponse(stream);
 		return {
 			type: 'answered',
 			status: response.statusCode,
-			headers: headersOf(response),
+			headers: convertHeaders(response),
 			body: stream,
 		};
 	} catch (error) {
 		const reason = error instanceof Error ? error.message : 'no answer';
-		return {type: isUnreached(error) ? 'unreached' : 'lost', reason};
+		return {type: isUnsent(error) ? 'unreached' : 'lost', reason};
 	}
 }
 
-async function responseOf(stream: Request): Promise<PlainResponse> {
+async function waitForResponse(stream: Request): Promise<PlainResponse> {
 	return new Promise((resolve, reject) => {
 		stream.once('response', resolve);
 		stream.once('error', reject);
 	});
 }
 
-function isUnreached(error: unknown): boolean {
-	return error instanceof Error && 'code' in error && unreached.has(String(error.code));
+function isUnsent(error: unknown): boolean {
+	return error instanceof Error && 'code' in error && unsentCodes.has(String(error.code));
 }
 
-function headersOf(response: PlainResponse): Headers {
+function convertHeaders(response: PlainResponse): Headers {
 	const headers = new Headers();
 	for (const [name, value] of Object.entries(response.headers)) {
 		for (const each of [value ?? []].flat()) {
@@ -78,7 +78,7 @@
 
 /**
  * @param body - Body of an answer.
- * @returns Its whole text.
+ * @returns The whole body as UTF-8.
  */
 export async function readBody(body: AsyncIterable<Uint8Array>): Promise<string> {
 	const chunks: Uint8Array[] = [];
--- a/src/cli/sending/sender.ts
+++ b/src/cli/sending/sender.ts
@@ -1,29 +1,29 @@
-/** Sends one prompt: takes the ticket it is given, moves on from hosts that fail, and resumes a stream where it was cut. */
+/** Sends one request: repeats it with a ticket if a host requires one, tries the next host on failure, and resumes interrupted streams. */
 import {setTimeout} from 'node:timers/promises';
 import {codes, type Address} from '../../core/index.js';
 import {answerHeaders, callerHeaders} from '../../protocol/callers.js';
 import {formatAddress} from '../../protocol/address.js';
 import {type Terminal} from '../terminal.js';
 import {
-	followStream,
-	readComplaint,
-	readContent,
-	type Complaint,
+	readStream,
+	parseApiError,
+	parseContent,
+	type ApiError,
 } from './answer.js';
 import {
-	place, readBody, type Call, type Reply,
+	sendCall, readBody, type Call, type Reply,
 } from './call.js';
 
-/** Tries of one prompt, whatever fails. */
-const mostTries = 8;
+/** Attempts of one request, over all hosts. */
+const maxAttempts = 8;
 
-/** Milliseconds before the next host is tried. */
-const pause = 200;
+/** Delay before the next host is tried. */
+const retryDelayMs = 200;
 
 type Answered = Extract<Reply, {type: 'answered'}>;
 
-/** What one try came to. */
-type Turn
+/** Result of one attempt. */
+type AttemptResult
 	= | {readonly type: 'ended'; readonly code: number}
 		| {readonly type: 'ticket'; readonly ticket: string}
 	/** Nothing was sent. */
@@ -34,53 +34,53 @@
 	readonly #terminal: Terminal;
 	readonly #hosts: readonly Address[];
 	readonly #call: Call;
-	/** Whether the request shows that it may be sent again. */
-	readonly #mayRepeat: boolean;
+	/** Whether the request has a header that allows to send it again. */
+	readonly #isRepeatable: boolean;
 	#ticket: string | undefined;
 	#position: string | undefined;
 
 	/**
-	 * @param terminal - Where the answer is written.
-	 * @param hosts - Callers' listeners; the next is tried where one fails.
-	 * @param call - What to send.
-	 * @param mayRepeat - Whether the request shows that it may be sent again.
+	 * @param terminal - Receives the answer on standard output, errors on standard error.
+	 * @param hosts - Caller listeners, tried in turn when one fails.
+	 * @param call - Request.
+	 * @param isRepeatable - Whether the request has a header that allows to send it again.
 	 */
-	constructor(terminal: Terminal, hosts: readonly Address[], call: Call, mayRepeat: boolean) {
+	constructor(terminal: Terminal, hosts: readonly Address[], call: Call, isRepeatable: boolean) {
 		this.#terminal = terminal;
 		this.#hosts = hosts;
 		this.#call = call;
-		this.#mayRepeat = mayRepeat;
+		this.#isRepeatable = isRepeatable;
 	}
 
 	/**
-	 * @returns The result code of the whole.
+	 * @returns The result code of the last attempt.
 	 */
 	async send(): Promise<number> {
 		let next = 0;
 		let code: number = codes.notConnected;
-		for (let tries = 0; tries < mostTries; tries += 1) {
+		for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
 			const address = this.#hosts[next % this.#hosts.length]!;
-			const turn = await this.#try(address);
-			switch (turn.type) {
+			const result = await this.#attempt(address);
+			switch (result.type) {
 				case 'ended': {
-					return turn.code;
+					return result.code;
 				}
 
 				case 'ticket': {
-					this.#ticket = turn.ticket;
+					this.#ticket = result.ticket;
 					break;
 				}
 
 				case 'unreached':
 				case 'cut': {
-					this.#terminal.complain(`${formatAddress(address)}: ${turn.reason}\n`);
-					code = turn.type === 'cut' ? codes.outcomeUnknown : code;
-					if (turn.type === 'cut' && !this.#isSafeToRepeat()) {
+					this.#terminal.complain(`${formatAddress(address)}: ${result.reason}\n`);
+					code = result.type === 'cut' ? codes.outcomeUnknown : code;
+					if (result.type === 'cut' && !this.#isSafeToRepeat()) {
 						return code;
 					}
 
 					next += 1;
-					await setTimeout(pause);
+					await setTimeout(retryDelayMs);
 					break;
 				}
 			}
@@ -90,11 +90,11 @@
 	}
 
 	#isSafeToRepeat(): boolean {
-		return this.#mayRepeat || this.#ticket !== undefined || this.#position !== undefined;
+		return this.#isRepeatable || this.#ticket !== undefined || this.#position !== undefined;
 	}
 
-	async #try(address: Address): Promise<Turn> {
-		const reply = await place(address, {...this.#call, headers: this.#headers()});
+	async #attempt(address: Address): Promise<AttemptResult> {
+		const reply = await sendCall(address, {...this.#call, headers: this.#headers()});
 		switch (reply.type) {
 			case 'unreached': {
 				return reply;
@@ -105,7 +105,7 @@
 			}
 
 			case 'answered': {
-				return this.#read(reply);
+				return this.#readAnswer(reply);
 			}
 		}
 	}
@@ -118,13 +118,13 @@
 		};
 	}
 
-	async #read(reply: Answered): Promise<Turn> {
+	async #readAnswer(reply: Answered): Promise<AttemptResult> {
 		const isStream = reply.headers.get('content-type')?.startsWith('text/event-stream') === true;
-		return isStream ? this.#follow(reply) : this.#take(reply);
+		return isStream ? this.#readStream(reply) : this.#readWholeAnswer(reply);
 	}
 
-	async #follow({body}: Answered): Promise<Turn> {
-		const end = await followStream(body, {
+	async #readStream({body}: Answered): Promise<AttemptResult> {
+		const end = await readStream(body, {
 			content: this.#terminal.write,
 			position: id => {
 				this.#position = id;
@@ -136,49 +136,50 @@
 				return {type: 'ended', code: codes.done};
 			}
 
-			case 'complained': {
-				return this.#complain(end.complaint);
+			case 'failed': {
+				return this.#reportError(end.error);
 			}
 
 			case 'cut': {
-				return {type: 'cut', reason: 'The stream was cut.'};
+				return {type: 'cut', reason: 'The stream was interrupted.'};
 			}
 		}
 	}
 
-	async #take({status, headers, body}: Answered): Promise<Turn> {
-		const text = await readWhole(body);
+	async #readWholeAnswer({status, headers, body}: Answered): Promise<AttemptResult> {
+		const text = await tryReadBody(body);
 		if (text === undefined) {
-			return {type: 'cut', reason: 'The answer was cut.'};
+			return {type: 'cut', reason: 'The answer was interrupted.'};
 		}
 
-		const isOurs = headers.has(answerHeaders.code);
+		// Answers of plain services are passed through without this header.
+		const isFromHost = headers.has(answerHeaders.code);
 		if (status < 400) {
-			this.#terminal.write(isOurs ? `${readContent(text)}\n` : text);
+			this.#terminal.write(isFromHost ? `${parseContent(text)}\n` : text);
 			return {type: 'ended', code: codes.done};
 		}
 
-		const complaint = readComplaint(text);
-		const ticket = complaint.ticket ?? headers.get(answerHeaders.ticket) ?? undefined;
-		if (complaint.code === codes.ticketRequired && ticket !== undefined && this.#ticket === undefined) {
+		const error = parseApiError(text);
+		const ticket = error.ticket ?? headers.get(answerHeaders.ticket) ?? undefined;
+		if (error.code === codes.ticketRequired && ticket !== undefined && this.#ticket === undefined) {
 			return {type: 'ticket', ticket};
 		}
 
-		if (isOurs) {
-			return this.#complain(complaint);
+		if (isFromHost) {
+			return this.#reportError(error);
 		}
 
 		this.#terminal.write(text);
-		return this.#complain({message: `The service answered with status ${status}.`, type: 'failed', code: codes.upstreamFailed});
+		return this.#reportError({message: `The service answered with status ${status}.`, type: 'failed', code: codes.upstreamFailed});
 	}
 
-	#complain({message, type, code}: Complaint): Turn {
+	#reportError({message, type, code}: ApiError): AttemptResult {
 		this.#terminal.complain(`error ${code}: ${type}: ${message}\n`);
 		return {type: 'ended', code};
 	}
 }
 
-async function readWhole(body: AsyncIterable<Uint8Array>): Promise<string | undefined> {
+async function tryReadBody(body: AsyncIterable<Uint8Array>): Promise<string | undefined> {
 	try {
 		return await readBody(body);
 	} catch {
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,22 +1,22 @@
-/** Plain-text tables. */
+/** Formats plain-text tables. */
 
-const gap = '  ';
+const columnGap = '  ';
 
 /**
- * @param heads - Column heads.
- * @param rows - Cells, as many in each row as there are heads.
- * @returns Lines with aligned columns; numbers stand to the right.
+ * @param headers - Column headers.
+ * @param rows - Cells, one for each header.
+ * @returns Lines with aligned columns; columns of numbers are right-aligned.
  */
-export function formatTable(heads: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): readonly string[] {
-	const columns = heads.map((head, column) => ({
-		width: Math.max(head.length, ...rows.map(row => String(row[column]).length)),
+export function formatTable(headers: readonly string[], rows: ReadonlyArray<ReadonlyArray<string | number>>): readonly string[] {
+	const columns = headers.map((header, column) => ({
+		width: Math.max(header.length, ...rows.map(row => String(row[column]).length)),
 		isNumeric: rows.some(row => typeof row[column] === 'number') && rows.every(row => typeof row[column] === 'number' || row[column] === ''),
 	}));
-	return [heads, ...rows].map(row => columns
+	return [headers, ...rows].map(row => columns
 		.map(({width, isNumeric}, column) => {
 			const cell = String(row[column] ?? '');
 			return isNumeric ? cell.padStart(width) : cell.padEnd(width);
 		})
-		.join(gap)
+		.join(columnGap)
 		.trimEnd());
 }
--- a/src/cli/terminal.ts
+++ b/src/cli/terminal.ts
@@ -1,4 +1,4 @@
-/** What the command line reads from and writes to. */
+/** Input, outputs and environment of the command line; tests replace them. */
 
 export type Terminal = {
 	/** Writes to standard output. */
@@ -11,8 +11,8 @@
 };
 
 /**
- * @param terminal - Where to write.
- * @param lines - Lines without their ends.
+ * @param terminal - Receives the lines on standard output.
+ * @param lines - Lines without line breaks.
  */
 export function writeLines(terminal: Terminal, lines: readonly string[]): void {
 	for (const line of lines) {
@@ -21,8 +21,8 @@
 }
 
 /**
- * @param terminal - Where to write.
- * @param value - Anything that JSON holds.
+ * @param terminal - Receives the JSON on standard output.
+ * @param value - Any value that can be serialised.
  */
 export function writeJson(terminal: Terminal, value: unknown): void {
 	terminal.write(`${JSON.stringify(value, undefined, '\t')}\n`);
