--- a/src/cli/__tests__/fleet.test.ts
+++ b/src/cli/__tests__/fleet.test.ts
@@ -4,7 +4,7 @@
 	command, sendJson, startServer, type RequestHandler,
 } from './fakes.js';
 
-const unreachable = '127.0.0.1:1';
+const unreachableAddress = '127.0.0.1:1';
 
 function status(host: string, overrides: Partial<Status> = {}): Status {
 	return {
@@ -50,7 +50,7 @@
 };
 const concluded = {type: 'concluded', request: 'r1', outcome: {type: 'unknown', code: 4001, detail: 'cut'}};
 
-function handleAsHost(name: string, revision = 7): RequestHandler {
+function createHostHandler(name: string, revision = 7): RequestHandler {
 	return ({url, method}, response, body) => {
 		switch (url) {
 			case '/admin/status': {
@@ -92,8 +92,8 @@
 
 describe('status', () => {
 	it('shows hosts, upstreams and queues of the whole fleet in tables', async () => {
-		await using a = await startServer(handleAsHost('a'));
-		await using b = await startServer(handleAsHost('b'));
+		await using a = await startServer(createHostHandler('a'));
+		await using b = await startServer(createHostHandler('b'));
 		const {code, out} = await command(['status', '--hosts', `${a.address},${b.address}`]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/^a +north +serving +7 +1\/1 +2 +1$/mv);
@@ -102,8 +102,8 @@
 	});
 
 	it('reports a host that does not answer by its exit code', async () => {
-		await using a = await startServer(handleAsHost('a'));
-		const {code, out, complaints} = await command(['status', '--json', '--hosts', `${a.address},${unreachable}`]);
+		await using a = await startServer(createHostHandler('a'));
+		const {code, out, complaints} = await command(['status', '--json', '--hosts', `${a.address},${unreachableAddress}`]);
 		expect(code).toBe(70);
 		expect(JSON.parse(out)).toHaveLength(1);
 		expect(complaints).toMatch(/^error 7002: /v);
@@ -112,8 +112,8 @@
 
 describe('show', () => {
 	it('shows which revision is in force on which host', async () => {
-		await using a = await startServer(handleAsHost('a'));
-		await using b = await startServer(handleAsHost('b', 8));
+		await using a = await startServer(createHostHandler('a'));
+		await using b = await startServer(createHostHandler('b', 8));
 		const hosts = `${a.address},${b.address}`;
 		const {code, out} = await command(['show', '--hosts', hosts]);
 		expect(code).toBe(1);
@@ -125,8 +125,8 @@
 
 describe('drain', () => {
 	it('finds the host by name', async () => {
-		await using a = await startServer(handleAsHost('a'));
-		await using b = await startServer(handleAsHost('b'));
+		await using a = await startServer(createHostHandler('a'));
+		await using b = await startServer(createHostHandler('b'));
 		const {code, out} = await command(['drain', 'b', '--grace', '9', '--hosts', `${a.address},${b.address}`]);
 		expect({code, out}).toEqual({code: 0, out: 'b is leaving; 2 requests to finish.\n'});
 		expect(await command(['drain', 'c', '--hosts', a.address])).toMatchObject({code: 70});
@@ -139,7 +139,7 @@
 			if (statusRequests > 2) {
 				response.destroy();
 			} else {
-				handleAsHost('a')(request, response, body);
+				createHostHandler('a')(request, response, body);
 			}
 		});
 		const {code, out} = await command(['drain', a.address, '--wait']);
@@ -156,8 +156,8 @@
 	];
 
 	it('queries hosts', async () => {
-		await using a = await startServer(handleAsHost('a'));
-		await using b = await startServer(handleAsHost('b'));
+		await using a = await startServer(createHostHandler('a'));
+		await using b = await startServer(createHostHandler('b'));
 		const {code, out} = await command(['explain', 'r1', '--hosts', `${a.address},${b.address}`]);
 		expect({code, lines: out.trim().split('\n')}).toEqual({code: 0, lines: timeline});
 	});
@@ -176,7 +176,7 @@
 	});
 
 	it('reports that no decision is known, and why', async () => {
-		await using a = await startServer(handleAsHost('a'));
+		await using a = await startServer(createHostHandler('a'));
 		const {code, complaints} = await command(['explain', 'r2', '--hosts', a.address]);
 		expect(code).toBe(70);
 		expect(complaints).toContain('a no longer keeps its older decisions');
--- a/src/cli/__tests__/send.test.ts
+++ b/src/cli/__tests__/send.test.ts
@@ -5,7 +5,7 @@
 } from './fakes.js';
 
 const key = {CRANBERRYTIDE_KEY: 'secret'};
-const unreachable = '127.0.0.1:1';
+const unreachableAddress = '127.0.0.1:1';
 
 function frame(offset: number, content: string): string {
 	return `id: token:${offset + 1}\ndata: ${JSON.stringify({attempt: 'x', offset, choices: [{index: 0, delta: {content}}]})}\n\n`;
@@ -30,7 +30,7 @@
 
 async function send(handleRequest: RequestHandler, ...extraArguments: readonly string[]) {
 	await using host = await startServer(handleRequest);
-	const result = await command(['send', '--service', 'check', '--hosts', `${unreachable},${host.address}`, ...extraArguments], 'Hello', key);
+	const result = await command(['send', '--service', 'check', '--hosts', `${unreachableAddress},${host.address}`, ...extraArguments], 'Hello', key);
 	return result;
 }
 
@@ -126,7 +126,7 @@
 	});
 
 	it('fails if no host is reachable', async () => {
-		expect(await command(['send', '--service', 'check', '--hosts', unreachable], 'Hello', key)).toMatchObject({code: 20});
-		expect(await command(['send', '--service', 'check', '--hosts', unreachable], 'Hello')).toMatchObject({code: 70});
+		expect(await command(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello', key)).toMatchObject({code: 20});
+		expect(await command(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello')).toMatchObject({code: 70});
 	});
 });
--- a/src/cli/commands/incidents.ts
+++ b/src/cli/commands/incidents.ts
@@ -82,7 +82,7 @@
 		.option('--to <time>', 'end of the time window, in the format of the log')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide incidents --logs host-*.log --from 2026-03-24T14:19:20Z --to 2026-03-24T14:20:00Z')
-		.action(wrapAction(async (options: IncidentsOptions) => incidents(terminal, options)));
+		.action(wrapAction(async (options: IncidentsOptions) => reportIncidents(terminal, options)));
 }
 
 function parseTime(text: string | undefined, fallback: number): number {
@@ -94,7 +94,7 @@
 	return Number.isNaN(time) ? raise('badArgument', `${text} is not a valid time`) : time;
 }
 
-async function incidents(terminal: Terminal, options: IncidentsOptions): Promise<Code> {
+async function reportIncidents(terminal: Terminal, options: IncidentsOptions): Promise<Code> {
 	const from = parseTime(options.from, Number.NEGATIVE_INFINITY);
 	const to = parseTime(options.to, Number.POSITIVE_INFINITY);
 	const files = options.logs.includes(standardInput) ? [standardInput] : options.logs;
--- a/src/cli/commands/losses.ts
+++ b/src/cli/commands/losses.ts
@@ -32,10 +32,10 @@
 		.option('--each', 'list each request, highest loss first')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide losses --logs host-*.log')
-		.action(wrapAction(async (options: LossesOptions) => losses(terminal, options)));
+		.action(wrapAction(async (options: LossesOptions) => reportLosses(terminal, options)));
 }
 
-async function losses(terminal: Terminal, {logs, each, json}: LossesOptions): Promise<Code> {
+async function reportLosses(terminal: Terminal, {logs, each, json}: LossesOptions): Promise<Code> {
 	const files = logs.includes(standardInput) ? [standardInput] : logs;
 	const texts = await Promise.all(files.map(async file => readText(terminal, file)));
 	const report = createLossReport(parseLog(texts.join('\n')));
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -23,10 +23,10 @@
 		.description('Show hosts, upstreams and queues.')
 		.option('--json', 'write JSON')
 		.addHelpText('after', '\nExample:\n  cranberrytide status --hosts 10.0.0.1:7071,10.0.0.2:7071')
-		.action(wrapAction(async (options: StatusOptions) => status(terminal, options)));
+		.action(wrapAction(async (options: StatusOptions) => showStatus(terminal, options)));
 }
 
-async function status(terminal: Terminal, options: StatusOptions): Promise<Code> {
+async function showStatus(terminal: Terminal, options: StatusOptions): Promise<Code> {
 	const answers = await askAll(await readHostAddresses(terminal, options, 'admin'), fetchStatus);
 	const statuses = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	if (options.json === true) {
--- a/src/cli/losses/causes.ts
+++ b/src/cli/losses/causes.ts
@@ -9,10 +9,10 @@
 /** A caller that disconnects after longer silence gave up waiting; after less, it no longer wanted the answer. */
 const abandonmentSilenceMs = 1900;
 
-/** A pause is attributed to an unreachable failure domain that is detected up to this long after the end of the request. */
+/** A failure domain that is found unreachable up to this long after the end of a request explains a pause of it. */
 const cutDetectionWindowMs = 3000;
 
-/** A pause is attributed to another prompt at the same engine that is more than this many times as long as the request's own. */
+/** A prompt at the same engine that is more than this many times as long as a request's own explains a pause of it. */
 const longPromptRatio = 4;
 
 /** Why a request was not served in full and in time. */
@@ -53,20 +53,20 @@
 	readonly losses: readonly Loss[];
 };
 
-type Logged<Line> = {readonly at: number; readonly host: string; readonly line: Line};
+type LoggedLine<Line> = {readonly at: number; readonly host: string; readonly line: Line};
 
 /** Log lines of one request. */
 type History = {
-	readonly placed: Array<Logged<PlacedLine>>;
+	readonly placed: Array<LoggedLine<PlacedLine>>;
 	readonly endings: AttemptEndedLine[];
-	refused?: Logged<NotPlacedLine>;
-	ended?: Logged<EndedLine>;
+	refused?: LoggedLine<NotPlacedLine>;
+	ended?: LoggedLine<EndedLine>;
 };
 
 /** Events at engines and failure domains that may explain a pause. */
 type Context = {
 	/** Requests placed at each engine, as upstream or as helper. */
-	readonly byEngine: ReadonlyMap<string, ReadonlyArray<Logged<PlacedLine>>>;
+	readonly byEngine: ReadonlyMap<string, ReadonlyArray<LoggedLine<PlacedLine>>>;
 	/** Times at which a failure domain was found unreachable. */
 	readonly cuts: readonly number[];
 };
@@ -85,7 +85,7 @@
 	return histories;
 }
 
-function addLine(history: History, {at, host, line}: Logged<GatewayLine>): void {
+function addLine(history: History, {at, host, line}: LoggedLine<GatewayLine>): void {
 	switch (line.type) {
 		case 'placed': {
 			history.placed.push({at, host, line});
@@ -119,7 +119,7 @@
 }
 
 function createContext(entries: readonly LogEntry[], histories: Iterable<History>): Context {
-	const byEngine = new Map<string, Array<Logged<PlacedLine>>>();
+	const byEngine = new Map<string, Array<LoggedLine<PlacedLine>>>();
 	for (const each of [...histories].flatMap(({placed}) => placed)) {
 		for (const engine of [each.line.upstream, ...each.line.helpers]) {
 			const sent = byEngine.get(engine) ?? [];
@@ -146,7 +146,7 @@
 	return first.ending === 'not-run' && first.reason?.startsWith('refused') !== true ? 'no connection' : 'new attempt';
 }
 
-function findCauseOfPause(history: History, ended: Logged<EndedLine>, {byEngine, cuts}: Context): Cause {
+function findCauseOfPause(history: History, ended: LoggedLine<EndedLine>, {byEngine, cuts}: Context): Cause {
 	const retryCause = findCauseOfRetry(history);
 	if (retryCause !== undefined) {
 		return retryCause;
@@ -166,7 +166,7 @@
 	return findCauseOfRetry(history) ?? (history.placed[0]!.line.predicted > objective ? 'all engines busy' : 'slower than predicted');
 }
 
-function findCause(history: History, ended: Logged<EndedLine>, context: Context): Cause | undefined {
+function findCause(history: History, ended: LoggedLine<EndedLine>, context: Context): Cause | undefined {
 	const {outcome, firstByte = 0, longestPause = 0, objective = Number.POSITIVE_INFINITY, pause = Number.POSITIVE_INFINITY, silentFor = 0} = ended.line;
 	switch (outcome) {
 		case 'answered': {
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -21,7 +21,18 @@
 import {type Terminal} from './terminal.js';
 
 const version = '0.1.0';
-const commandAdders = [addCheckCommand, addDiffCommand, addShowCommand, addStatusCommand, addDrainCommand, addExplainCommand, addIncidentsCommand, addLossesCommand, addSendCommand, addCompletionCommand] as const;
+const commandAdders = [
+	addCheckCommand,
+	addDiffCommand,
+	addShowCommand,
+	addStatusCommand,
+	addDrainCommand,
+	addExplainCommand,
+	addIncidentsCommand,
+	addLossesCommand,
+	addSendCommand,
+	addCompletionCommand,
+] as const;
 
 /**
  * Parses the arguments and runs one command. Never throws.
--- a/src/cli/sending/sender.ts
+++ b/src/cli/sending/sender.ts
@@ -34,7 +34,7 @@
 	readonly #terminal: Terminal;
 	readonly #hosts: readonly Address[];
 	readonly #call: Call;
-	/** Whether the request has a header that allows to send it again. */
+	/** Whether the request declares that it may be sent again. */
 	readonly #isRepeatable: boolean;
 	#ticket: string | undefined;
 	#position: string | undefined;
@@ -43,7 +43,7 @@
 	 * @param terminal - Receives the answer on standard output, errors on standard error.
 	 * @param hosts - Caller listeners, tried in turn when one fails.
 	 * @param call - Request.
-	 * @param isRepeatable - Whether the request has a header that allows to send it again.
+	 * @param isRepeatable - Whether the request declares that it may be sent again.
 	 */
 	constructor(terminal: Terminal, hosts: readonly Address[], call: Call, isRepeatable: boolean) {
 		this.#terminal = terminal;
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * @returns The result code of the last attempt.
+	 * @returns The result code of the request.
 	 */
 	async send(): Promise<number> {
 		let next = 0;
