--- a/src/cli/gateway-lines.ts
+++ b/src/cli/gateway-lines.ts
@@ -49,7 +49,7 @@
 		longestPause: milliseconds,
 		/** Since the last event, or since the request arrived. */
 		silentFor: milliseconds,
-		/** Latency targets of the first byte, and below of the pause between two events. */
+		/** Latency target of the first byte; `pause` is the one of each later event. */
 		objective: milliseconds,
 		pause: milliseconds,
 		took: z.number(),
--- a/src/cli/sending/sender.ts
+++ b/src/cli/sending/sender.ts
@@ -94,7 +94,7 @@
 	}
 
 	async #attempt(address: Address): Promise<AttemptResult> {
-		const reply = await sendCall(address, {...this.#call, headers: this.#headers()});
+		const reply = await sendCall(address, {...this.#call, headers: this.#createHeaders()});
 		switch (reply.type) {
 			case 'unreached': {
 				return reply;
@@ -110,7 +110,7 @@
 		}
 	}
 
-	#headers(): Readonly<Record<string, string>> {
+	#createHeaders(): Readonly<Record<string, string>> {
 		return {
 			...this.#call.headers,
 			...(this.#ticket !== undefined && {[callerHeaders.ticket]: this.#ticket}),
