--- a/src/cli/__tests__/send.test.ts
+++ b/src/cli/__tests__/send.test.ts
@@ -73,7 +73,7 @@
 		expect({code, out, seen}).toEqual({code: 0, out: 'Once\n', seen: [undefined, 't1']});
 	});
 
-	it('does not repeat a request that may have run', async () => {
+	it('does not repeat a non-idempotent request that may have run', async () => {
 		let runs = 0;
 		const {code} = await send((_request, response) => {
 			runs += 1;
