--- a/src/cli/sending/sender.ts
+++ b/src/cli/sending/sender.ts
@@ -152,7 +152,7 @@
 			return {type: 'cut', reason: 'The answer was interrupted.'};
 		}
 
-		// Answers of plain services are passed through without this header.
+		// Answers that the host passes through carry the code as a trailer, not as a header.
 		const isFromHost = headers.has(answerHeaders.code);
 		if (status < 400) {
 			this.#terminal.write(isFromHost ? `${parseContent(text)}\n` : text);
