--- a/src/console/__tests__/browser.ts
+++ b/src/console/__tests__/browser.ts
@@ -1,4 +1,4 @@
-/** Reads pages and sends their forms as a browser would. */
+/** Submits the console's forms as a browser would. */
 import {ConsoleServer} from '../server.js';
 import {parseSettings} from '../../protocol/settings.js';
 import {settingsSchema} from '../settings.js';
@@ -11,8 +11,8 @@
 	return text.replaceAll(/&(amp|lt|gt|quot|#39);/gv, (_, name: string) => entities[name]!);
 }
 
-/** Values that a browser would send with the page's form. */
-function fieldsOf(page: string): URLSearchParams {
+/** Returns the values that a browser would submit with the page's form. */
+function readFormFields(page: string): URLSearchParams {
 	const form = new URLSearchParams();
 	for (const [, attributes] of page.matchAll(/<input ([^>]*)>/gv)) {
 		const name = /(?:^| )name="([^"]*)"/v.exec(attributes!)?.[1];
@@ -48,7 +48,7 @@
 		post,
 		async start(document?: string) {
 			const page = await fetch(url);
-			const form = fieldsOf(await page.text());
+			const form = readFormFields(await page.text());
 			form.delete('document');
 			if (document !== undefined) {
 				form.set('document', document);
@@ -57,9 +57,9 @@
 			const response = await post('/start', form);
 			return response.text();
 		},
-		/** Presses a button of a page after typing into fields. */
+		/** Types into fields of a page and presses a button. */
 		async press(page: string, action: string, typed: Readonly<Record<string, string>> = {}) {
-			const form = fieldsOf(page);
+			const form = readFormFields(page);
 			form.set('action', action);
 			for (const [name, value] of Object.entries(typed)) {
 				form.set(name, value);
@@ -67,6 +67,7 @@
 
 			return post('/draft', form);
 		},
+		/** Like `press`, but returns the text of the next page. */
 		async next(page: string, action: string, typed: Readonly<Record<string, string>> = {}) {
 			const response = await this.press(page, action, typed);
 			return response.text();
--- a/src/console/__tests__/console.test.ts
+++ b/src/console/__tests__/console.test.ts
@@ -13,17 +13,17 @@
 	return openConsole(settings);
 }
 
-const checkEntry = 'go/entry/services/0';
+const openCheckService = 'go/entry/services/0';
 
 describe('console', () => {
-	it('goes from the document in force over forms to one validated document', async () => {
+	it('edits the document in force and downloads one valid document', async () => {
 		const folder = await mkdtemp(path.join(tmpdir(), 'cranberrytide-'));
 		const document = path.join(folder, 'current.json');
 		await writeFile(document, text());
 		await using console = await open({document});
 		const start = await console.start();
-		expect(start).toContain('Draft of revision 8 on 7: 0 changes, 0 mistakes');
-		const service = await console.next(start, checkEntry);
+		expect(start).toContain('Draft of revision 8 based on 7: 0 changes, 0 mistakes');
+		const service = await console.next(start, openCheckService);
 		const typed = await console.next(service, 'go/review', {'field.deadline.most': '900000', 'field.idempotent': 'yes'});
 		expect(typed).toContain('Service &quot;check&quot;: deadline.most changes from 10 min to 15 min');
 		expect(typed).toContain('a payment or booking could run twice');
@@ -40,24 +40,24 @@
 		await rm(folder, {recursive: true});
 	});
 
-	it('shows each mistake beside its field, keeps what was typed and gives no document', async () => {
+	it('shows each mistake next to its field, keeps the typed text and refuses the download', async () => {
 		await using console = await open();
 		const start = await console.start(text());
-		const service = await console.next(start, checkEntry);
+		const service = await console.next(start, openCheckService);
 		const wrong = await console.next(service, 'stay', {'field.deadline.default': '700000', 'field.retryBudget.ratio': 'a lot'});
 		expect(wrong).toMatch(/id="field\.retryBudget\.ratio"[^>]*aria-invalid="true" value="a lot"/v);
 		expect(wrong).toContain('id="field.retryBudget.ratio-mistakes"');
 		expect(wrong).toMatch(/id="field\.deadline\.default-mistakes"><li>The default of 700000 ms is above the most/v);
-		const mended = await console.next(wrong, 'stay', {'field.retryBudget.ratio': '0.2'});
-		expect(mended).not.toContain('id="field.retryBudget.ratio-mistakes"');
-		const list = await console.next(mended, 'go/list/services');
+		const corrected = await console.next(wrong, 'stay', {'field.retryBudget.ratio': '0.2'});
+		expect(corrected).not.toContain('id="field.retryBudget.ratio-mistakes"');
+		const list = await console.next(corrected, 'go/list/services');
 		expect(list).toContain('class="wrong"');
 		expect(await console.next(list, 'download', {accepted: 'yes'})).toContain('cannot be downloaded while it has mistakes');
 	});
 
-	it('shows mistakes of all sections together, and none that come of checking around a broken field', async () => {
+	it('shows the mistakes of all sections together, without those caused by placeholders for malformed fields', async () => {
 		await using console = await open();
-		const service = await console.next(await console.start(text()), checkEntry);
+		const service = await console.next(await console.start(text()), openCheckService);
 		const upstream = await console.next(service, 'go/entry/upstreams/0', {'field.deadline.most': 'long', 'field.model': ''});
 		const review = await console.next(upstream, 'go/review', {'field.failureDomain': 'west', 'field.target.model': 'style', 'field.target.version': '1'});
 		expect([...review.matchAll(/value="go\/entry\/[^"]+" class="plain">([^<]+)<\/button>/gv)].map(match => match[1])).toEqual([
@@ -76,7 +76,7 @@
 		['takeovers', ''],
 		['failureDomains', ''],
 		['tokenKeys', ''],
-	])('adds to %s a fresh entry of kind "%s" and removes it', async (section, kind) => {
+	])('adds to %s a new entry of kind "%s" and removes it', async (section, kind) => {
 		await using console = await open();
 		const start = await console.start(text());
 		const fresh = await console.next(start, `add/${section}/${kind}`);
@@ -86,7 +86,7 @@
 		expect(review).toContain('The draft changes nothing yet');
 	});
 
-	it('fills in an engine, a planned stop and a takeover', async () => {
+	it('adds an engine, a planned stop and a takeover', async () => {
 		await using console = await open();
 		const engine = await console.next(await console.start(text()), 'add/upstreams/engine');
 		const stop = await console.next(engine, 'add/plannedStops/', {
@@ -111,12 +111,12 @@
 		});
 	});
 
-	it('makes an API key, shows it once and keeps its hash', async () => {
+	it('creates an API key, shows it once and keeps its hash', async () => {
 		await using console = await open();
-		const made = await console.next(await console.start(text()), 'make-key/1');
-		const key = /<code>([\w\-]+)<\/code>/v.exec(made)![1]!;
-		expect(made).toContain(createHash('sha256').update(key).digest('hex'));
-		expect(await console.next(made, 'stay')).not.toContain(key);
+		const created = await console.next(await console.start(text()), 'make-key/1');
+		const key = /<code>([\w\-]+)<\/code>/v.exec(created)![1]!;
+		expect(created).toContain(createHash('sha256').update(key).digest('hex'));
+		expect(await console.next(created, 'stay')).not.toContain(key);
 	});
 
 	it('changes the signing key', async () => {
@@ -126,32 +126,32 @@
 		expect(review).not.toContain(base.tokenKeys[0]!.secret);
 	});
 
-	it('warns once the base is no longer in force', async () => {
+	it('warns when the base is no longer in force', async () => {
 		const folder = await mkdtemp(path.join(tmpdir(), 'cranberrytide-'));
 		const document = path.join(folder, 'current.json');
 		await writeFile(document, text());
 		await using console = await open({document});
 		const start = await console.start();
 		await writeFile(document, text({revision: 9, organisations: [base.organisations[0]]}));
-		const later = await console.next(start, checkEntry);
+		const later = await console.next(start, openCheckService);
 		expect(later).toContain('The base of this draft is no longer in force');
 		expect(later).toContain('Removes the organisation &quot;weekly&quot;');
-		expect(later).toContain('Draft of revision 10 on 7');
+		expect(later).toContain('Draft of revision 10 based on 7');
 		await rm(folder, {recursive: true});
 	});
 
-	it('escapes all that a document or a form brings in', async () => {
+	it('escapes text from documents and forms', async () => {
 		await using console = await open();
-		const evil = '"><script>alert(1)</script>';
-		const page = await console.next(await console.start(text()), 'add/organisations/', {'field.id': evil});
-		const typed = await console.next(page, 'stay', {'field.id': evil, 'field.priority': evil, 'field.keyHashes': evil});
-		const pages = [typed, await console.next(typed, 'go/list/organisations', {filter: evil}), await console.next(typed, 'go/review'), await console.start(`{"${evil}":1}`)];
+		const injection = '"><script>alert(1)</script>';
+		const page = await console.next(await console.start(text()), 'add/organisations/', {'field.id': injection});
+		const typed = await console.next(page, 'stay', {'field.id': injection, 'field.priority': injection, 'field.keyHashes': injection});
+		const pages = [typed, await console.next(typed, 'go/list/organisations', {filter: injection}), await console.next(typed, 'go/review'), await console.start(`{"${injection}":1}`)];
 		for (const each of pages) {
 			expect(each).not.toContain('<script');
 		}
 	});
 
-	it('lists many organisations by parts of their names', async () => {
+	it('filters a long list of organisations by parts of their names', async () => {
 		await using console = await open();
 		const organisations = Array.from({length: 300}, (_, index) => ({id: `member-${index}`, keyHashes: []}));
 		const list = await console.next(await console.start(text({organisations})), 'go/list/organisations');
--- a/src/console/__tests__/security.test.ts
+++ b/src/console/__tests__/security.test.ts
@@ -4,7 +4,7 @@
 import {text} from '../../protocol/configuration/__tests__/documents.js';
 import {openConsole} from './browser.js';
 
-async function statusUnderName(url: string, host: string): Promise<number> {
+async function fetchStatusAs(url: string, host: string): Promise<number> {
 	return new Promise((resolve, reject) => {
 		request(url, {headers: {host}}, response => {
 			response.resume();
@@ -14,7 +14,7 @@
 }
 
 describe('console security', () => {
-	it('lets no other site frame it, script it or read it', async () => {
+	it('sends headers that keep other sites from framing, scripting or reading it', async () => {
 		await using console = await openConsole();
 		const {headers} = await fetch(console.url);
 		expect(headers.get('content-security-policy')).toMatch(/default-src 'none'.*frame-ancestors 'none'/v);
@@ -27,14 +27,14 @@
 		[{'sec-fetch-site': 'same-site'}],
 		[{origin: 'http://evil.example'}],
 		[{origin: 'null'}],
-	])('refuses posts from elsewhere: %j', async headers => {
+	])('refuses posts from other sites: %j', async headers => {
 		await using console = await openConsole();
 		const response = await console.post('/start', new URLSearchParams({document: text()}), headers);
 		expect(response.status).toBe(403);
 		expect(await response.text()).toContain('Result code 7007');
 	});
 
-	it('refuses posts without its token', async () => {
+	it('refuses posts without a valid token', async () => {
 		await using console = await openConsole();
 		for (const token of ['', 'x'.repeat(43)]) {
 			const response = await console.post('/start', new URLSearchParams({document: text(), token}));
@@ -42,14 +42,14 @@
 		}
 	});
 
-	it('refuses requests under another name', async () => {
+	it('refuses requests with another Host header', async () => {
 		await using console = await openConsole();
 		const {host} = new URL(console.url);
-		expect(await statusUnderName(console.url, host)).toBe(200);
-		expect(await statusUnderName(console.url, 'evil.example')).toBe(403);
+		expect(await fetchStatusAs(console.url, host)).toBe(200);
+		expect(await fetchStatusAs(console.url, 'evil.example')).toBe(403);
 	});
 
-	it('bounds bodies', async () => {
+	it('limits the size of request bodies', async () => {
 		await using console = await openConsole({bodyLimit: 10_000});
 		const large = await console.post('/start', 'x'.repeat(10_001));
 		expect(large.status).toBe(413);
@@ -65,7 +65,7 @@
 		[{action: 'entry/__proto__/0'}],
 		[{action: 'add/services/none'}],
 		[{action: 'go/entry/services/99'}],
-	])('answers a form that was tampered with by a code: %j', async tampered => {
+	])('rejects a tampered form with a result code: %j', async tampered => {
 		await using console = await openConsole();
 		const start = await console.start(text());
 		const response = await console.press(start, 'stay', tampered);
@@ -73,7 +73,7 @@
 		expect(await response.text()).toContain('Result code 7008');
 	});
 
-	it('starts from no invalid document', async () => {
+	it('reports an invalid document, a missing document and an unknown path', async () => {
 		await using console = await openConsole();
 		expect(await console.start('{')).toContain('Result code 5001');
 		expect(await console.start()).toContain('Result code 7001');
--- a/src/console/draft/place.ts
+++ b/src/console/draft/actions.ts
@@ -1,27 +1,29 @@
-/** Places in the console and what its buttons ask for, as text in a form. */
+/** Pages and button actions of the console, and their text in form fields. */
 import {raise} from '../../core/index.js';
-import {sectionOf, type Section} from './sections.js';
+import {findSection, type Section} from './sections.js';
 
+/** A page of a draft: the review, one of the document's lists or one entry of a list. */
 export type Place
 	= | {readonly type: 'review'}
 		| {readonly type: 'list'; readonly section: Section}
 		| {readonly type: 'entry'; readonly section: Section; readonly index: number};
 
+/** Action of a button. */
 export type Action
-	/** Keep what was typed and show the same place again. */
+	/** Keep the typed values and show the same page again. */
 	= | {readonly type: 'stay'}
 		| {readonly type: 'go'; readonly place: Place}
 		| {readonly type: 'add'; readonly section: Section; readonly kind: string}
 		| {readonly type: 'remove'; readonly section: Section; readonly index: number}
-	/** Make a token key the one that signs. */
+	/** Move a token key to the top, so that it signs. */
 		| {readonly type: 'sign'; readonly index: number}
-	/** Make an API key for an organisation. */
+	/** Create an API key for an organisation. */
 		| {readonly type: 'make-key'; readonly index: number}
 		| {readonly type: 'download'};
 
 /**
- * @param place - Place.
- * @returns Its text in a form.
+ * @param place - Page.
+ * @returns Its text in a form field.
  */
 export function formatPlace(place: Place): string {
 	switch (place.type) {
@@ -40,8 +42,8 @@
 }
 
 /**
- * @param text - Field of a form.
- * @returns The place.
+ * @param text - Text of a form field.
+ * @returns The page.
  * @throws Failure `badForm`.
  */
 export function parsePlace(text: string): Place {
@@ -52,11 +54,11 @@
 		}
 
 		case 'list': {
-			return {type, section: readSection(section)};
+			return {type, section: parseSection(section)};
 		}
 
 		case 'entry': {
-			return {type, section: readSection(section), index: readIndex(index)};
+			return {type, section: parseSection(section), index: parseIndex(index)};
 		}
 
 		default: {
@@ -66,8 +68,8 @@
 }
 
 /**
- * @param action - What a button asks for.
- * @returns Its text in a form.
+ * @param action - Action of a button.
+ * @returns Its text in a form field.
  */
 export function formatAction(action: Action): string {
 	switch (action.type) {
@@ -96,8 +98,8 @@
 }
 
 /**
- * @param text - Field of a form.
- * @returns What the button asks for.
+ * @param text - Text of a form field.
+ * @returns The action.
  * @throws Failure `badForm`.
  */
 export function parseAction(text: string): Action {
@@ -113,16 +115,16 @@
 		}
 
 		case 'add': {
-			return {type, section: readSection(first), kind: second ?? ''};
+			return {type, section: parseSection(first), kind: second ?? ''};
 		}
 
 		case 'remove': {
-			return {type, section: readSection(first), index: readIndex(second)};
+			return {type, section: parseSection(first), index: parseIndex(second)};
 		}
 
 		case 'sign':
 		case 'make-key': {
-			return {type, index: readIndex(first)};
+			return {type, index: parseIndex(first)};
 		}
 
 		default: {
@@ -131,10 +133,10 @@
 	}
 }
 
-function readSection(text = ''): Section {
-	return sectionOf(text) ?? raise('badForm', `There is no list "${text}".`);
+function parseSection(text = ''): Section {
+	return findSection(text) ?? raise('badForm', `There is no list "${text}".`);
 }
 
-function readIndex(text = ''): number {
-	return /^\d{1,7}$/v.test(text) ? Number(text) : raise('badForm', `"${text}" is no place in a list.`);
+function parseIndex(text = ''): number {
+	return /^\d{1,7}$/v.test(text) ? Number(text) : raise('badForm', `"${text}" is not an index of a list.`);
 }
--- a/src/console/draft/fields.ts
+++ b/src/console/draft/fields.ts
@@ -1,11 +1,11 @@
-/** Fields of forms: how a value of the document is shown and read. */
+/** Form fields: converts values of the document to text and back. */
 import {assertNever} from '../../core/index.js';
 import {
-	isList, textOf, type Json, type Path,
+	isJsonArray, formatJson, type Json, type Path,
 } from './json.js';
 
 export type Field = {
-	/** Place below the entry. */
+	/** Path within the entry, or within the document for a field of a group. */
 	readonly path: Path;
 	readonly label: string;
 	readonly help?: string;
@@ -15,52 +15,52 @@
 export type FieldKind
 	= | {readonly type: 'text'}
 		| {readonly type: 'number'}
-	/** A time of day and date in UTC; milliseconds since 1970 in the document. */
+	/** Date and time in UTC; Unix time in milliseconds in the document. */
 		| {readonly type: 'time'}
 		| {readonly type: 'yes-no'}
 		| {readonly type: 'choice'; readonly choices: readonly Choice[]}
-	/** The names in a list of the document. */
+	/** Name of an entry in another list of the document. */
 		| {readonly type: 'reference'; readonly list: string; readonly isOptional: boolean}
-	/** A list, one name a line. */
+	/** List of names, one per line. */
 		| {readonly type: 'lines'};
 
 export type Choice = {readonly value: string; readonly label: string};
 
-/** Characters of a time that a browser's field takes, down to the minute. */
+/** A `datetime-local` field takes times with minute precision. */
 const timeLength = 'yyyy-mm-ddThh:mm'.length;
 
 /**
  * @param field - Field.
- * @returns Its name in a form.
+ * @returns Its name in the form.
  */
-export function fieldName(field: Field): string {
+export function getFieldName(field: Field): string {
 	return `field.${field.path.join('.')}`;
 }
 
 /**
  * @param kind - Kind of field.
  * @param value - Value in the draft.
- * @returns Text to show.
+ * @returns Text to show in the field.
  */
-export function showValue(kind: FieldKind, value: Json): string {
+export function formatValue(kind: FieldKind, value: Json): string {
 	switch (kind.type) {
 		case 'time': {
-			return typeof value === 'number' ? showTime(value) : textOf(value);
+			return typeof value === 'number' ? formatTime(value) : formatJson(value);
 		}
 
 		case 'yes-no': {
-			return value === true ? 'yes' : (value === false ? 'no' : textOf(value));
+			return value === true ? 'yes' : (value === false ? 'no' : formatJson(value));
 		}
 
 		case 'lines': {
-			return isList(value) ? value.map(each => textOf(each)).join('\n') : textOf(value);
+			return isJsonArray(value) ? value.map(each => formatJson(each)).join('\n') : formatJson(value);
 		}
 
 		case 'text':
 		case 'number':
 		case 'choice':
 		case 'reference': {
-			return textOf(value);
+			return formatJson(value);
 		}
 
 		default: {
@@ -70,13 +70,13 @@
 }
 
 /**
- * What cannot be read stays text, so that checking the draft names the mistake and nothing typed is lost.
+ * Keeps text that cannot be parsed, so that the check of the draft reports it and nothing typed is lost.
  *
  * @param kind - Kind of field.
- * @param text - Text that was typed.
- * @returns The value for the draft; undefined where the field is left out.
+ * @param text - Typed text.
+ * @returns The value for the draft; undefined if the field is to be left out.
  */
-export function readValue(kind: FieldKind, text: string): Json {
+export function parseValue(kind: FieldKind, text: string): Json {
 	const typed = text.trim();
 	switch (kind.type) {
 		case 'text':
@@ -86,11 +86,11 @@
 		}
 
 		case 'number': {
-			return typed === '' ? undefined : readNumber(typed);
+			return typed === '' ? undefined : parseNumber(typed);
 		}
 
 		case 'time': {
-			return typed === '' ? undefined : readTime(typed);
+			return typed === '' ? undefined : parseTime(typed);
 		}
 
 		case 'yes-no': {
@@ -107,17 +107,17 @@
 	}
 }
 
-function readNumber(text: string): number | string {
+function parseNumber(text: string): number | string {
 	const value = Number(text.replaceAll(/[\s_]/gv, ''));
 	return Number.isFinite(value) ? value : text;
 }
 
-function readTime(text: string): number | string {
+function parseTime(text: string): number | string {
 	const time = Date.parse(`${text}Z`);
 	return Number.isNaN(time) ? text : time;
 }
 
-function showTime(time: number): string {
+function formatTime(time: number): string {
 	const date = new Date(time);
 	return Number.isNaN(date.getTime()) ? String(time) : date.toISOString().slice(0, timeLength);
 }
--- a/src/console/draft/json.ts
+++ b/src/console/draft/json.ts
@@ -1,12 +1,13 @@
-/** A draft: the document as JSON, whose mistakes are still being mended. */
+/** Drafts as JSON values, and access to them by path. */
 import {removeIn, setIn} from 'immutable';
 
-export type Json = string | number | boolean | undefined | readonly Json[] | Entry;
+export type Json = string | number | boolean | undefined | readonly Json[] | JsonObject;
 
-/** One entry of a list of the document, or the document itself. */
-export type Entry = {readonly [key: string]: Json};
+/** An entry of one of the document's lists, or the document itself. */
+export type JsonObject = {readonly [key: string]: Json};
 
-export type Draft = Entry;
+/** Configuration document that may still have mistakes. */
+export type Draft = JsonObject;
 
 export type Path = ReadonlyArray<string | number>;
 
@@ -14,65 +15,65 @@
  * @param value - Parsed JSON.
  * @returns Whether it is an object.
  */
-export function isEntry(value: unknown): value is Entry {
+export function isJsonObject(value: unknown): value is JsonObject {
 	return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
 /**
- * @param value - Any JSON.
- * @returns Whether it is a list.
+ * @param value - JSON value.
+ * @returns Whether it is an array.
  */
-export function isList(value: Json): value is readonly Json[] {
+export function isJsonArray(value: Json): value is readonly Json[] {
 	return Array.isArray(value);
 }
 
 /**
  * @param draft - Draft.
  * @param path - Keys and indices.
- * @returns The value there, if there is one.
+ * @returns The value at the path; undefined if there is none.
  */
-export function read(draft: Draft, path: Path): Json {
+export function getValueAt(draft: Draft, path: Path): Json {
 	let value: Json = draft;
-	for (const step of path) {
-		value = below(value, step);
+	for (const key of path) {
+		value = getChild(value, key);
 	}
 
 	return value;
 }
 
-function below(value: Json, step: string | number): Json {
-	if (isList(value)) {
-		return typeof step === 'number' ? value[step] : undefined;
+function getChild(value: Json, key: string | number): Json {
+	if (isJsonArray(value)) {
+		return typeof key === 'number' ? value[key] : undefined;
 	}
 
-	return isEntry(value) && Object.hasOwn(value, step) ? value[step] : undefined;
+	return isJsonObject(value) && Object.hasOwn(value, key) ? value[key] : undefined;
 }
 
 /**
  * @param draft - Draft.
  * @param path - Keys and indices.
- * @param value - Undefined removes what is there.
+ * @param value - New value; undefined removes the current one.
  * @returns The changed draft.
  */
-export function write(draft: Draft, path: Path, value: Json): Draft {
+export function setValueAt(draft: Draft, path: Path, value: Json): Draft {
 	return value === undefined ? removeIn(draft, path) : setIn(draft, path, value);
 }
 
 /**
  * @param draft - Draft.
  * @param list - Name of a list of the document.
- * @returns Its entries; none where there is no list.
+ * @returns Its entries; none if the list is missing. An entry that is not an object becomes an empty one.
  */
-export function entriesOf(draft: Draft, list: string): readonly Entry[] {
+export function getEntries(draft: Draft, list: string): readonly JsonObject[] {
 	const value = Object.hasOwn(draft, list) ? draft[list] : undefined;
-	return isList(value) ? value.map(each => isEntry(each) ? each : {}) : [];
+	return isJsonArray(value) ? value.map(each => isJsonObject(each) ? each : {}) : [];
 }
 
 /**
- * @param value - Any JSON.
- * @returns Text for a field or a table; empty where there is nothing.
+ * @param value - JSON value.
+ * @returns Text for a field or a table cell; empty for undefined or null.
  */
-export function textOf(value: Json): string {
+export function formatJson(value: Json): string {
 	if (value === undefined || value === null) {
 		return '';
 	}
--- a/src/console/draft/review.ts
+++ b/src/console/draft/review.ts
@@ -1,4 +1,4 @@
-/** Checks a draft against the document it starts from and the one in force. */
+/** Checks a draft and compares it with its base and with the document in force. */
 import {Buffer} from 'node:buffer';
 import {
 	changeInWords,
@@ -10,59 +10,59 @@
 	type Mistake,
 	type Parsed,
 } from '../../protocol/configuration/index.js';
-import {type Standing} from '../source.js';
-import {mistakesOf} from './findings.js';
-import {type State} from './state.js';
+import {type BaseStatus} from '../source.js';
+import {findMistakes} from './mistakes.js';
+import {type DraftState} from './state.js';
 
-/** What an operator should know before the document is published. */
+/** Result of checking a draft, for the operator to read before the document is published. */
 export type Review = {
 	readonly revision: number;
-	/** The finished document. */
+	/** The document as it would be downloaded. */
 	readonly text: string;
 	readonly mistakes: readonly Mistake[];
-	/** Mistakes beyond those listed. */
+	/** Number of mistakes that are not listed. */
 	readonly further: number;
-	/** In words; undefined while there are mistakes. */
+	/** One sentence for each change; undefined while there are mistakes. */
 	readonly changes: readonly string[] | undefined;
 	readonly warnings: readonly string[];
 };
 
 /**
  * @param state - Draft and its base.
- * @param standing - What is known of the document in force.
- * @returns Mistakes, changes and warnings.
+ * @param baseStatus - Whether the base is still in force.
+ * @returns Mistakes, changes and warnings. The new revision is above the base's and, if known, above the one in force.
  */
-export function reviewOf(state: State, standing: Standing): Review {
+export function reviewDraft(state: DraftState, baseStatus: BaseStatus): Review {
 	const {base, draft} = state;
-	const highest = Math.max(base.configuration.revision, standing.type === 'superseded' ? standing.inForce.configuration.revision : 0);
+	const highest = Math.max(base.configuration.revision, baseStatus.type === 'superseded' ? baseStatus.inForce.configuration.revision : 0);
 	const revision = highest + 1;
-	const text = writeDocument({...draft, revision});
+	const text = formatDocument({...draft, revision});
 	const parsed = parseConfiguration(text);
-	return {revision, text, ...findings(state, parsed)};
+	return {revision, text, ...checkDocument(state, parsed)};
 }
 
-function findings({base, draft}: State, parsed: Parsed): Omit<Review, 'revision' | 'text'> {
+function checkDocument({base, draft}: DraftState, parsed: Parsed): Omit<Review, 'revision' | 'text'> {
 	if (parsed.type === 'invalid') {
 		return {
-			mistakes: mistakesOf(draft, parsed), further: parsed.further, changes: undefined, warnings: [],
+			mistakes: findMistakes(draft, parsed), further: parsed.further, changes: undefined, warnings: [],
 		};
 	}
 
 	const {configuration} = parsed;
 	const warnings = warningsOf(configuration, base.configuration).map(warning => warningInWords(warning));
-	const leftOut = base.unknownFields.map(path => `${path} of the base is not known here and is left out.`);
+	const droppedFields = base.unknownFields.map(path => `${path} of the base is unknown to this version of the console and is left out.`);
 	return {
 		mistakes: [],
 		further: 0,
 		changes: difference(base.configuration, configuration)
 			.filter(change => change.type !== 'document-changed' || change.field !== 'revision')
 			.map(change => changeInWords(change)),
-		warnings: [...warnings, ...leftOut],
+		warnings: [...warnings, ...droppedFields],
 	};
 }
 
-/** Indented for people while there is room for it. */
-function writeDocument(document: unknown): string {
+/** Indents the document for readers unless that exceeds the size limit. */
+function formatDocument(document: unknown): string {
 	const indented = `${JSON.stringify(document, undefined, '\t')}\n`;
 	return Buffer.byteLength(indented) <= documentLimit ? indented : JSON.stringify(document);
 }
@@ -70,9 +70,9 @@
 /**
  * @param mistakes - All mistakes of a draft.
  * @param path - JSON path of an entry or a field.
- * @returns The mistakes there and below.
+ * @returns The mistakes at the path and below it.
  */
-export function mistakesAt(mistakes: readonly Mistake[], path: string): readonly Mistake[] {
+export function filterMistakes(mistakes: readonly Mistake[], path: string): readonly Mistake[] {
 	return mistakes.filter(mistake => mistake.path === path
 		|| mistake.path.startsWith(`${path}.`)
 		|| mistake.path.startsWith(`${path}[`));
--- a/src/console/draft/sections.ts
+++ b/src/console/draft/sections.ts
@@ -1,12 +1,13 @@
-/** Lists of the document: their entries' fields, and what a new entry starts with. */
+/** The lists of the document as the console shows them: fields of their entries and values of a new entry. */
 import {type Choice, type Field, type FieldKind} from './fields.js';
-import {type Entry} from './json.js';
+import {type JsonObject} from './json.js';
 
 export type EntryKind = {
-	/** As in the entry's `kind`; empty for lists whose entries are all alike. */
+	/** Value of the entry's `kind`; empty for lists with one kind of entry. */
 	readonly id: string;
 	readonly label: string;
-	readonly fresh: Entry;
+	/** Values that a new entry starts with. */
+	readonly fresh: JsonObject;
 	readonly fields: readonly Field[];
 };
 
@@ -14,7 +15,7 @@
 	readonly id: 'failureDomains' | 'services' | 'organisations' | 'upstreams' | 'plannedStops' | 'takeovers' | 'tokenKeys';
 	readonly title: string;
 	readonly intro: string;
-	/** Values shown in the list, beside the name. */
+	/** Values shown in the list next to the name. */
 	readonly columns: ReadonlyArray<{readonly label: string; readonly path: readonly string[]}>;
 	readonly kinds: readonly EntryKind[];
 };
@@ -41,21 +42,21 @@
 	return {type: 'reference', list, isOptional};
 }
 
-const name = field('id', 'Name', text, 'Letters, digits, dots, hyphens and underscores.');
+const nameField = field('id', 'Name', text, 'Letters, digits, dots, hyphens and underscores.');
 
 const serviceFields = [
-	name,
-	field('deadline.default', 'Deadline if none is asked for (ms)', number),
+	nameField,
+	field('deadline.default', 'Default deadline (ms)', number),
 	field('deadline.most', 'Longest deadline (ms)', number),
-	field('idempotent', 'Requests may be repeated', yesNo, 'Unless the caller says otherwise. Choose no for payments, bookings and style checks.'),
+	field('idempotent', 'Requests may be repeated', yesNo, 'Callers can override this. Choose no for payments, bookings and style checks.'),
 	field('ticketRule', 'A request that may run only once needs', choice(
 		{value: 'key', label: 'an idempotency key or a ticket'},
 		{value: 'ticket', label: 'a ticket'},
 	)),
 	field('retryBudget.ratio', 'Retries as a share of requests', number, 'From 0 to 1.'),
-	field('retryBudget.burst', 'Retries saved up at most', number),
-	field('queueLimit', 'Requests that may wait at one host', number),
-	field('policy', 'Routing policy', choice('cost', 'random', 'round-robin', 'least-requests'), 'All but cost are baselines for comparison.'),
+	field('retryBudget.burst', 'Maximum retries saved up', number),
+	field('queueLimit', 'Maximum requests queued at one host', number),
+	field('policy', 'Routing policy', choice('cost', 'random', 'round-robin', 'least-requests'), 'Policies other than cost are baselines for comparison.'),
 ];
 
 const freshService = {
@@ -71,7 +72,7 @@
 const services: Section = {
 	id: 'services',
 	title: 'Services',
-	intro: 'What callers ask for: models and plain services.',
+	intro: 'Models and plain services that callers send requests to.',
 	columns: [
 		{label: 'Kind', path: ['kind']},
 		{label: 'Model', path: ['model']},
@@ -88,11 +89,11 @@
 			fields: [
 				...serviceFields,
 				field('model', 'Model', text),
-				field('lengthClasses.short', 'Short prompts have up to (tokens)', number),
-				field('lengthClasses.long', 'Long prompts have at least (tokens)', number),
+				field('lengthClasses.short', 'Longest short prompt (tokens)', number),
+				field('lengthClasses.long', 'Shortest long prompt (tokens)', number),
 				field('weights.slowdown', 'Weight of the slowdown of short requests', number),
 				field('weights.firstToken', 'Weight of the time to first token', number),
-				field('expectedOutput', 'Answer length until one is learnt (tokens)', number),
+				field('expectedOutput', 'Expected answer length before any is measured (tokens)', number),
 				field('readyEngines', 'Engines of a failure domain that stay ready during changes', number),
 			],
 		},
@@ -105,11 +106,11 @@
 const organisations: Section = {
 	id: 'organisations',
 	title: 'Organisations',
-	intro: 'Who may call, how urgent their work is and how much of it is taken.',
+	intro: 'Callers, their priorities and their limits.',
 	columns: [
 		{label: 'Priority', path: ['priority']},
 		{label: 'Weight', path: ['weight']},
-		{label: 'Requests a second', path: ['limits', 'requestsPerSecond']},
+		{label: 'Requests per second', path: ['limits', 'requestsPerSecond']},
 	],
 	kinds: [{
 		id: '',
@@ -118,22 +119,22 @@
 			id: '', keyHashes: [], priority: 5, weight: 1, limits: {},
 		},
 		fields: [
-			name,
+			nameField,
 			field('priority', 'Priority', number, 'From 0 to 9; 0 runs first.'),
 			field('weight', 'Weight', number, 'Share among organisations of the same priority.'),
-			field('limits.requestsPerSecond', 'Requests a second, whole fleet', number, 'Empty for no limit.'),
-			field('limits.tokensPerSecond', 'Tokens a second, whole fleet', number, 'Empty for no limit.'),
-			field('limits.concurrent', 'Requests at once, whole fleet', number, 'Empty for no limit.'),
-			field('keyHashes', 'SHA-256 of each API key', lines, 'One a line. To change a key, add the new one first and remove the old one once nobody uses it.'),
+			field('limits.requestsPerSecond', 'Requests per second, whole fleet', number, 'Empty for no limit.'),
+			field('limits.tokensPerSecond', 'Tokens per second, whole fleet', number, 'Empty for no limit.'),
+			field('limits.concurrent', 'Concurrent requests, whole fleet', number, 'Empty for no limit.'),
+			field('keyHashes', 'SHA-256 of each API key', lines, 'One per line. To change a key, add the new one first and remove the old one when it is no longer used.'),
 		],
 	}],
 };
 
 const upstreamFields = [
-	name,
+	nameField,
 	field('service', 'Service', reference('services')),
 	field('failureDomain', 'Failure domain', reference('failureDomains')),
-	field('address.host', 'IP number', text),
+	field('address.host', 'IP address', text),
 	field('address.port', 'Port', number),
 ];
 
@@ -141,7 +142,7 @@
 	id: '', service: '', failureDomain: '', address: {host: '', port: 8000},
 };
 
-const concurrent = field('concurrent', 'Requests at once', number);
+const concurrentField = field('concurrent', 'Concurrent requests', number);
 
 const upstreams: Section = {
 	id: 'upstreams',
@@ -151,7 +152,7 @@
 		{label: 'Kind', path: ['kind']},
 		{label: 'Service', path: ['service']},
 		{label: 'Failure domain', path: ['failureDomain']},
-		{label: 'IP number', path: ['address', 'host']},
+		{label: 'IP address', path: ['address', 'host']},
 		{label: 'Port', path: ['address', 'port']},
 	],
 	kinds: [
@@ -163,22 +164,22 @@
 			},
 			fields: [
 				...upstreamFields,
-				field('memory', 'KV cache that fits into its memory (tokens)', number),
-				field('prefillRate', 'Prefill speed until learnt (tokens a second)', number),
-				field('decodeInterval', 'Time between tokens until learnt (ms)', number),
-				field('batch', 'Requests in one batch', number),
-				field('fencing', 'Refuses orders with an old number', yesNo, 'Say yes only if the engine is known to check.'),
-				field('target.model', 'Model to load', text, 'Leave model and version empty for an engine that is not ordered.'),
+				field('memory', 'Capacity of the KV cache (tokens)', number),
+				field('prefillRate', 'Prefill speed before it is measured (tokens per second)', number),
+				field('decodeInterval', 'Time between tokens before it is measured (ms)', number),
+				field('batch', 'Maximum requests in one batch', number),
+				field('fencing', 'Refuses orders with an outdated fencing number', yesNo, 'Choose yes only if the engine is known to check it.'),
+				field('target.model', 'Model to load', text, 'Leave model and version empty for an engine that receives no orders.'),
 				field('target.version', 'Version to load', text),
-				field('target.adapters', 'Adapters to load', lines, 'One a line.'),
+				field('target.adapters', 'Adapters to load', lines, 'One per line.'),
 				field('target.role', 'Role', choice({value: '', label: 'none'}, 'mixed', 'prefill', 'decode')),
 			],
 		},
 		{
-			id: 'plain', label: 'plain upstream', fresh: {...freshUpstream, kind: 'plain', concurrent: 64}, fields: [...upstreamFields, concurrent],
+			id: 'plain', label: 'plain upstream', fresh: {...freshUpstream, kind: 'plain', concurrent: 64}, fields: [...upstreamFields, concurrentField],
 		},
 		{
-			id: 'legacy', label: 'old endpoint', fresh: {...freshUpstream, kind: 'legacy', concurrent: 64}, fields: [...upstreamFields, concurrent],
+			id: 'legacy', label: 'old endpoint', fresh: {...freshUpstream, kind: 'legacy', concurrent: 64}, fields: [...upstreamFields, concurrentField],
 		},
 	],
 };
@@ -186,10 +187,10 @@
 const plannedStops: Section = {
 	id: 'plannedStops',
 	title: 'Planned stops',
-	intro: 'Hosts and upstreams that are to stop once their running requests have finished.',
+	intro: 'Hosts and upstreams that stop after their running requests have finished.',
 	columns: [
 		{label: 'Stops', path: ['target', 'kind']},
-		{label: 'Name of it', path: ['target', 'id']},
+		{label: 'Name', path: ['target', 'id']},
 		{label: 'Time for running requests (ms)', path: ['grace']},
 	],
 	kinds: [{
@@ -203,7 +204,7 @@
 			field('target.kind', 'What stops', choice('host', 'upstream')),
 			field('target.id', 'Its name', text),
 			field('notBefore', 'Not before (UTC)', {type: 'time'}),
-			field('grace', 'Time for running requests (ms)', number, 'At least the longest deadline, so that none is cut.'),
+			field('grace', 'Time for running requests (ms)', number, 'At least the longest deadline, so that no request is interrupted.'),
 		],
 	}],
 };
@@ -211,7 +212,7 @@
 const takeovers: Section = {
 	id: 'takeovers',
 	title: 'Takeovers',
-	intro: 'Who serves: cranberrytide or the old endpoint. Where nothing is said, cranberrytide serves. The rule that names more counts.',
+	intro: 'Whether cranberrytide or the old endpoint serves requests. Without a matching rule, cranberrytide serves. The most specific rule wins.',
 	columns: [
 		{label: 'Failure domain', path: ['failureDomain']},
 		{label: 'Organisation', path: ['organisation']},
@@ -233,27 +234,27 @@
 const failureDomains: Section = {
 	id: 'failureDomains',
 	title: 'Failure domains',
-	intro: 'Each has its own hosts and upstreams.',
+	intro: 'Each failure domain has its own hosts and upstreams.',
 	columns: [{label: 'Region', path: ['region']}],
 	kinds: [{
-		id: '', label: 'failure domain', fresh: {id: '', region: ''}, fields: [name, field('region', 'Region', text)],
+		id: '', label: 'failure domain', fresh: {id: '', region: ''}, fields: [nameField, field('region', 'Region', text)],
 	}],
 };
 
 const tokenKeys: Section = {
 	id: 'tokenKeys',
 	title: 'Token keys',
-	intro: 'They sign tickets and stream positions. The first signs, all verify. '
-		+ 'To change keys: add one; when that document is in force everywhere, move it to the top; when the old tokens have expired, remove the old one.',
+	intro: 'Keys that sign tickets and stream positions. The first key signs; all keys verify. '
+		+ 'To change keys, add the new key; when that document is in force everywhere, move the key to the top; when the old tokens have expired, remove the old key.',
 	columns: [],
 	kinds: [{
-		id: '', label: 'token key', fresh: {id: '', secret: ''}, fields: [name],
+		id: '', label: 'token key', fresh: {id: '', secret: ''}, fields: [nameField],
 	}],
 };
 
 export const sections: readonly Section[] = [services, organisations, upstreams, plannedStops, takeovers, failureDomains, tokenKeys];
 
-/** Fields of the document itself that stand under one of its lists. */
+/** Fields of the document itself, shown below one of its lists. */
 export type DocumentGroup = {
 	readonly title: string;
 	readonly fields: readonly Field[];
@@ -262,17 +263,17 @@
 const stopRule: DocumentGroup = {
 	title: 'Stop rule',
 	fields: [
-		field('stopRule.concurrentHosts', 'Hosts of one failure domain that may stop at a time', number),
-		field('stopRule.concurrentUpstreams', 'Upstreams of one service and failure domain that may stop at a time', number),
+		field('stopRule.concurrentHosts', 'Hosts of one failure domain that may stop at the same time', number),
+		field('stopRule.concurrentUpstreams', 'Upstreams of one service and failure domain that may stop at the same time', number),
 	],
 };
 
 const weightStore: DocumentGroup = {
 	title: 'Weight store',
 	fields: [
-		field('weightStore.address.host', 'IP number', text, 'Leave all three empty where there is none.'),
+		field('weightStore.address.host', 'IP address', text, 'Leave all three fields empty if there is no weight store.'),
 		field('weightStore.address.port', 'Port', number),
-		field('weightStore.loadsPerSecond', 'Loads a second that it accepts from everyone', number),
+		field('weightStore.loadsPerSecond', 'Loads per second accepted from all clients together', number),
 	],
 };
 
@@ -285,15 +286,15 @@
  * @param id - Name of a list.
  * @returns Its section, if it has one.
  */
-export function sectionOf(id: string): Section | undefined {
+export function findSection(id: string): Section | undefined {
 	return sections.find(section => section.id === id);
 }
 
 /**
  * @param section - Section.
  * @param entry - One of its entries.
- * @returns What kind of entry it is; the first kind where it does not say.
+ * @returns Kind of the entry; the first kind if the entry states none that is known.
  */
-export function kindOf(section: Section, entry: Entry): EntryKind {
+export function getEntryKind(section: Section, entry: JsonObject): EntryKind {
 	return section.kinds.find(kind => kind.id === entry.kind) ?? section.kinds[0]!;
 }
--- a/src/console/draft/state.ts
+++ b/src/console/draft/state.ts
@@ -1,63 +1,63 @@
-/** The state of a draft, which travels in the form and is read again with every post. */
+/** State of a draft. The server keeps none: every form carries the state, and every post parses it again. */
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {raise} from '../../core/index.js';
 import {documentLimit, parseConfiguration, type Valid} from '../../protocol/configuration/index.js';
-import {isEntry, type Draft} from './json.js';
+import {isJsonObject, type Draft} from './json.js';
 
-export type State = {
+export type DraftState = {
 	/** Text and content of the document that the draft starts from. */
 	readonly baseText: string;
 	readonly base: Valid;
 	readonly draft: Draft;
 };
 
-/** Bytes that a packed document may unpack to; a draft may be a little larger than what is valid. */
-const unpackedLimit = 2 * documentLimit;
+/** Bounds the memory for unpacking; a draft may be somewhat larger than a valid document. */
+const maxUnpackedBytes = 2 * documentLimit;
 
 /**
- * @param text - Text that a form carries.
- * @returns The text, compressed and in characters that forms leave alone.
+ * @param text - Text to carry in a form.
+ * @returns The text, compressed and encoded as base64url, which forms transmit unchanged.
  */
 export function pack(text: string): string {
 	return deflateRawSync(text).toString('base64url');
 }
 
 /**
- * @param packed - Field of a form.
+ * @param packed - Packed text of a form field.
  * @returns The text.
  * @throws Failure `badForm`.
  */
 export function unpack(packed: string): string {
 	try {
-		return inflateRawSync(Buffer.from(packed, 'base64url'), {maxOutputLength: unpackedLimit}).toString('utf8');
+		return inflateRawSync(Buffer.from(packed, 'base64url'), {maxOutputLength: maxUnpackedBytes}).toString('utf8');
 	} catch {
-		return raise('badForm', 'The draft cannot be read.');
+		return raise('badForm', 'The draft cannot be unpacked.');
 	}
 }
 
 /**
  * @param text - Document to start from.
- * @returns A draft in which defaults are written out.
- * @throws Failure of the first mistake.
+ * @returns A draft of the document with all default values filled in.
+ * @throws Failure of the document's first mistake.
  */
-export function startDraft(text: string): State {
-	const base = readBase(text);
-	return {baseText: text, base, draft: toDraft(JSON.stringify(base.configuration))};
+export function startDraft(text: string): DraftState {
+	const base = parseBase(text);
+	return {baseText: text, base, draft: parseDraft(JSON.stringify(base.configuration))};
 }
 
 /**
- * @param packedBase - Field of a form.
- * @param packedDraft - Field of a form.
- * @returns The state they carry.
- * @throws Failure `badForm`, or that of the base's first mistake.
+ * @param packedBase - Packed text of the base.
+ * @param packedDraft - Packed JSON of the draft.
+ * @returns The state of the draft.
+ * @throws Failure `badForm`, or the failure of the base's first mistake.
  */
-export function readState(packedBase: string, packedDraft: string): State {
+export function parseState(packedBase: string, packedDraft: string): DraftState {
 	const baseText = unpack(packedBase);
-	return {baseText, base: readBase(baseText), draft: toDraft(unpack(packedDraft))};
+	return {baseText, base: parseBase(baseText), draft: parseDraft(unpack(packedDraft))};
 }
 
-function readBase(text: string): Valid {
+function parseBase(text: string): Valid {
 	const parsed = parseConfiguration(text);
 	if (parsed.type === 'valid') {
 		return parsed;
@@ -67,9 +67,9 @@
 	return raise(code, `${path}: ${reason}`);
 }
 
-function toDraft(text: string): Draft {
+function parseDraft(text: string): Draft {
 	const value = parseJson(text);
-	return isEntry(value) ? value : raise('badForm', 'The draft is no document.');
+	return isJsonObject(value) ? value : raise('badForm', 'The draft is not a JSON object.');
 }
 
 function parseJson(text: string): unknown {
--- a/src/console/html.ts
+++ b/src/console/html.ts
@@ -1,6 +1,6 @@
-/** HTML in which every value is escaped unless it is HTML already. */
+/** HTML templates that escape every value unless it is HTML already. */
 
-const replacements: ReadonlyMap<string, string> = new Map([
+const entityByCharacter: ReadonlyMap<string, string> = new Map([
 	['&', '&amp;'],
 	['<', '&lt;'],
 	['>', '&gt;'],
@@ -8,11 +8,11 @@
 	['\'', '&#39;'],
 ]);
 
-/** Text that is safe to place into a page; made by {@link html} only. */
+/** Markup that is safe to insert into a page. Created by {@link html} only. */
 export class Html {
 	readonly #text: string;
 
-	constructor(strings: readonly string[], values: readonly Value[]) {
+	constructor(strings: readonly string[], values: readonly HtmlValue[]) {
 		this.#text = strings.map((string, index) => `${string}${render(values[index])}`).join('');
 	}
 
@@ -21,9 +21,9 @@
 	}
 }
 
-export type Value = Html | string | number | undefined | readonly Html[];
+export type HtmlValue = Html | string | number | undefined | readonly Html[];
 
-function render(value: Value): string {
+function render(value: HtmlValue): string {
 	if (value === undefined) {
 		return '';
 	}
@@ -36,16 +36,16 @@
 }
 
 function escapeText(text: string): string {
-	return text.replaceAll(/[&<>"']/gv, character => replacements.get(character)!);
+	return text.replaceAll(/[&<>"']/gv, character => entityByCharacter.get(character)!);
 }
 
 /**
- * Tags a template.
+ * Template tag for markup.
  *
- * @param strings - Markup.
- * @param values - Values between; undefined leaves nothing.
- * @returns The markup with every value escaped that is not HTML.
+ * @param strings - Literal markup.
+ * @param values - Values to insert; undefined inserts nothing.
+ * @returns The markup, with every value escaped that is not HTML already.
  */
-export function html(strings: TemplateStringsArray, ...values: readonly Value[]): Html {
+export function html(strings: TemplateStringsArray, ...values: readonly HtmlValue[]): Html {
 	return new Html(strings, values);
 }
--- a/src/console/main.ts
+++ b/src/console/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The console of forms: `cranberrytide-console --settings FILE`. */
+/** Command line of the console: `cranberrytide-console --settings FILE`. */
 import process from 'node:process';
 import {once} from 'node:events';
 import {Command} from 'commander';
@@ -10,7 +10,7 @@
 import {ConsoleServer} from './server.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-type Choices = {
+type CommandOptions = {
 	readonly settings?: string;
 	readonly listen?: string;
 	readonly hosts?: string;
@@ -26,33 +26,33 @@
 	}],
 });
 
-async function settingsOf({settings, listen, hosts, document}: Choices): Promise<Settings> {
+async function loadSettings({settings, listen, hosts, document}: CommandOptions): Promise<Settings> {
 	if (settings !== undefined) {
 		return readSettings(settingsSchema, settings);
 	}
 
 	return parseSettings(settingsSchema, {
-		...(listen !== undefined && {listen: splitListener(listen)}),
+		...(listen !== undefined && {listen: parseListenAddress(listen)}),
 		...(hosts !== undefined && {admin: hosts.split(',')}),
 		...(document !== undefined && {document}),
 	});
 }
 
-/** Unlike an address to connect to, a listener may have port 0. */
-function splitListener(text: string) {
+/** Accepts port 0, unlike `parseAddress`, which parses addresses to connect to. */
+function parseListenAddress(text: string) {
 	const colon = text.lastIndexOf(':');
 	return {host: text.slice(0, colon).replaceAll(/[\[\]]/gv, ''), port: Number(text.slice(colon + 1))};
 }
 
-async function run(choices: Choices): Promise<void> {
-	const settings = await settingsOf(choices);
+async function serve(options: CommandOptions): Promise<void> {
+	const settings = await loadSettings(options);
 	await using server = new ConsoleServer(settings);
 	const port = await server.listen();
 	log.info({event: 'listening', url: `http://${formatAddress({host: settings.listen.host, port})}/`});
 	await Promise.race([once(process, 'SIGTERM'), once(process, 'SIGINT')]);
 }
 
-function codeOf(error: unknown): number {
+function getResultCode(error: unknown): number {
 	if (isFailure(error)) {
 		return error.code;
 	}
@@ -61,17 +61,17 @@
 }
 
 const command = new Command('cranberrytide-console')
-	.description('Serves forms in which operators change the configuration; publishes nothing itself.')
-	.option('--settings <file>', 'JSON settings; the other options are then not read')
-	.option('--listen <address>', 'host:port to listen at, 127.0.0.1:7080 unless told otherwise')
-	.option('--hosts <addresses>', 'host:port,… of hosts\' operators\' listeners, to start from the document in force')
-	.option('--document <file>', 'document to start from, where there are no hosts')
+	.description('Serves HTML forms for editing the configuration document; never publishes it.')
+	.option('--settings <file>', 'JSON settings file; the other options are then ignored')
+	.option('--listen <address>', 'host:port to listen on, 127.0.0.1:7080 by default')
+	.option('--hosts <addresses>', 'host:port,… of the operators\' listeners of hosts; drafts start from the document in force there')
+	.option('--document <file>', 'file with the document to start from if --hosts is not given')
 	.addHelpText('after', '\nExample:\n  cranberrytide-console --hosts 10.0.0.1:7071,10.0.0.2:7071')
-	.action(async (choices: Choices) => {
+	.action(async (options: CommandOptions) => {
 		try {
-			await run(choices);
+			await serve(options);
 		} catch (error) {
-			log.error({event: 'failed', code: codeOf(error), detail: error instanceof Error ? error.message : String(error)});
+			log.error({event: 'failed', code: getResultCode(error), detail: error instanceof Error ? error.message : String(error)});
 			process.exitCode = isFailure(error) ? 2 : 1;
 		}
 	});
--- a/src/console/pages/entry.ts
+++ b/src/console/pages/entry.ts
@@ -1,53 +1,53 @@
-/** The page of one entry. */
-import {entriesOf, type Entry} from '../draft/json.js';
-import {mistakesAt} from '../draft/review.js';
-import {kindOf, type EntryKind, type Section} from '../draft/sections.js';
+/** Renders the page of one entry of a list. */
+import {getEntries, type JsonObject} from '../draft/json.js';
+import {filterMistakes} from '../draft/review.js';
+import {getEntryKind, type EntryKind, type Section} from '../draft/sections.js';
 import {formatPath, type Mistake} from '../../protocol/configuration/index.js';
 import {html, type Html} from '../html.js';
-import {draftPage, type View} from './layout.js';
-import {nameOf} from './list.js';
+import {renderDraftPage, type View} from './layout.js';
+import {getEntryName} from './list.js';
 import {
-	button, fieldList, mistakeList,
-} from './parts.js';
+	renderButton, renderFieldList, renderMistakeList,
+} from './components.js';
 
 /**
- * @param view - What the page shows.
- * @param section - List.
- * @param index - Place of the entry in it.
- * @returns The page; undefined where there is no such entry.
+ * @param view - Draft and its review.
+ * @param section - List of the entry.
+ * @param index - Index of the entry in the list.
+ * @returns The page; undefined if there is no such entry.
  */
-export function entryPage(view: View, section: Section, index: number): string | undefined {
-	const entry = entriesOf(view.state.draft, section.id)[index];
+export function renderEntryPage(view: View, section: Section, index: number): string | undefined {
+	const entry = getEntries(view.state.draft, section.id)[index];
 	if (entry === undefined) {
 		return undefined;
 	}
 
-	const kind = kindOf(section, entry);
+	const kind = getEntryKind(section, entry);
 	const {mistakes} = view.review;
-	return draftPage(view, titleOf(section, kind, entry), html`
-		${mistakeList(unplaced(mistakes, section, index, kind), 'entry-mistakes')}
-		${view.apiKey === undefined ? undefined : newKey(view.apiKey)}
-		${fieldList(view.state.draft, [section.id, index], kind.fields, mistakes)}
-		<p class="bar">${button({type: 'stay'}, 'Apply', 'primary')}
-		${section.id === 'organisations' ? button({type: 'make-key', index}, 'Make a new API key') : undefined}
-		${button({type: 'go', place: {type: 'list', section}}, `Back to ${section.title.toLowerCase()}`)}
-		${button({type: 'remove', section, index}, `Remove this ${kind.label}`, 'danger')}</p>
+	return renderDraftPage(view, formatTitle(section, kind, entry), html`
+		${renderMistakeList(findEntryMistakes(mistakes, section, index, kind), 'entry-mistakes')}
+		${view.apiKey === undefined ? undefined : renderNewKey(view.apiKey)}
+		${renderFieldList(view.state.draft, [section.id, index], kind.fields, mistakes)}
+		<p class="bar">${renderButton({type: 'stay'}, 'Apply', 'primary')}
+		${section.id === 'organisations' ? renderButton({type: 'make-key', index}, 'Make a new API key') : undefined}
+		${renderButton({type: 'go', place: {type: 'list', section}}, `Back to ${section.title.toLowerCase()}`)}
+		${renderButton({type: 'remove', section, index}, `Remove this ${kind.label}`, 'danger')}</p>
 	`);
 }
 
-function titleOf(section: Section, kind: EntryKind, entry: Entry): string {
+function formatTitle(section: Section, kind: EntryKind, entry: JsonObject): string {
 	const label = kind.label.charAt(0).toUpperCase() + kind.label.slice(1);
-	const name = nameOf(section, entry);
+	const name = getEntryName(section, entry);
 	return name === '' ? `New ${kind.label}` : `${label} ${name}`;
 }
 
-/** Mistakes of the entry that belong to none of its fields. */
-function unplaced(mistakes: readonly Mistake[], section: Section, index: number, kind: EntryKind): readonly Mistake[] {
+/** Finds mistakes of the entry that belong to none of its fields. */
+function findEntryMistakes(mistakes: readonly Mistake[], section: Section, index: number, kind: EntryKind): readonly Mistake[] {
 	const path = [section.id, index];
-	const placed = new Set(kind.fields.flatMap(field => mistakesAt(mistakes, formatPath([...path, ...field.path]))));
-	return mistakesAt(mistakes, formatPath(path)).filter(mistake => !placed.has(mistake));
+	const fieldMistakes = new Set(kind.fields.flatMap(field => filterMistakes(mistakes, formatPath([...path, ...field.path]))));
+	return filterMistakes(mistakes, formatPath(path)).filter(mistake => !fieldMistakes.has(mistake));
 }
 
-function newKey(apiKey: string): Html {
-	return html`<div class="notice" role="status"><p>New API key, shown only now; the document holds its hash alone:</p><p><code>${apiKey}</code></p></div>`;
+function renderNewKey(apiKey: string): Html {
+	return html`<div class="notice" role="status"><p>New API key. It is shown only once; the document stores only its hash:</p><p><code>${apiKey}</code></p></div>`;
 }
--- a/src/console/pages/layout.ts
+++ b/src/console/pages/layout.ts
@@ -1,39 +1,39 @@
-/** The frame of every page: head, navigation, the draft that travels along, and what is known of its base. */
+/** Renders what all pages share: head, navigation, the hidden fields with the draft and the notice about its base. */
 import {changeInWords, difference} from '../../protocol/configuration/index.js';
-import {formatPlace, type Place} from '../draft/place.js';
-import {entriesOf} from '../draft/json.js';
-import {mistakesAt, type Review} from '../draft/review.js';
+import {formatPlace, type Place} from '../draft/actions.js';
+import {getEntries} from '../draft/json.js';
+import {filterMistakes, type Review} from '../draft/review.js';
 import {sections} from '../draft/sections.js';
-import {pack, type State} from '../draft/state.js';
+import {pack, type DraftState} from '../draft/state.js';
 import {html, type Html} from '../html.js';
-import {type Standing} from '../source.js';
-import {button} from './parts.js';
+import {type BaseStatus} from '../source.js';
+import {renderButton} from './components.js';
 
-/** All that a page of a draft shows. */
+/** Content of a draft page. */
 export type View = {
-	readonly state: State;
+	readonly state: DraftState;
 	readonly place: Place;
-	readonly standing: Standing;
+	readonly baseStatus: BaseStatus;
 	readonly review: Review;
-	/** Proves that a post comes from a page of this console. */
+	/** Included in every form, to prove that a post comes from a page of this console. */
 	readonly token: string;
-	/** An API key just made, to be shown once. */
+	/** Newly created API key, to be shown once. */
 	readonly apiKey?: string;
-	/** Part of the names to list. */
+	/** Text that the names of listed entries contain. */
 	readonly filter: string;
-	/** Why a download was not given. */
+	/** Why a download was refused. */
 	readonly refusal?: string;
 };
 
-/** Changes of another revision that are listed. */
-const changesShown = 20;
+/** Changes between the base and the document in force that the notice lists. */
+const maxListedChanges = 20;
 
 /**
  * @param title - Title of the page.
- * @param content - Its content.
+ * @param content - Content of the body.
  * @returns The whole page.
  */
-export function page(title: string, content: Html): string {
+export function renderPage(title: string, content: Html): string {
 	return html`
 		<!doctype html>
 		<html lang="en">
@@ -52,14 +52,14 @@
 }
 
 /**
- * @param view - What the page shows.
- * @param title - Title of the page.
- * @param content - Its content.
+ * @param view - Draft and its review.
+ * @param title - Title and main heading of the page.
+ * @param content - Content below the heading.
  * @returns The whole page.
  */
-export function draftPage(view: View, title: string, content: Html): string {
+export function renderDraftPage(view: View, title: string, content: Html): string {
 	const {state, place, token} = view;
-	return page(title, html`
+	return renderPage(title, html`
 		<form method="post" action="/draft" accept-charset="utf-8">
 		<input type="hidden" name="token" value="${token}">
 		<input type="hidden" name="base" value="${pack(state.baseText)}">
@@ -68,11 +68,11 @@
 		<button name="action" value="stay" class="default" tabindex="-1" aria-hidden="true">Apply</button>
 		<header>
 		<p class="brand">cranberrytide console</p>
-		${summary(view)}
-		<nav aria-label="Sections"><ul>${[reviewTab(view), ...sections.map(section => tab(view, section.id, section.title))]}</ul></nav>
+		${renderSummary(view)}
+		<nav aria-label="Sections"><ul>${[renderReviewTab(view), ...sections.map(section => renderTab(view, section.id, section.title))]}</ul></nav>
 		</header>
 		<main id="main">
-		${standingNotice(view)}
+		${renderBaseNotice(view)}
 		<h1>${title}</h1>
 		${content}
 		</main>
@@ -80,57 +80,57 @@
 	`);
 }
 
-function summary({state, review}: View): Html {
-	const changes = review.changes === undefined ? 'changes not yet valid' : count(review.changes.length, 'change');
-	const findings = `${count(mistakeCount(review), 'mistake')}, ${count(review.warnings.length, 'warning')}`;
-	return html`<p class="summary">Draft of revision ${review.revision} on ${state.base.configuration.revision}: ${changes}, ${findings}</p>`;
+function renderSummary({state, review}: View): Html {
+	const changes = review.changes === undefined ? 'changes not valid yet' : formatCount(review.changes.length, 'change');
+	const findings = `${formatCount(countMistakes(review), 'mistake')}, ${formatCount(review.warnings.length, 'warning')}`;
+	return html`<p class="summary">Draft of revision ${review.revision} based on ${state.base.configuration.revision}: ${changes}, ${findings}</p>`;
 }
 
-function mistakeCount({mistakes, further}: Review): number {
+function countMistakes({mistakes, further}: Review): number {
 	return mistakes.length + further;
 }
 
 /**
- * @param number - How many.
- * @param noun - What, in the singular.
- * @returns Both in words.
+ * @param number - Count.
+ * @param noun - Noun in the singular.
+ * @returns The count with the noun, in the plural unless the count is 1.
  */
-export function count(number: number, noun: string): string {
+export function formatCount(number: number, noun: string): string {
 	return `${number} ${noun}${number === 1 ? '' : 's'}`;
 }
 
-function reviewTab({place, review}: View): Html {
-	return html`<li class="${place.type === 'review' ? 'current' : ''}">${button({type: 'go', place: {type: 'review'}}, 'Review')}${badge(mistakeCount(review))}</li>`;
+function renderReviewTab({place, review}: View): Html {
+	return html`<li class="${place.type === 'review' ? 'current' : ''}">${renderButton({type: 'go', place: {type: 'review'}}, 'Review')}${renderBadge(countMistakes(review))}</li>`;
 }
 
-function tab({place, review, state}: View, id: string, title: string): Html {
+function renderTab({place, review, state}: View, id: string, title: string): Html {
 	const section = sections.find(each => each.id === id)!;
 	const isCurrent = place.type !== 'review' && place.section.id === id;
-	const label = `${title} (${entriesOf(state.draft, id).length})`;
-	return html`<li class="${isCurrent ? 'current' : ''}">${button({type: 'go', place: {type: 'list', section}}, label)}${badge(mistakesAt(review.mistakes, `$.${id}`).length)}</li>`;
+	const label = `${title} (${getEntries(state.draft, id).length})`;
+	return html`<li class="${isCurrent ? 'current' : ''}">${renderButton({type: 'go', place: {type: 'list', section}}, label)}${renderBadge(filterMistakes(review.mistakes, `$.${id}`).length)}</li>`;
 }
 
-function badge(mistakes: number): Html | undefined {
-	return mistakes === 0 ? undefined : html`<span class="badge" title="mistakes">${count(mistakes, 'mistake')}</span>`;
+function renderBadge(mistakes: number): Html | undefined {
+	return mistakes === 0 ? undefined : html`<span class="badge" title="mistakes">${formatCount(mistakes, 'mistake')}</span>`;
 }
 
-function standingNotice({state, standing}: View): Html | undefined {
-	switch (standing.type) {
+function renderBaseNotice({state, baseStatus}: View): Html | undefined {
+	switch (baseStatus.type) {
 		case 'in-force': {
 			return undefined;
 		}
 
 		case 'unknown': {
-			return html`<div class="notice" role="status"><p>Whether revision ${state.base.configuration.revision} is still in force could not be checked. ${standing.reason}</p></div>`;
+			return html`<div class="notice" role="status"><p>Whether revision ${state.base.configuration.revision} is still in force could not be checked. ${baseStatus.reason}</p></div>`;
 		}
 
 		case 'superseded': {
-			const changes = difference(state.base.configuration, standing.inForce.configuration).map(change => changeInWords(change));
-			const further = changes.length - changesShown;
+			const changes = difference(state.base.configuration, baseStatus.inForce.configuration).map(change => changeInWords(change));
+			const further = changes.length - maxListedChanges;
 			return html`
 				<div class="notice strong" role="alert">
-				<p>The base of this draft is no longer in force. Publishing the draft would undo what revision ${standing.inForce.configuration.revision} has changed:</p>
-				<ul>${changes.slice(0, changesShown).map(change => html`<li>${change}</li>`)}${further > 0 ? html`<li>and ${further} more</li>` : undefined}</ul>
+				<p>The base of this draft is no longer in force. Publishing the draft would undo what revision ${baseStatus.inForce.configuration.revision} has changed:</p>
+				<ul>${changes.slice(0, maxListedChanges).map(change => html`<li>${change}</li>`)}${further > 0 ? html`<li>and ${further} more</li>` : undefined}</ul>
 				<p><a href="/">Start again from the document in force</a></p>
 				</div>
 			`;
--- a/src/console/pages/start.ts
+++ b/src/console/pages/start.ts
@@ -1,28 +1,28 @@
-/** The first page, and the page of an error. */
+/** Renders the start page and error pages. */
 import {html} from '../html.js';
 import {type Source} from '../source.js';
-import {page} from './layout.js';
+import {renderPage} from './layout.js';
 
 /**
  * @param source - Where the document in force is read from.
- * @param token - Proves that a post comes from a page of this console.
+ * @param token - Included in the form, to prove that a post comes from a page of this console.
  * @returns The page.
  */
-export function startPage(source: Source, token: string): string {
+export function renderStartPage(source: Source, token: string): string {
 	const from = source.type === 'hosts' ? 'the hosts' : 'the file that the console was started with';
-	return page('Start', html`
+	return renderPage('Start', html`
 				<header><p class="brand">cranberrytide console</p></header>
 				<main id="main">
 				<h1>Change the configuration</h1>
-				<p>Start a draft, change it in forms, see the change in words and download one validated document.
-		The console stores and publishes nothing; the draft travels in your pages, so keep the tab open until you have downloaded it.</p>
+				<p>Start a draft, edit it in forms, review the changes and download one validated document.
+		The console stores and publishes nothing. The draft exists only in the open page, so keep the tab open until you have downloaded the document.</p>
 				${source.type === 'none'
 					? undefined
 					: html`
 						<form method="post" action="/start" class="box">
 						<input type="hidden" name="token" value="${token}">
 						<h2>From the document in force</h2>
-						<p>It is read from ${from}.</p>
+						<p>The document is read from ${from}.</p>
 						<p><button class="primary">Start a draft</button></p>
 						</form>
 					`}
@@ -39,14 +39,14 @@
 
 /**
  * @param code - Result code.
- * @param message - What was wrong.
+ * @param message - Error message.
  * @returns The page.
  */
-export function errorPage(code: number, message: string): string {
-	return page('Error', html`
+export function renderErrorPage(code: number, message: string): string {
+	return renderPage('Error', html`
 		<header><p class="brand">cranberrytide console</p></header>
 		<main id="main">
-		<h1>That did not work</h1>
+		<h1>The request failed</h1>
 		<div class="notice strong" role="alert"><p>${message}</p></div>
 		<p>Result code ${code}. Go back in your browser to return to the draft, or <a href="/">start again</a>.</p>
 		</main>
--- a/src/console/pages/style.ts
+++ b/src/console/pages/style.ts
@@ -1,4 +1,4 @@
-/** The style sheet of all pages. */
+/** Style sheet of all pages. */
 
 export const styleSheet = `
 :root { color-scheme: light dark; --accent: #8c1d40; --on-accent: #fff; --line: #8886; --soft: #8881; --bad: #b3261e; --warn: #8a5a00; }
--- a/src/console/security.ts
+++ b/src/console/security.ts
@@ -1,14 +1,14 @@
-/** Keeps other sites from using the console through an operator's browser. */
+/** Protects the console from requests that other sites send through an operator's browser. */
 import {Buffer} from 'node:buffer';
 import {randomBytes, timingSafeEqual} from 'node:crypto';
 import {type IncomingHttpHeaders} from 'node:http';
 import {raise} from '../core/index.js';
 
-/** Sent with every answer. */
+/** Sent with every response. */
 export const securityHeaders = {
 	'content-security-policy': 'default-src \'none\'; style-src \'self\'; form-action \'self\'; frame-ancestors \'none\'; base-uri \'none\'',
 	'x-content-type-options': 'nosniff',
-	// With `no-referrer` browsers would send no origin either.
+	// With `no-referrer`, browsers would withhold the origin as well.
 	'referrer-policy': 'same-origin',
 	'cross-origin-opener-policy': 'same-origin',
 	'cross-origin-resource-policy': 'same-origin',
@@ -17,16 +17,16 @@
 
 const tokenBytes = 32;
 
-export class Guard {
-	/** Known only to pages that this process has given out. */
+export class CrossSiteGuard {
+	/** Random for each process and found only in pages that it rendered. */
 	readonly #token = randomBytes(tokenBytes).toString('base64url');
-	readonly #names: ReadonlySet<string>;
+	readonly #allowedHosts: ReadonlySet<string>;
 
 	/**
-	 * @param names - Values of the Host header by which the console is reached, in lower case.
+	 * @param allowedHosts - Accepted values of the Host header, in lower case.
 	 */
-	constructor(names: readonly string[]) {
-		this.#names = new Set(names);
+	constructor(allowedHosts: readonly string[]) {
+		this.#allowedHosts = new Set(allowedHosts);
 	}
 
 	get token(): string {
@@ -34,48 +34,50 @@
 	}
 
 	/**
-	 * Refuses requests under another name, as after DNS rebinding.
+	 * Refuses requests with another Host header, as DNS rebinding produces them.
 	 *
 	 * @param headers - Headers of a request.
 	 * @throws Failure `crossSite`.
 	 */
 	checkHost(headers: IncomingHttpHeaders): void {
-		if (!this.#names.has(headers.host?.toLowerCase() ?? '')) {
-			raise('crossSite', `The console is not reached as "${headers.host ?? ''}".`);
+		if (!this.#allowedHosts.has(headers.host?.toLowerCase() ?? '')) {
+			raise('crossSite', `The Host header "${headers.host ?? ''}" is not accepted.`);
 		}
 	}
 
 	/**
+	 * Refuses posts that a browser sends for another site.
+	 *
 	 * @param headers - Headers of a post.
 	 * @throws Failure `crossSite`.
 	 */
 	checkOrigin(headers: IncomingHttpHeaders): void {
 		const site = headers['sec-fetch-site'];
 		if (site !== undefined && site !== 'same-origin') {
-			raise('crossSite', `It came from a ${String(site)} page.`);
+			raise('crossSite', `The request came from a ${String(site)} page.`);
 		}
 
 		const {origin} = headers;
-		if (origin !== undefined && !this.#isOwn(origin)) {
-			raise('crossSite', `It came from ${origin}.`);
+		if (origin !== undefined && !this.#isOwnOrigin(origin)) {
+			raise('crossSite', `The request came from ${origin}.`);
 		}
 	}
 
 	/**
-	 * @param token - Token of a form.
+	 * @param token - Token in a form.
 	 * @throws Failure `crossSite`.
 	 */
 	checkToken(token: string): void {
 		const given = Buffer.from(token);
 		const expected = Buffer.from(this.#token);
 		if (given.length !== expected.length || !timingSafeEqual(given, expected)) {
-			raise('crossSite', 'The page was given out before the console was started.');
+			raise('crossSite', 'The page was loaded before the console was last started.');
 		}
 	}
 
-	#isOwn(origin: string): boolean {
+	#isOwnOrigin(origin: string): boolean {
 		try {
-			return this.#names.has(new URL(origin).host);
+			return this.#allowedHosts.has(new URL(origin).host);
 		} catch {
 			return false;
 		}
--- a/src/console/server.ts
+++ b/src/console/server.ts
@@ -15,17 +15,17 @@
 } from '../core/index.js';
 import {formatAddress} from '../protocol/address.js';
 import {
-	answerDraft, answerStart, type Answer, type Desk,
-} from './desk.js';
-import {errorPage, startPage} from './pages/start.js';
+	handleDraft, handleStart, type ConsoleResponse, type HandlerOptions,
+} from './handlers.js';
+import {renderErrorPage, renderStartPage} from './pages/start.js';
 import {styleSheet} from './pages/style.js';
-import {Guard, securityHeaders} from './security.js';
-import {sourceOf, type Settings} from './settings.js';
+import {CrossSiteGuard, securityHeaders} from './security.js';
+import {createSource, type Settings} from './settings.js';
 import {type Source} from './source.js';
 
-const defaultPort = 80;
+const defaultHttpPort = 80;
 
-const statuses: ReadonlyMap<Code, number> = new Map([
+const statusByCode: ReadonlyMap<Code, number> = new Map([
 	[codes.crossSite, 403],
 	[codes.bodyTooLarge, 413],
 	[codes.internal, 500],
@@ -38,20 +38,20 @@
 	readonly #settings: Settings;
 	readonly #source: Source;
 	readonly #server: Server;
-	#guard = new Guard([]);
+	#guard = new CrossSiteGuard([]);
 
 	/**
 	 * @param settings - Settings of the console.
 	 */
 	constructor(settings: Settings) {
 		this.#settings = settings;
-		this.#source = sourceOf(settings);
+		this.#source = createSource(settings);
 		this.#server = restify.createServer({name: 'cranberrytide-console'});
-		this.#routes();
+		this.#registerRoutes();
 	}
 
 	/**
-	 * @returns The port that browsers reach.
+	 * @returns The port that the server listens on.
 	 */
 	async listen(): Promise<number> {
 		const {host, port} = this.#settings.listen;
@@ -59,7 +59,7 @@
 		await once(this.#server.server, 'listening');
 		const address = this.#server.server.address();
 		const actual = typeof address === 'object' && address !== null ? address.port : port;
-		this.#guard = new Guard(this.#names(actual));
+		this.#guard = new CrossSiteGuard(this.#listAllowedHosts(actual));
 		return actual;
 	}
 
@@ -70,44 +70,44 @@
 		await closed;
 	}
 
-	/** Browsers leave the default port out; a name behind a proxy may have any port. */
-	#names(port: number): readonly string[] {
+	/** Browsers omit the default port from the Host header. Names in the settings state their own port, since a proxy may use any. */
+	#listAllowedHosts(port: number): readonly string[] {
 		const {listen, names} = this.#settings;
-		const own = [listen.host, 'localhost'].flatMap(host => {
+		const ownNames = [listen.host, 'localhost'].flatMap(host => {
 			const name = formatAddress({host, port});
-			return port === defaultPort ? [host, name] : [name];
+			return port === defaultHttpPort ? [host, name] : [name];
 		});
-		return [...own, ...names].map(name => name.toLowerCase());
+		return [...ownNames, ...names].map(name => name.toLowerCase());
 	}
 
-	#routes(): void {
-		this.#answer('get', '/', async () => ({type: 'page', text: startPage(this.#source, this.#guard.token)}));
-		this.#answer('get', '/style.css', async () => ({type: 'style', text: styleSheet}));
-		this.#answer('post', '/start', async request => answerStart(this.#desk(), await this.#form(request)));
-		this.#answer('post', '/draft', async request => answerDraft(this.#desk(), await this.#form(request)));
+	#registerRoutes(): void {
+		this.#registerRoute('get', '/', async () => ({type: 'page', text: renderStartPage(this.#source, this.#guard.token)}));
+		this.#registerRoute('get', '/style.css', async () => ({type: 'style', text: styleSheet}));
+		this.#registerRoute('post', '/start', async request => handleStart(this.#createHandlerOptions(), await this.#readForm(request)));
+		this.#registerRoute('post', '/draft', async request => handleDraft(this.#createHandlerOptions(), await this.#readForm(request)));
 		this.#server.on('NotFound', (_request, response: RestifyResponse) => {
-			write(response, statuses.get(codes.unknownPath)!, {type: 'page', text: errorPage(codes.unknownPath, texts.unknownPath)});
+			sendResponse(response, statusByCode.get(codes.unknownPath)!, {type: 'page', text: renderErrorPage(codes.unknownPath, texts.unknownPath)});
 		});
 	}
 
-	#desk(): Desk {
+	#createHandlerOptions(): HandlerOptions {
 		return {source: this.#source, token: this.#guard.token};
 	}
 
-	#answer(method: 'get' | 'post', path: string, handle: (request: RestifyRequest) => Promise<Answer>): void {
+	#registerRoute(method: 'get' | 'post', path: string, handle: (request: RestifyRequest) => Promise<ConsoleResponse>): void {
 		this.#server[method](path, async (request: RestifyRequest, response: RestifyResponse) => {
 			try {
 				this.#guard.checkHost(request.headers);
-				write(response, 200, await handle(request));
+				sendResponse(response, 200, await handle(request));
 			} catch (error) {
 				const code = isFailure(error) ? error.code : codes.internal;
 				const message = isFailure(error) ? error.message : texts.internal;
-				write(response, statuses.get(code) ?? 400, {type: 'page', text: errorPage(code, message)});
+				sendResponse(response, statusByCode.get(code) ?? 400, {type: 'page', text: renderErrorPage(code, message)});
 			}
 		});
 	}
 
-	async #form(request: RestifyRequest): Promise<URLSearchParams> {
+	async #readForm(request: RestifyRequest): Promise<URLSearchParams> {
 		this.#guard.checkOrigin(request.headers);
 		const form = new URLSearchParams(await readBody(request, this.#settings.bodyLimit));
 		this.#guard.checkToken(form.get('token') ?? '');
@@ -130,13 +130,13 @@
 	return Buffer.concat(chunks).toString('utf8');
 }
 
-function write(response: RestifyResponse, status: number, answer: Answer): void {
-	response.writeHead(status, {...securityHeaders, ...headersOf(answer)});
-	response.end(answer.text);
+function sendResponse(response: RestifyResponse, status: number, content: ConsoleResponse): void {
+	response.writeHead(status, {...securityHeaders, ...getContentHeaders(content)});
+	response.end(content.text);
 }
 
-function headersOf(answer: Answer): Readonly<Record<string, string>> {
-	switch (answer.type) {
+function getContentHeaders(content: ConsoleResponse): Readonly<Record<string, string>> {
+	switch (content.type) {
 		case 'page': {
 			return {'content-type': 'text/html; charset=utf-8'};
 		}
@@ -148,7 +148,7 @@
 		case 'document': {
 			return {
 				'content-type': 'application/json; charset=utf-8',
-				'content-disposition': `attachment; filename="configuration-${answer.revision}.json"`,
+				'content-disposition': `attachment; filename="configuration-${content.revision}.json"`,
 			};
 		}
 	}
--- a/src/console/settings.ts
+++ b/src/console/settings.ts
@@ -1,35 +1,35 @@
-/** Settings of the console: one JSON file, or the options that stand for its fields. */
+/** Settings of the console, from a JSON file or from command-line options. */
 import {z} from 'zod';
 import {parseAddress} from '../protocol/address.js';
 import {type Source} from './source.js';
 
-/** Bytes of one post; a packed document of the largest size twice, and fields. */
-const defaultBodyLimit = 6_000_000;
+/** Leaves room for the packed base and the packed draft, both of the largest document size, and the fields of the form. */
+const defaultBodyLimitBytes = 6_000_000;
 
 export const settingsSchema = z.strictObject({
-	/** Loopback unless told otherwise; port 0 takes a free one. */
+	/** Loopback by default; port 0 picks a free port. */
 	listen: z.strictObject({
 		host: z.string().min(1).default('127.0.0.1'),
 		port: z.number().int().min(0).max(65_535).default(7080),
 	}).readonly().default({host: '127.0.0.1', port: 7080}),
-	/** `host:port` of hosts' operators' listeners, from which the document in force is read. */
+	/** `host:port` of the operators' listeners of hosts, from which the document in force is read. */
 	admin: z.array(z.string()).readonly().default([]),
-	/** File to read it from where there are no such addresses. */
+	/** File from which the document in force is read if `admin` is empty. */
 	document: z.string().optional(),
-	/** Host headers by which browsers reach the console, with the port if it is not 80; its own address is always one. */
+	/** Accepted Host headers, with the port unless it is 80. The console's own address is always accepted. */
 	names: z.array(z.string()).readonly().default([]),
-	/** Largest body in bytes. */
-	bodyLimit: z.number().int().positive().default(defaultBodyLimit),
+	/** Largest request body in bytes. */
+	bodyLimit: z.number().int().positive().default(defaultBodyLimitBytes),
 }).readonly();
 
 export type Settings = z.infer<typeof settingsSchema>;
 
 /**
- * @param settings - Settings.
- * @returns Where the document in force is read from.
- * @throws Failure `badArgument`.
+ * @param settings - Settings of the console.
+ * @returns Where the document in force is read from: hosts first, then the file.
+ * @throws Failure `badArgument` for an address that cannot be parsed.
  */
-export function sourceOf({admin, document}: Settings): Source {
+export function createSource({admin, document}: Settings): Source {
 	if (admin.length > 0) {
 		return {type: 'hosts', addresses: admin.map(text => parseAddress(text))};
 	}
--- a/src/console/source.ts
+++ b/src/console/source.ts
@@ -1,55 +1,55 @@
-/** Where the document in force is read from. */
+/** Reads the document in force from hosts or a file, and checks whether a draft still starts from it. */
 import {readFile} from 'node:fs/promises';
 import {askAll, fetchInForce} from '../admin/client.js';
 import {isFailure, raise, type Address} from '../core/index.js';
 import {parseConfiguration, type Valid} from '../protocol/configuration/index.js';
 
-/** Milliseconds that a page waits for a host. */
-const patience = 1500;
+/** Timeout of one host. Every page of a draft waits for the hosts. */
+const hostTimeoutMs = 1500;
 
 export type Source
 	= | {readonly type: 'hosts'; readonly addresses: readonly Address[]}
 		| {readonly type: 'file'; readonly path: string}
-	/** The operator brings the document. */
+	/** The operator pastes the document into the start page. */
 		| {readonly type: 'none'};
 
-/** Whether a draft's base is still in force. */
-export type Standing
+/** Whether the base document of a draft is still in force. */
+export type BaseStatus
 	= | {readonly type: 'in-force'}
 		| {readonly type: 'superseded'; readonly inForce: Valid}
 		| {readonly type: 'unknown'; readonly reason: string};
 
 /**
- * @param source - Source.
- * @returns Text of the document in force; of several hosts' the one with the highest revision.
+ * @param source - Where to read from.
+ * @returns Text of the document in force; if hosts differ, the one with the highest revision.
  * @throws Failure `unreachableHost`, `refusedByHost` or `unreadableFile`.
  */
 export async function readInForce(source: Source): Promise<string> {
 	switch (source.type) {
 		case 'hosts': {
-			return readHosts(source.addresses);
+			return readFromHosts(source.addresses);
 		}
 
 		case 'file': {
-			return readDocument(source.path);
+			return readFromFile(source.path);
 		}
 
 		case 'none': {
-			return raise('unreadableFile', 'The console was started without hosts and without a document.');
+			return raise('unreadableFile', 'The console was started without hosts and without a document file.');
 		}
 	}
 }
 
 /**
- * @param source - Source.
- * @param base - The document that a draft starts from.
- * @returns Whether it is still in force.
+ * @param source - Where to read from.
+ * @param base - Document that a draft starts from.
+ * @returns Whether it is still in force; `unknown` if the document in force cannot be read.
  */
-export async function standingOf(source: Source, base: Valid): Promise<Standing> {
+export async function checkBase(source: Source, base: Valid): Promise<BaseStatus> {
 	try {
 		const parsed = parseConfiguration(await readInForce(source));
 		if (parsed.type === 'invalid') {
-			return {type: 'unknown', reason: 'The document in force cannot be read by this version.'};
+			return {type: 'unknown', reason: 'The document in force is not valid for this version of the console.'};
 		}
 
 		return parsed.digest === base.digest ? {type: 'in-force'} : {type: 'superseded', inForce: parsed};
@@ -62,8 +62,8 @@
 	}
 }
 
-async function readHosts(addresses: readonly Address[]): Promise<string> {
-	const answers = await askAll(addresses, async address => fetchInForce(address, patience));
+async function readFromHosts(addresses: readonly Address[]): Promise<string> {
+	const answers = await askAll(addresses, async address => fetchInForce(address, hostTimeoutMs));
 	const documents = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	const newest = documents.toSorted((first, second) => second.revision - first.revision)[0];
 	if (newest !== undefined) {
@@ -74,7 +74,7 @@
 	return raise('unreachableHost', reasons.join(' '));
 }
 
-async function readDocument(path: string): Promise<string> {
+async function readFromFile(path: string): Promise<string> {
 	try {
 		return await readFile(path, 'utf8');
 	} catch (error) {
