--- a/src/console/draft/mistakes.ts
+++ b/src/console/draft/mistakes.ts
@@ -12,7 +12,7 @@
 import {documentGroups, getEntryKind, findSection} from './sections.js';
 
 /** Marks placeholders, so that mistakes which mention one can be left out. */
-const placeholderPrefix = 'stand-in-for-a-broken-field-';
+const placeholderPrefix = 'placeholder-for-malformed-field-';
 
 /**
  * Validation stops at malformed fields, before it checks references and limits. To show operators all mistakes together, this
@@ -27,7 +27,7 @@
 		return [];
 	}
 
-	const filled = parsed.further === 0 ? replaceBrokenFields(draft, parsed.mistakes) : undefined;
+	const filled = parsed.further === 0 ? replaceMalformedFields(draft, parsed.mistakes) : undefined;
 	return filled === undefined ? parsed.mistakes : [...parsed.mistakes, ...findHiddenMistakes(filled, parsed.mistakes)];
 }
 
@@ -37,10 +37,10 @@
 		return [];
 	}
 
-	const brokenParents = new Set(found.map(({path}) => getParentPath(path)));
+	const malformedParents = new Set(found.map(({path}) => getParentPath(path)));
 	return parsed.mistakes.filter(({path, code, text}) =>
 		code !== 'badDocument'
-		&& !brokenParents.has(getParentPath(path))
+		&& !malformedParents.has(getParentPath(path))
 		&& !text.includes(placeholderPrefix));
 }
 
@@ -49,28 +49,28 @@
 }
 
 /** Returns undefined if a mistake belongs to no field, since its placeholder would be unknown. */
-function replaceBrokenFields(draft: Draft, mistakes: readonly Mistake[]): Draft | undefined {
+function replaceMalformedFields(draft: Draft, mistakes: readonly Mistake[]): Draft | undefined {
 	let filled = draft;
 	for (const [index, {path, code}] of mistakes.entries()) {
-		const broken = code === 'badDocument' ? findField(draft, path) : undefined;
-		if (broken === undefined) {
+		const malformed = code === 'badDocument' ? findField(draft, path) : undefined;
+		if (malformed === undefined) {
 			return undefined;
 		}
 
-		filled = setValueAt(filled, broken.path, createPlaceholder(broken.kind, broken.fresh, index));
+		filled = setValueAt(filled, malformed.path, createPlaceholder(malformed.kind, malformed.fresh, index));
 	}
 
 	return filled;
 }
 
-type BrokenField = {
+type MalformedField = {
 	readonly path: Path;
 	readonly kind: FieldKind;
 	/** Value that a new entry starts with. */
 	readonly fresh: Json;
 };
 
-function findField(draft: Draft, path: string): BrokenField | undefined {
+function findField(draft: Draft, path: string): MalformedField | undefined {
 	const [, list = '', index, rest = ''] = /^\$\.(\w+)\[(\d+)\]\.(.+)$/v.exec(path) ?? [];
 	const section = findSection(list);
 	if (section === undefined) {
@@ -82,7 +82,7 @@
 	return field && {path: [list, Number(index), ...field.path], kind: field.kind, fresh: getValueAt(kind.fresh, field.path)};
 }
 
-function findDocumentField(path: string): BrokenField | undefined {
+function findDocumentField(path: string): MalformedField | undefined {
 	const field = Object.values(documentGroups)
 		.flatMap(group => group.fields)
 		.find(each => isAtOrBelow(path.slice('$.'.length), each.path.join('.')));
--- a/src/console/draft/sections.ts
+++ b/src/console/draft/sections.ts
@@ -190,7 +190,7 @@
 	intro: 'Hosts and upstreams that stop after their running requests have finished.',
 	columns: [
 		{label: 'Stops', path: ['target', 'kind']},
-		{label: 'Name', path: ['target', 'id']},
+		{label: 'Name of the target', path: ['target', 'id']},
 		{label: 'Time for running requests (ms)', path: ['grace']},
 	],
 	kinds: [{
--- a/src/console/security.ts
+++ b/src/console/security.ts
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Refuses requests with another Host header, as DNS rebinding produces them.
+	 * Refuses requests with an unknown Host header, which prevents DNS rebinding.
 	 *
 	 * @param headers - Headers of a request.
 	 * @throws Failure `crossSite`.
