--- a/stand-ins/common/command.ts
+++ b/stand-ins/common/command.ts
@@ -1,17 +1,20 @@
-/** Starting a stand-in by hand: settings from a file, standard input or an argument, one line when ready, SIGTERM to stop. */
+/**
+ * Command line of a stand-in: reads settings from a file, standard input or the argument itself, prints one JSON line when
+ * ready, and stops on SIGTERM or SIGINT.
+ */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
 import {text as readAll} from 'node:stream/consumers';
 import {Command} from 'commander';
 import {type z} from 'zod';
 
-/** A started stand-in. */
+/** A running stand-in. */
 export type Running = AsyncDisposable & {
-	/** Addresses that are printed when it is ready. */
+	/** Addresses printed in the ready line. */
 	readonly addresses: Readonly<Record<string, unknown>>;
 };
 
-/** How a stand-in is started. */
+/** Command line and start function of a stand-in. */
 export type Program<Schema extends z.ZodType> = {
 	readonly name: string;
 	readonly description: string;
@@ -28,7 +31,7 @@
 	return JSON.parse(text) as unknown;
 }
 
-async function run<Schema extends z.ZodType>(program: Program<Schema>, source: string): Promise<void> {
+async function startProgram<Schema extends z.ZodType>(program: Program<Schema>, source: string): Promise<void> {
 	const settings = program.settings.parse(await readSettings(source));
 	const running = await program.start(settings);
 	process.stdout.write(`${JSON.stringify({event: 'ready', ...running.addresses})}\n`);
@@ -44,16 +47,12 @@
 	}
 }
 
-/**
- * Parses the command line and starts the stand-in.
- *
- * @param program - The stand-in.
- */
+/** Parses the command line and starts the stand-in; prints an error and sets exit code 1 on failure. */
 export async function main<Schema extends z.ZodType>(program: Program<Schema>): Promise<void> {
 	const command = new Command(program.name)
 		.description(program.description)
 		.requiredOption('--settings <source>', 'file, "-" for standard input, or the JSON itself')
-		.action(async ({settings}: {readonly settings: string}) => run(program, settings));
+		.action(async ({settings}: {readonly settings: string}) => startProgram(program, settings));
 	try {
 		await command.parseAsync();
 	} catch (error) {
--- a/stand-ins/common/gate.ts
+++ b/stand-ins/common/gate.ts
@@ -1,14 +1,13 @@
-/** A gate that callers wait at while it is shut. */
-
+/** Blocks callers while it is closed. */
 export class Gate {
 	#promise: Promise<void> | undefined;
 	#resolve: (() => void) | undefined;
 
-	get isShut(): boolean {
+	get isClosed(): boolean {
 		return this.#promise !== undefined;
 	}
 
-	shut(): void {
+	close(): void {
 		this.#promise ??= new Promise(resolve => {
 			this.#resolve = resolve;
 		});
@@ -20,8 +19,8 @@
 		this.#resolve = undefined;
 	}
 
-	/** Waits until the gate is open. */
-	async opened(): Promise<void> {
+	/** Resolves once the gate is open; at once if it already is. */
+	async waitUntilOpen(): Promise<void> {
 		await this.#promise;
 	}
 }
--- a/stand-ins/common/server.ts
+++ b/stand-ins/common/server.ts
@@ -1,4 +1,4 @@
-/** A restify server for stand-ins: reads whole bodies, answers errors as JSON, can vanish and come back on its port. */
+/** A restify server for stand-ins: sends errors as JSON, and can close and listen again on the same port. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {text} from 'node:stream/consumers';
@@ -13,7 +13,7 @@
 
 export type Method = 'get' | 'post' | 'put' | 'del' | 'patch' | 'head';
 
-/** What a route is given. */
+/** Request, response and parsed parameters of one call to a route. */
 export type Call = {
 	readonly incoming: Incoming;
 	readonly outgoing: Outgoing;
@@ -25,23 +25,18 @@
 export type Answer = (call: Call) => Promise<void>;
 
 const parametersSchema = z.record(z.string(), z.string());
-const longestParameter = 1000;
-const loopback = '127.0.0.1';
+const maxParameterLength = 1000;
+const loopbackHost = '127.0.0.1';
 
-/**
- * Reads a whole body.
- *
- * @param incoming - Request.
- * @returns The body as text.
- */
+/** Reads the whole request body as text. */
 export async function readText(incoming: Incoming): Promise<string> {
 	return text(incoming);
 }
 
 /**
  * @param incoming - Request.
- * @param name - Header in lower case.
- * @returns The header's single value.
+ * @param name - Header name in lower case.
+ * @returns The first value of the header.
  */
 export function header(incoming: Incoming, name: string): string | undefined {
 	const value = incoming.headers[name];
@@ -49,11 +44,11 @@
 }
 
 /**
- * Answers with JSON.
+ * Sends a JSON response, unless one was started or the connection is closed.
  *
  * @param outgoing - Response.
  * @param status - HTTP status.
- * @param body - Anything JSON can hold; nothing for an empty answer.
+ * @param body - Value to serialize; without it the response body is empty.
  */
 export function answerJson(outgoing: Outgoing, status: number, body?: unknown): void {
 	if (outgoing.headersSent || outgoing.destroyed) {
@@ -66,30 +61,30 @@
 }
 
 /**
- * Answers with an error as OpenAI-style servers write it.
+ * Sends an error in the format of OpenAI-style servers.
  *
  * @param outgoing - Response.
  * @param status - HTTP status.
- * @param type - Kind of error.
- * @param message - What was wrong, for people.
+ * @param type - Machine-readable error type.
+ * @param message - Human-readable description.
  */
 export function answerError(outgoing: Outgoing, status: number, type: string, message: string): void {
 	answerJson(outgoing, status, {error: {type, message}});
 }
 
-/** A listening server. */
+/** An HTTP server for one address. */
 export class Server implements AsyncDisposable {
 	readonly #restify: RestifyServer;
 	readonly #host: string;
 	#port: number;
 
 	constructor(name: string, address?: Partial<Address>) {
-		this.#restify = createServer({name, ignoreTrailingSlash: true, maxParamLength: longestParameter});
-		this.#host = address?.host ?? loopback;
+		this.#restify = createServer({name, ignoreTrailingSlash: true, maxParamLength: maxParameterLength});
+		this.#host = address?.host ?? loopbackHost;
 		this.#port = address?.port ?? 0;
 	}
 
-	/** Where it listens; the port is known after the first {@link listen}. */
+	/** Listening address; port 0 stands for a free port until the first {@link listen}. */
 	get address(): Address {
 		return {host: this.#host, port: this.#port};
 	}
@@ -98,13 +93,13 @@
 	 * Adds a route.
 	 *
 	 * @param method - HTTP method.
-	 * @param path - Path with parameters.
-	 * @param answer - Answers a call; a thrown error becomes a 400.
+	 * @param path - Path, with parameters as `:name`.
+	 * @param handler - Sends the response; an error that it throws becomes a 400.
 	 */
-	route(method: Method, path: string, answer: Answer): void {
+	route(method: Method, path: string, handler: Answer): void {
 		this.#restify[method](path, async (incoming: Incoming, outgoing: Outgoing) => {
 			try {
-				await answer({
+				await handler({
 					incoming,
 					outgoing,
 					parameters: parametersSchema.parse(incoming.params),
@@ -116,7 +111,7 @@
 		});
 	}
 
-	/** Starts to listen, again on the same port after {@link vanish}. */
+	/** Starts listening; after {@link vanish} on the same port as before. */
 	async listen(): Promise<void> {
 		this.#restify.server.listen(this.#port, this.#host);
 		await once(this.#restify.server, 'listening');
@@ -126,7 +121,7 @@
 		}
 	}
 
-	/** Drops every connection and refuses new ones. */
+	/** Closes every connection and refuses new ones until {@link listen} is called again. */
 	async vanish(): Promise<void> {
 		const {server} = this.#restify;
 		if (!server.listening) {
--- a/stand-ins/common/settings.ts
+++ b/stand-ins/common/settings.ts
@@ -1,7 +1,7 @@
-/** Settings that several stand-ins share. */
+/** Setting schemas shared by several stand-ins. */
 import {z} from 'zod';
 
-/** Where to listen; port 0 takes a free one. */
+/** Listening address; port 0 chooses a free port. */
 export const listenSchema = z.object({
 	host: z.string().default('127.0.0.1'),
 	port: z.number().int().min(0).max(65_535).default(0),
@@ -12,5 +12,5 @@
 	port: z.number().int().min(1).max(65_535),
 }).readonly();
 
-/** A millisecond count. */
+/** A duration in milliseconds. */
 export const millisecondsSchema = z.number().nonnegative();
--- a/stand-ins/engine/__tests__/engine.test.ts
+++ b/stand-ins/engine/__tests__/engine.test.ts
@@ -18,53 +18,53 @@
 	}));
 }
 
-function client(engines: EngineProcess) {
+function createClient(engines: EngineProcess) {
 	const {host, port} = engines.hosts[0]!.address;
 	return got.extend({prefixUrl: `http://${host}:${port}`, retry: {limit: 0}, throwHttpErrors: false});
 }
 
-async function control(engines: EngineProcess, fault: Fault) {
+async function applyFault(engines: EngineProcess, fault: Fault) {
 	const {host, port} = engines.addresses.control;
 	await got.post(`http://${host}:${port}/control`, {json: {engine: 'e', fault}});
 }
 
-async function statusOf(answer: Promise<{statusCode: number}>): Promise<number> {
+async function getStatus(answer: Promise<{statusCode: number}>): Promise<number> {
 	const {statusCode} = await answer;
 	return statusCode;
 }
 
-function body(content: string, maxTokens = 40, stream = true) {
+function createBody(content: string, maxTokens = 40, stream = true) {
 	return {
 		model: 'm', messages: [{role: 'user', content}], stream, max_tokens: maxTokens,
 	};
 }
 
-function digestOf(content: string): string {
+function digestContent(content: string): string {
 	return promptDigest(renderPrompt([{role: 'user', content}]));
 }
 
-function answerOf(content: string, maxTokens = 40): string {
-	const digest = digestOf(content);
+function expectedAnswer(content: string, maxTokens = 40): string {
+	const digest = digestContent(content);
 	return answerText(digest, answerLength(digest, lengths, maxTokens));
 }
 
-function framesIn(text: string): Frame[] {
+function parseFrames(text: string): Frame[] {
 	const data = [...text.matchAll(/^data: (.*)$/gmv)].map(match => match[1]!);
 	return data.filter(each => each !== streamEnd).map(each => frameSchema.parse(JSON.parse(each)));
 }
 
-function contentOf(frames: readonly Frame[]): string {
+function joinContent(frames: readonly Frame[]): string {
 	return frames.map(frame => frame.choices[0]!.delta.content).join('');
 }
 
 describe('engine', () => {
-	it('streams the answer that its prompt decides, in order and to the end', async () => {
+	it('streams the complete answer derived from the prompt, in order', async () => {
 		await using engines = await start();
 		const texts = await Promise.all(['a', 'b', 'c'].map(async content =>
-			client(engines).post('v1/chat/completions', {json: body(content), headers: {'x-attempt-id': `t.${content}`}}).text()));
+			createClient(engines).post('v1/chat/completions', {json: createBody(content), headers: {'x-attempt-id': `t.${content}`}}).text()));
 		for (const [index, content] of ['a', 'b', 'c'].entries()) {
-			const frames = framesIn(texts[index]!);
-			expect(contentOf(frames)).toBe(answerOf(content));
+			const frames = parseFrames(texts[index]!);
+			expect(joinContent(frames)).toBe(expectedAnswer(content));
 			expect(frames.map(frame => frame.offset)).toEqual(frames.map((_, offset) => offset));
 			expect(frames.every(frame => frame.attempt === `t.${content}`)).toBe(true);
 			expect(frames.at(-1)?.usage?.completion_tokens).toBe(frames.length);
@@ -72,46 +72,46 @@
 		}
 	});
 
-	it('answers whole when no stream is asked for, and resumes from an offset', async () => {
+	it('returns the complete answer as JSON without streaming, and resumes a stream from an offset', async () => {
 		await using engines = await start();
-		const whole = await client(engines).post('v1/chat/completions', {json: body('w', 40, false), headers: {'x-attempt-id': 'w'}})
+		const whole = await createClient(engines).post('v1/chat/completions', {json: createBody('w', 40, false), headers: {'x-attempt-id': 'w'}})
 			.json<{choices: Array<{message: {content: string}}>}>();
-		expect(whole.choices[0]?.message.content).toBe(answerOf('w'));
-		const frames = framesIn(await client(engines).get('v1/attempts/w?offset=3').text());
+		expect(whole.choices[0]?.message.content).toBe(expectedAnswer('w'));
+		const frames = parseFrames(await createClient(engines).get('v1/attempts/w?offset=3').text());
 		expect(frames[0]?.offset).toBe(3);
 	});
 
-	it('finds a repeated prefix in its cache and publishes it', async () => {
+	it('reuses a repeated prefix from its cache and publishes its blocks', async () => {
 		await using engines = await start();
 		const prefix = 'p'.repeat(8192);
-		await client(engines).post('v1/chat/completions', {json: body(prefix)}).text();
-		const text = await client(engines).post('v1/chat/completions', {json: body(`${prefix}q`)}).text();
-		expect(framesIn(text).at(-1)?.usage?.cached_tokens).toBe(8 * 256);
-		const events = await client(engines).get('v1/cache-events?since=0&wait=1000').json<{changes: Array<{blocks: string[]}>}>();
+		await createClient(engines).post('v1/chat/completions', {json: createBody(prefix)}).text();
+		const text = await createClient(engines).post('v1/chat/completions', {json: createBody(`${prefix}q`)}).text();
+		expect(parseFrames(text).at(-1)?.usage?.cached_tokens).toBe(8 * 256);
+		const events = await createClient(engines).get('v1/cache-events?since=0&wait=1000').json<{changes: Array<{blocks: string[]}>}>();
 		expect(events.changes[0]?.blocks).toEqual(hashBlocks(renderPrompt([{role: 'user', content: prefix}])));
 	});
 
-	it('gives back all memory after answers, cancels, holds and segments', async () => {
+	it('releases all memory after answers, cancellations, holds and segments', async () => {
 		await using engines = await start({memory: 4096});
-		const http = client(engines);
-		expect(await statusOf(http.post('v1/chat/completions', {json: body('x'.repeat(40_000))}))).toBe(413);
-		const wanted = {owner: {host: 'a', started: 1}, tokens: 4000, deadline: Date.now()};
-		expect(await statusOf(http.put('v1/holds/h', {json: wanted}))).toBe(201);
-		expect(await statusOf(http.put('v1/holds/i', {json: wanted}))).toBe(409);
-		expect(await statusOf(http.post('v1/segments/h', {json: {from: 0, to: 3000, blocks: []}}))).toBe(200);
-		const over = body('y'.repeat(40_000));
-		const held = await http.post('v1/chat/completions', {json: over, headers: {'x-holds': 'other, h'}}).text();
-		expect(contentOf(framesIn(held))).toBe(answerOf('y'.repeat(40_000)));
+		const http = createClient(engines);
+		expect(await getStatus(http.post('v1/chat/completions', {json: createBody('x'.repeat(40_000))}))).toBe(413);
+		const holdRequest = {owner: {host: 'a', started: 1}, tokens: 4000, deadline: Date.now()};
+		expect(await getStatus(http.put('v1/holds/h', {json: holdRequest}))).toBe(201);
+		expect(await getStatus(http.put('v1/holds/i', {json: holdRequest}))).toBe(409);
+		expect(await getStatus(http.post('v1/segments/h', {json: {from: 0, to: 3000, blocks: []}}))).toBe(200);
+		const longBody = createBody('y'.repeat(40_000));
+		const held = await http.post('v1/chat/completions', {json: longBody, headers: {'x-holds': 'other, h'}}).text();
+		expect(joinContent(parseFrames(held))).toBe(expectedAnswer('y'.repeat(40_000)));
 		expect(engines.hosts[0]!.engine.load.usedMemory).toBe(4000);
-		expect(await statusOf(http.delete('v1/holds/h'))).toBe(204);
-		expect(await statusOf(http.delete('v1/attempts/unknown'))).toBe(204);
+		expect(await getStatus(http.delete('v1/holds/h'))).toBe(204);
+		expect(await getStatus(http.delete('v1/attempts/unknown'))).toBe(204);
 		expect(engines.hosts[0]!.engine.load.usedMemory).toBe(0);
 	});
 
-	it('continues an exported stream elsewhere without a gap', async () => {
+	it('continues an exported stream at another engine without a gap', async () => {
 		await using first = await start({decodeInterval: 500});
 		await using second = await start();
-		const running = client(first).post('v1/chat/completions', {json: body('z'), headers: {'x-attempt-id': 'z'}}).text();
+		const running = createClient(first).post('v1/chat/completions', {json: createBody('z'), headers: {'x-attempt-id': 'z'}}).text();
 		running.catch(() => undefined);
 		while ((first.hosts[0]!.engine.attempt('z')?.produced ?? 0) < 2) {
 			await new Promise(resolve => {
@@ -119,20 +119,20 @@
 			});
 		}
 
-		const exported = await client(first).post('v1/kv/export/z').json<{offset: number}>();
-		const frames = framesIn(await client(second).post('v1/kv/import', {json: exported}).text());
+		const exported = await createClient(first).post('v1/kv/export/z').json<{offset: number}>();
+		const frames = parseFrames(await createClient(second).post('v1/kv/import', {json: exported}).text());
 		expect(frames[0]?.offset).toBe(exported.offset);
-		expect(answerOf('z').endsWith(contentOf(frames))).toBe(true);
+		expect(expectedAnswer('z').endsWith(joinContent(frames))).toBe(true);
 		await expect(running).rejects.toThrow();
 	});
 
-	it('refuses an old order only where it checks numbers', async () => {
+	it('refuses an outdated order only when fencing is enabled', async () => {
 		for (const fencing of [true, false]) {
 			await using engines = await start({fencing, loadTime: 10});
-			const http = client(engines);
+			const http = createClient(engines);
 			const order = (counter: number, model: string) => ({type: 'load', number: {counter, host: 'a'}, target: {model, version: '1', role: 'mixed'}});
-			expect(await statusOf(http.post('v1/orders', {json: order(5, 'n')}))).toBe(200);
-			expect(await statusOf(http.post('v1/orders', {json: order(4, 'o')}))).toBe(fencing ? 409 : 200);
+			expect(await getStatus(http.post('v1/orders', {json: order(5, 'n')}))).toBe(200);
+			expect(await getStatus(http.post('v1/orders', {json: order(4, 'o')}))).toBe(fencing ? 409 : 200);
 			while (engines.hosts[0]!.engine.orders.loading !== undefined) {
 				await new Promise(resolve => {
 					setTimeout(resolve, 5);
@@ -143,35 +143,35 @@
 		}
 	});
 
-	it('counts executions over a crash and comes back as another incarnation', async () => {
+	it('keeps execution counts over a crash and restarts as a new incarnation', async () => {
 		await using engines = await start();
-		await control(engines, {type: 'poison', marker: 'deadly', returnAfter: 20});
+		await applyFault(engines, {type: 'poison', marker: 'deadly', returnAfter: 20});
 		const before = engines.hosts[0]!.engine.incarnation;
-		await expect(client(engines).post('v1/chat/completions', {json: body('deadly')}).text()).rejects.toThrow();
-		await control(engines, {type: 'heal'});
-		await control(engines, {type: 'restart'});
+		await expect(createClient(engines).post('v1/chat/completions', {json: createBody('deadly')}).text()).rejects.toThrow();
+		await applyFault(engines, {type: 'heal'});
+		await applyFault(engines, {type: 'restart'});
 		expect(engines.hosts[0]!.engine.incarnation).not.toBe(before);
-		await client(engines).post('v1/chat/completions', {json: body('deadly')}).text();
+		await createClient(engines).post('v1/chat/completions', {json: createBody('deadly')}).text();
 		const {counters, executions} = engines.hosts[0]!.executions;
 		expect(counters).toMatchObject({started: 2, finished: 1, crashes: 1});
-		expect(executions.map(each => each.prompt)).toEqual([digestOf('deadly'), digestOf('deadly')]);
+		expect(executions.map(each => each.prompt)).toEqual([digestContent('deadly'), digestContent('deadly')]);
 	});
 
-	it('crosses, repeats, cuts and refuses on demand', async () => {
+	it('injects crossed, repeated and reordered frames, cut streams and refusals', async () => {
 		await using engines = await start();
-		const http = client(engines);
-		await control(engines, {type: 'cross', count: 1});
-		const crossed = framesIn(await http.post('v1/chat/completions', {json: body('a'), headers: {'x-attempt-id': 'a'}}).text());
+		const http = createClient(engines);
+		await applyFault(engines, {type: 'cross', count: 1});
+		const crossed = parseFrames(await http.post('v1/chat/completions', {json: createBody('a'), headers: {'x-attempt-id': 'a'}}).text());
 		expect(crossed.filter(frame => frame.attempt !== 'a')).toHaveLength(1);
-		await control(engines, {type: 'repeat', count: 1});
-		const repeated = framesIn(await http.post('v1/chat/completions', {json: body('b')}).text());
+		await applyFault(engines, {type: 'repeat', count: 1});
+		const repeated = parseFrames(await http.post('v1/chat/completions', {json: createBody('b')}).text());
 		expect(repeated[1]?.offset).toBe(0);
-		await control(engines, {type: 'reorder', count: 1});
-		const reordered = framesIn(await http.post('v1/chat/completions', {json: body('c')}).text());
+		await applyFault(engines, {type: 'reorder', count: 1});
+		const reordered = parseFrames(await http.post('v1/chat/completions', {json: createBody('c')}).text());
 		expect(reordered.slice(0, 2).map(frame => frame.offset)).toEqual([1, 0]);
-		await control(engines, {type: 'cut', afterFrames: 3, count: 1});
-		await expect(http.post('v1/chat/completions', {json: body('d')}).text()).rejects.toThrow();
-		await control(engines, {type: 'refuse', status: 429, count: 1});
-		expect(await statusOf(http.post('v1/chat/completions', {json: body('e')}))).toBe(429);
+		await applyFault(engines, {type: 'cut', afterFrames: 3, count: 1});
+		await expect(http.post('v1/chat/completions', {json: createBody('d')}).text()).rejects.toThrow();
+		await applyFault(engines, {type: 'refuse', status: 429, count: 1});
+		expect(await getStatus(http.post('v1/chat/completions', {json: createBody('e')}))).toBe(429);
 	});
 });
--- a/stand-ins/engine/answer.ts
+++ b/stand-ins/engine/answer.ts
@@ -1,9 +1,9 @@
-/** Answers as a function of the prompt, so that a caller can check that it got the whole answer to its own request. */
+/** Derives answers from prompts, so that a caller can verify that it received the complete answer to its own request. */
 import {shortDigest} from '../../src/protocol/blocks.js';
 
 const syllables = ['ba', 'do', 'fi', 'ga', 'ke', 'lu', 'mo', 'ne', 'pi', 'ra', 'so', 'tu', 've', 'wo', 'xi', 'za'] as const;
 const syllablesPerWord = 5;
-/** A Lehmer generator's modulus and multiplier. */
+/** Modulus and multiplier of a Lehmer generator. */
 const modulus = 2_147_483_647;
 const multiplier = 48_271;
 const stride = 7_368_787;
@@ -13,29 +13,26 @@
 	return state * multiplier % modulus;
 }
 
-function seedOf(digest: string): number {
+function parseSeed(digest: string): number {
 	return Number.parseInt(digest.slice(0, 8), 16);
 }
 
-/**
- * @param prompt - Rendered prompt.
- * @returns The digest that decides the prompt's answer.
- */
+/** Returns the digest of a rendered prompt, from which its answer is derived. */
 export function promptDigest(prompt: string): string {
 	return shortDigest(prompt);
 }
 
 /**
  * @param digest - Prompt digest.
- * @param index - Place of the token in the answer.
- * @returns One token of the answer, with the space after it.
+ * @param index - Position of the token in the answer.
+ * @returns The token, with a trailing space.
  */
-export function answerToken(digest: string, index: number): string {
-	let rest = mix(seedOf(digest), index + 1);
+export function generateToken(digest: string, index: number): string {
+	let remaining = mix(parseSeed(digest), index + 1);
 	let word = '';
 	for (let count = 0; count < syllablesPerWord; count++) {
-		word += syllables[rest % syllables.length]!;
-		rest = Math.floor(rest / syllables.length);
+		word += syllables[remaining % syllables.length]!;
+		remaining = Math.floor(remaining / syllables.length);
 	}
 
 	return `${word} `;
@@ -43,9 +40,9 @@
 
 /**
  * @param digest - Prompt digest.
- * @param lengths - Least and most tokens of an answer.
- * @param limit - The most tokens the caller takes.
- * @returns Tokens of the answer.
+ * @param lengths - Minimum and maximum answer length in tokens.
+ * @param limit - Maximum number of tokens that the caller accepts.
+ * @returns Answer length in tokens.
  */
 export function answerLength(
 	digest: string,
@@ -53,14 +50,14 @@
 	limit: number = Number.MAX_SAFE_INTEGER,
 ): number {
 	const spread = lengths.most - lengths.least + 1;
-	return Math.max(1, Math.min(lengths.least + (mix(seedOf(digest), 0) % spread), limit));
+	return Math.max(1, Math.min(lengths.least + (mix(parseSeed(digest), 0) % spread), limit));
 }
 
 /**
  * @param digest - Prompt digest.
- * @param tokens - Tokens of the answer.
- * @returns The whole answer.
+ * @param tokens - Answer length in tokens.
+ * @returns The complete answer.
  */
 export function answerText(digest: string, tokens: number): string {
-	return Array.from({length: tokens}, (_, index) => answerToken(digest, index)).join('');
+	return Array.from({length: tokens}, (_, index) => generateToken(digest, index)).join('');
 }
--- a/stand-ins/engine/attempt.ts
+++ b/stand-ins/engine/attempt.ts
@@ -1,32 +1,33 @@
-/** One attempt at an engine: what was asked, how far it is, and the connections that follow it. */
+/** One attempt at an engine: its task, its progress and the connections subscribed to it. */
 import {streamEnd, type Frame} from '../../src/upstream/protocol.js';
-import {answerToken} from './answer.js';
+import {generateToken} from './answer.js';
 import {type Subscriber} from './subscriber.js';
 
-/** What an attempt has to do. */
-export type Wanted = {
+/** Work of an attempt. It also travels between engines inside an export. */
+export type Task = {
 	readonly id: string;
-	/** Digest of the prompt, which decides the answer. */
+	/** Digest of the prompt, from which the answer is derived. */
 	readonly digest: string;
 	readonly promptTokens: number;
+	/** Tokens to decode in all. */
 	readonly output: number;
 };
 
 export type AttemptStatus = 'running' | 'finished' | 'cancelled' | 'exported';
 
 export class Attempt {
-	readonly wanted: Wanted;
+	readonly task: Task;
 	readonly #subscribers = new Set<Subscriber>();
 	#produced: number;
 	#cachedTokens = 0;
 	#status: AttemptStatus = 'running';
 
-	constructor(wanted: Wanted, produced = 0) {
-		this.wanted = wanted;
+	constructor(task: Task, produced = 0) {
+		this.task = task;
 		this.#produced = produced;
 	}
 
-	/** Tokens decoded so far. */
+	/** Tokens decoded so far, including those decoded before an import. */
 	get produced(): number {
 		return this.#produced;
 	}
@@ -47,11 +48,7 @@
 		this.#produced = produced;
 	}
 
-	/**
-	 * Ends the attempt. Subscribers of a cancelled or exported one are cut off without a terminal event.
-	 *
-	 * @param status - How it ended.
-	 */
+	/** Ends the attempt. Connections to a cancelled or exported attempt are cut without a terminal event. */
 	end(status: Exclude<AttemptStatus, 'running'>): void {
 		if (this.#status !== 'running') {
 			return;
@@ -65,33 +62,26 @@
 		}
 	}
 
-	/**
-	 * Lets a connection follow the attempt until it is whole or gone.
-	 *
-	 * @param subscriber - Connection.
-	 */
-	async follow(subscriber: Subscriber): Promise<void> {
+	/** Keeps a connection subscribed until it closes or has sent the whole answer. */
+	async subscribe(subscriber: Subscriber): Promise<void> {
 		this.#subscribers.add(subscriber);
-		subscriber.pump(this);
+		subscriber.sendPending(this);
 		await subscriber.closed;
 		this.#subscribers.delete(subscriber);
 	}
 
-	/** Sends what was decoded since the last time. */
-	pump(): void {
+	/** Makes every subscriber send the tokens decoded since its last call. */
+	notifySubscribers(): void {
 		for (const subscriber of this.#subscribers) {
-			subscriber.pump(this);
+			subscriber.sendPending(this);
 		}
 	}
 
-	/**
-	 * @param offset - Place of the frame, below {@link produced}.
-	 * @returns The frame.
-	 */
-	frame(offset: number): Frame {
-		const {id, digest, output, promptTokens} = this.wanted;
+	/** Creates the frame at an offset below {@link produced}. */
+	createFrame(offset: number): Frame {
+		const {id, digest, output, promptTokens} = this.task;
 		const isLast = offset === output - 1;
-		const content = answerToken(digest, offset);
+		const content = generateToken(digest, offset);
 		return {
 			attempt: id,
 			offset,
@@ -107,13 +97,10 @@
 	}
 }
 
-/**
- * @param frame - Frame of a stream.
- * @returns The event that carries it.
- */
-export function eventOf(frame: Frame): string {
+/** Formats a frame as a server-sent event. */
+export function formatEvent(frame: Frame): string {
 	return `id: ${frame.attempt}/${frame.offset}\ndata: ${JSON.stringify(frame)}\n\n`;
 }
 
-/** The event after the last frame. */
+/** Server-sent event after the last frame. */
 export const endEvent = `data: ${streamEnd}\n\n`;
--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -1,58 +1,60 @@
 /**
- * Continuous batching in engine time. Each iteration works on a chunk of prompt tokens and gives one token to every
- * request whose prompt is done; its length grows with both. One timer drives the whole batch.
+ * Continuous batching in engine time. Each iteration prefills a chunk of prompt tokens and decodes one token for every
+ * request whose prompt is complete; its duration grows with both. A single timer drives the whole batch.
  */
 import {performance} from 'node:perf_hooks';
 import {blockTokens} from '../../src/upstream/protocol.js';
 import {type Memory} from './memory.js';
 import {type EngineSettings} from './settings.js';
 
-/** Work of one request or one segment. */
+/** Work for one request or one prompt segment. */
 export type Job = {
 	readonly id: string;
-	/** Lower runs first. */
+	/** Lower values run first. */
 	readonly priority: number;
 	readonly promptTokens: number;
-	/** Tokens that the job reserves in memory. */
-	readonly reserve: number;
-	/** Tokens to decode; 0 for a segment. */
+	/** Memory to reserve, in tokens. */
+	readonly reservedTokens: number;
+	/** Tokens to decode in all; 0 for a segment. */
 	readonly output: number;
-	/** Tokens decoded before, for a stream that continues. */
+	/** Tokens already decoded, for an imported attempt. */
 	readonly produced: number;
-	/** Whether the prompt's KV cache is already here. */
-	readonly prefilled: boolean;
-	/** Hashes of the prompt's blocks; empty where the cache plays no part. */
+	/** Whether the prompt's KV cache is already available. */
+	readonly isPrefilled: boolean;
+	/** Block hashes of the prompt; empty for jobs that don't use the prefix cache. */
 	readonly blocks: readonly string[];
 };
 
-/** Told what becomes of jobs. */
+/** Callbacks for the progress of jobs. */
 export type BatchListener = {
 	readonly started: (job: Job, cachedTokens: number) => void;
-	/** `produced` counts all tokens so far. */
+	/** `produced` is the total number of tokens decoded so far. */
 	readonly advanced: (job: Job, produced: number) => void;
 	readonly finished: (job: Job) => void;
-	/** All iterations up to now are done. */
+	/** Called after all iterations due by now are finished. */
 	readonly settled: () => void;
 };
 
 type Entry = {
 	readonly job: Job;
+	/** Queue position among jobs of the same priority. */
 	readonly order: number;
-	prefillLeft: number;
+	/** Prompt tokens still to process. */
+	remainingPrefill: number;
 	produced: number;
-	/** Prompt tokens of the present iteration. */
+	/** Prompt tokens processed in the current iteration. */
 	share: number;
 };
 
-const shortestWait = 1;
+const minTimerDelayMs = 1;
 
-function before(first: Entry, second: Entry): number {
+function compareEntries(first: Entry, second: Entry): number {
 	return first.job.priority - second.job.priority || first.order - second.order;
 }
 
-function insert(entries: Entry[], entry: Entry): void {
-	const at = entries.findIndex(each => before(entry, each) < 0);
-	entries.splice(at === -1 ? entries.length : at, 0, entry);
+function insertSorted(entries: Entry[], entry: Entry): void {
+	const index = entries.findIndex(each => compareEntries(entry, each) < 0);
+	entries.splice(index === -1 ? entries.length : index, 0, entry);
 }
 
 export class Batch implements Disposable {
@@ -62,9 +64,9 @@
 	readonly #listener: BatchListener;
 	readonly #waiting: Entry[] = [];
 	readonly #running: Entry[] = [];
-	#order = 0;
-	/** Real time at which the present iteration ends. */
-	#until: number | undefined;
+	#nextOrder = 0;
+	/** Monotonic real time, in milliseconds, at which the current iteration ends. */
+	#iterationEnd: number | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#isPaused = false;
 
@@ -83,37 +85,28 @@
 		return this.#waiting.length;
 	}
 
-	/** Prompt tokens not yet worked on. */
+	/** Prompt tokens still to process in running and waiting jobs. */
 	get queuedPrefill(): number {
-		return [...this.#running, ...this.#waiting].reduce((sum, each) => sum + each.prefillLeft, 0);
+		return [...this.#running, ...this.#waiting].reduce((sum, each) => sum + each.remainingPrefill, 0);
 	}
 
-	/**
-	 * Queues a job.
-	 *
-	 * @param job - Work to do.
-	 */
 	add(job: Job): void {
-		insert(this.#waiting, {
+		insertSorted(this.#waiting, {
 			job,
-			order: this.#order++,
-			prefillLeft: job.prefilled ? 0 : job.promptTokens,
+			order: this.#nextOrder++,
+			remainingPrefill: job.isPrefilled ? 0 : job.promptTokens,
 			produced: job.produced,
 			share: 0,
 		});
-		this.#wake();
+		this.#scheduleIteration();
 	}
 
-	/**
-	 * Drops a job wherever it is; harmless if it is over.
-	 *
-	 * @param id - Job.
-	 */
+	/** Removes a running or waiting job and releases its memory; does nothing if it has ended or is unknown. */
 	remove(id: string): void {
 		for (const entries of [this.#waiting, this.#running]) {
-			const at = entries.findIndex(each => each.job.id === id);
-			if (at !== -1) {
-				entries.splice(at, 1);
+			const index = entries.findIndex(each => each.job.id === id);
+			if (index !== -1) {
+				entries.splice(index, 1);
 				this.#memory.release(id);
 			}
 		}
@@ -126,11 +119,11 @@
 		this.#timer = undefined;
 	}
 
-	/** Goes on after {@link pause}; the time between was lost. */
+	/** Continues after {@link pause}; the interrupted iteration starts again from its beginning. */
 	resume(): void {
 		this.#isPaused = false;
-		this.#until = undefined;
-		this.#wake();
+		this.#iterationEnd = undefined;
+		this.#scheduleIteration();
 	}
 
 	[Symbol.dispose](): void {
@@ -139,88 +132,89 @@
 		this.#running.length = 0;
 	}
 
-	#wake(): void {
+	#scheduleIteration(): void {
 		if (this.#isPaused || this.#timer !== undefined) {
 			return;
 		}
 
-		this.#until ??= this.#begin(performance.now());
-		if (this.#until === undefined) {
+		this.#iterationEnd ??= this.#beginIteration(performance.now());
+		if (this.#iterationEnd === undefined) {
 			return;
 		}
 
-		const wait = Math.max(this.#until - performance.now(), shortestWait);
+		const delay = Math.max(this.#iterationEnd - performance.now(), minTimerDelayMs);
 		this.#timer = setTimeout(() => {
 			this.#timer = undefined;
-			this.#catchUp(performance.now());
-			this.#wake();
-		}, wait);
+			this.#finishDueIterations(performance.now());
+			this.#scheduleIteration();
+		}, delay);
 	}
 
-	/** Ends every iteration that is due, so that a late timer loses no engine time. */
-	#catchUp(now: number): void {
-		while (this.#until !== undefined && this.#until <= now) {
-			this.#finish();
-			this.#until = this.#begin(this.#until);
+	/** Finishes every iteration that is due, so that a delayed timer loses no engine time. */
+	#finishDueIterations(now: number): void {
+		while (this.#iterationEnd !== undefined && this.#iterationEnd <= now) {
+			this.#finishIteration();
+			this.#iterationEnd = this.#beginIteration(this.#iterationEnd);
 		}
 
 		this.#listener.settled();
 	}
 
-	/** Starts an iteration; returns the real time of its end, or undefined if there is no work. */
-	#begin(start: number): number | undefined {
-		this.#admit();
+	/** Starts an iteration; returns the real time at which it ends, or undefined if there is no work. */
+	#beginIteration(start: number): number | undefined {
+		this.#admitWaiting();
 		if (this.#running.length === 0) {
 			return undefined;
 		}
 
 		let budget = this.#settings.chunk;
-		let decoding = 0;
+		let decodingJobs = 0;
 		for (const entry of this.#running) {
-			entry.share = Math.min(entry.prefillLeft, budget);
+			entry.share = Math.min(entry.remainingPrefill, budget);
 			budget -= entry.share;
-			decoding += entry.prefillLeft === 0 ? 1 : 0;
+			decodingJobs += entry.remainingPrefill === 0 ? 1 : 0;
 		}
 
-		return start + (this.#duration(this.#settings.chunk - budget, decoding) / this.#timeScale);
+		return start + (this.#calculateDuration(this.#settings.chunk - budget, decodingJobs) / this.#timeScale);
 	}
 
-	#duration(prefill: number, decoding: number): number {
+	/** Returns the duration of an iteration, in milliseconds of engine time. */
+	#calculateDuration(prefillTokens: number, decodingJobs: number): number {
 		const {prefillRate, decodeInterval, batchSlowdown} = this.#settings;
-		const decode = decoding === 0 ? 0 : decodeInterval * (1 + (batchSlowdown * (decoding - 1)));
-		return (prefill / prefillRate * 1000) + decode;
+		const decode = decodingJobs === 0 ? 0 : decodeInterval * (1 + (batchSlowdown * (decodingJobs - 1)));
+		return (prefillTokens / prefillRate * 1000) + decode;
 	}
 
-	/** Moves waiting jobs into the batch, in order, while there is room. */
-	#admit(): void {
+	/** Moves waiting jobs into the batch in order, until the batch or the memory is full. */
+	#admitWaiting(): void {
 		for (let next = this.#waiting[0]; next !== undefined; next = this.#waiting[0]) {
 			const isFull = this.#running.length >= this.#settings.batch;
-			if (isFull || !this.#memory.reserve(next.job.id, next.job.reserve)) {
+			if (isFull || !this.#memory.reserve(next.job.id, next.job.reservedTokens)) {
 				return;
 			}
 
 			this.#waiting.shift();
-			const cached = this.#cachedTokens(next);
-			next.prefillLeft = Math.max(next.prefillLeft - cached, next.job.prefilled ? 0 : 1);
-			insert(this.#running, next);
+			const cached = this.#countCachedTokens(next);
+			next.remainingPrefill = Math.max(next.remainingPrefill - cached, next.job.isPrefilled ? 0 : 1);
+			insertSorted(this.#running, next);
 			this.#listener.started(next.job, cached);
 		}
 	}
 
-	#cachedTokens(entry: Entry): number {
-		const matched = this.#memory.match(entry.job.blocks) * blockTokens;
+	#countCachedTokens(entry: Entry): number {
+		const matched = this.#memory.matchPrefix(entry.job.blocks) * blockTokens;
 		return Math.min(matched, entry.job.promptTokens);
 	}
 
-	#finish(): void {
+	#finishIteration(): void {
 		for (const entry of this.#running) {
-			const hadPrompt = entry.prefillLeft > 0;
-			entry.prefillLeft -= entry.share;
-			if (entry.prefillLeft > 0) {
+			const wasPrefilling = entry.remainingPrefill > 0;
+			entry.remainingPrefill -= entry.share;
+			if (entry.remainingPrefill > 0) {
 				continue;
 			}
 
-			if (hadPrompt) {
+			if (wasPrefilling) {
 				this.#memory.store(entry.job.blocks);
 			}
 
--- a/stand-ins/engine/run.ts
+++ b/stand-ins/engine/chat-request.ts
@@ -1,4 +1,4 @@
-/** Reads a chat request into what the engine has to run. */
+/** Parses chat completion requests into run requests for the engine. */
 import {type Request as Incoming} from 'restify';
 import {v4 as uuid} from 'uuid';
 import {z} from 'zod';
@@ -8,7 +8,7 @@
 import {headers} from '../../src/upstream/protocol.js';
 import {header} from '../common/server.js';
 import {answerLength, promptDigest} from './answer.js';
-import {type Run} from './engine.js';
+import {type RunRequest} from './engine.js';
 import {type EngineHost} from './host.js';
 
 const chatSchema = z.object({
@@ -21,25 +21,26 @@
 	max_tokens: z.number().int().positive().optional(),
 });
 
-export const wantedSchema = z.object({
+export const taskSchema = z.object({
 	id: z.string(),
 	digest: z.string(),
 	promptTokens: z.number(),
 	output: z.number(),
 });
 
-/** A chat request read from the wire. */
-export type ReadRun = {
-	readonly run: Run;
+/** A parsed chat completion request. */
+export type ChatRequest = {
+	readonly run: RunRequest;
+	/** Whether the answer is sent as an event stream. */
 	readonly isStream: boolean;
 };
 
-function numberHeader(incoming: Incoming, name: string): number | undefined {
+function getNumberHeader(incoming: Incoming, name: string): number | undefined {
 	const value = header(incoming, name);
 	return value === undefined ? undefined : z.coerce.number().nonnegative().parse(value);
 }
 
-function checkModel(host: EngineHost, model: string | undefined): void {
+function validateModel(host: EngineHost, model: string | undefined): void {
 	const {current} = host.engine.orders;
 	const isServed = model === undefined || model === current?.model || current?.adapters.includes(model);
 	if (host.settings.checkModel && !isServed) {
@@ -48,32 +49,34 @@
 }
 
 /**
- * @param incoming - Request, for its headers.
- * @param body - Body.
- * @param host - The engine that runs it.
- * @returns The run; a body that is not valid throws.
+ * Parses a chat completion request.
+ *
+ * @param incoming - Request, whose headers are read.
+ * @param body - Request body.
+ * @param host - Engine that will run it.
+ * @throws If the body or a header is invalid, or the model is not loaded and the engine checks models.
  */
-export function readRun(incoming: Incoming, body: string, host: EngineHost): ReadRun {
+export function parseChatRequest(incoming: Incoming, body: string, host: EngineHost): ChatRequest {
 	const chat = chatSchema.parse(JSON.parse(body));
-	checkModel(host, chat.model);
+	validateModel(host, chat.model);
 	const prompt = renderPrompt(chat.messages);
 	const digest = promptDigest(prompt);
-	const promptTokens = numberHeader(incoming, headers.promptTokens) ?? countTokens(prompt);
+	const promptTokens = getNumberHeader(incoming, headers.promptTokens) ?? countTokens(prompt);
 	const id = header(incoming, headers.attempt) ?? uuid();
-	const poison = host.faults.poisonIn(body);
+	const poison = host.faults.findPoison(body);
 	return {
 		isStream: chat.stream,
 		run: {
-			wanted: {
+			task: {
 				id,
 				digest,
 				promptTokens,
 				output: answerLength(digest, host.settings.answer, chat.max_tokens),
 			},
-			priority: numberHeader(incoming, headers.priority) ?? 0,
+			priority: getNumberHeader(incoming, headers.priority) ?? 0,
 			blocks: hashBlocks(prompt, promptTokens),
 			holds: header(incoming, headers.holds)?.split(',').map(each => each.trim()) ?? [],
-			timeout: numberHeader(incoming, headers.timeout),
+			timeout: getNumberHeader(incoming, headers.timeout),
 			execution: {
 				attempt: id,
 				body: shortDigest(body),
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -1,11 +1,11 @@
-/** One incarnation of an engine: everything it loses in a crash. */
+/** One incarnation of an engine: holds all state that a crash discards. */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
 import {type Address} from '../../src/core/index.js';
 import {
 	type EngineLoad, type Export, type HoldWanted, type Holds, type SegmentWork,
 } from '../../src/upstream/protocol.js';
-import {Attempt, type Wanted} from './attempt.js';
+import {Attempt, type Task} from './attempt.js';
 import {Batch, type Job} from './batch.js';
 import {CacheEventLog} from './cache-events.js';
 import {type ExecutionLog, type Execution} from './executions.js';
@@ -16,58 +16,60 @@
 import {type EngineSettings} from './settings.js';
 
 /** A request to run. */
-export type Run = {
-	readonly wanted: Wanted;
+export type RunRequest = {
+	readonly task: Task;
 	readonly priority: number;
 	readonly blocks: readonly string[];
-	/** Holds that together have the prompt's KV cache. */
+	/** Ids of holds, here and at other engines, that together contain the prompt's KV cache. */
 	readonly holds: readonly string[];
-	/** Real milliseconds after which it is cancelled. */
+	/** Real milliseconds until it is cancelled. */
 	readonly timeout: number | undefined;
 	readonly execution: Omit<Execution, 'incarnation'>;
-	/** Told when the engine begins it. */
+	/** Called when the request enters the batch. */
 	readonly onStart: () => void;
 };
 
 export type Refusal = {
+	/** HTTP status. */
 	readonly status: number;
 	readonly type: string;
 	readonly message: string;
 };
 
-/** What engines of one process share. */
-export type Surroundings = {
+/** Values and collaborators of an engine. The log outlives the engine's incarnations. */
+export type EngineOptions = {
 	readonly timeScale: number;
+	/** Seed of the random loss of cache events. */
 	readonly seed: number;
 	readonly weightStore: Address | undefined;
 	readonly log: ExecutionLog;
 };
 
-type Segment = {readonly resolve: (isDone: boolean) => void};
+type PendingSegment = {readonly resolve: (isDone: boolean) => void};
 
 export class Engine implements Disposable {
 	readonly incarnation: string;
 	readonly orders: Orders;
 	readonly cacheEvents: CacheEventLog;
 	readonly #settings: EngineSettings;
-	readonly #surroundings: Surroundings;
+	readonly #options: EngineOptions;
 	readonly #memory: Memory;
 	readonly #batch: Batch;
 	readonly #holds: HoldTable;
 	readonly #history: LoadHistory;
 	readonly #attempts = new Map<string, Attempt>();
-	readonly #runs = new Map<string, Run>();
-	readonly #segments = new Map<string, Segment>();
+	readonly #runs = new Map<string, RunRequest>();
+	readonly #segments = new Map<string, PendingSegment>();
 	readonly #timers = new Set<NodeJS.Timeout>();
-	readonly #touched = new Set<Attempt>();
-	#drains: Array<() => void> = [];
+	readonly #advancedAttempts = new Set<Attempt>();
+	#drainWaiters: Array<() => void> = [];
 
-	constructor(incarnation: string, settings: EngineSettings, surroundings: Surroundings) {
-		const {timeScale, seed, weightStore} = surroundings;
+	constructor(incarnation: string, settings: EngineSettings, options: EngineOptions) {
+		const {timeScale, seed, weightStore} = options;
 		const {delay, loss} = settings.cacheEvents;
 		this.incarnation = incarnation;
 		this.#settings = settings;
-		this.#surroundings = surroundings;
+		this.#options = options;
 		this.cacheEvents = new CacheEventLog(incarnation, delay / timeScale, loss, seed);
 		this.#memory = new Memory(settings.memory, (type, blocks) => {
 			this.cacheEvents.add(type, blocks, performance.now());
@@ -75,28 +77,28 @@
 		this.#holds = new HoldTable(this.#memory);
 		this.#batch = new Batch(settings, timeScale, this.#memory, {
 			started: (job, cached) => {
-				this.#started(job, cached);
+				this.#handleStarted(job, cached);
 			},
 			advanced: (job, produced) => {
-				this.#advanced(job, produced);
+				this.#handleAdvanced(job, produced);
 			},
 			finished: job => {
-				this.#finished(job);
+				this.#handleFinished(job);
 			},
 			settled: () => {
-				this.#settled();
+				this.#handleSettled();
 			},
 		});
 		this.orders = new Orders(settings, timeScale, weightStore, {
-			drained: async () => this.#drained(),
+			waitForDrain: async () => this.#waitForDrain(),
 			replaced: () => {
 				this.#memory.clear();
 			},
 		});
-		this.#history = new LoadHistory(settings.reportLag / timeScale, () => this.#figures());
+		this.#history = new LoadHistory(settings.reportLag / timeScale, () => this.#measureLoad());
 	}
 
-	/** The load figures as they were some time ago. */
+	/** Load figures, delayed by the report lag. */
 	get load(): EngineLoad {
 		return this.#history.read();
 	}
@@ -105,50 +107,38 @@
 		return {incarnation: this.incarnation, holds: this.#holds.list()};
 	}
 
-	/**
-	 * Queues a request.
-	 *
-	 * @param run - Request.
-	 * @returns The attempt, or why it was refused.
-	 */
-	run(run: Run): Attempt | Refusal {
-		const refusal = this.#refusalOf(run);
+	/** Queues a request; returns its attempt or the reason for refusing it. */
+	run(run: RunRequest): Attempt | Refusal {
+		const refusal = this.#findRefusal(run);
 		if (refusal !== undefined) {
 			return refusal;
 		}
 
-		const {wanted} = run;
-		const attempt = new Attempt(wanted);
-		this.#attempts.set(wanted.id, attempt);
-		this.#runs.set(wanted.id, run);
-		this.#surroundings.log.count('accepted');
-		this.#limitTime(wanted.id, run.timeout);
+		const {task} = run;
+		const attempt = new Attempt(task);
+		this.#attempts.set(task.id, attempt);
+		this.#runs.set(task.id, run);
+		this.#options.log.count('accepted');
+		this.#scheduleCancel(task.id, run.timeout);
 		this.#batch.add({
-			id: wanted.id,
+			id: task.id,
 			priority: run.priority,
-			promptTokens: wanted.promptTokens,
-			reserve: this.#reserveFor(run),
-			output: wanted.output,
+			promptTokens: task.promptTokens,
+			reservedTokens: this.#calculateReservation(run),
+			output: task.output,
 			produced: 0,
-			prefilled: run.holds.length > 0,
+			isPrefilled: run.holds.length > 0,
 			blocks: run.holds.length > 0 ? [] : run.blocks,
 		});
 		return attempt;
 	}
 
-	/**
-	 * @param id - Attempt.
-	 * @returns The attempt, while it can be resumed.
-	 */
+	/** Returns an attempt that is running, waiting or ended less than the retention time ago. */
 	attempt(id: string): Attempt | undefined {
 		return this.#attempts.get(id);
 	}
 
-	/**
-	 * Cancels an attempt and gives back its memory; harmless if it is over or unknown.
-	 *
-	 * @param id - Attempt.
-	 */
+	/** Cancels an attempt and releases its memory; does nothing if it has ended or is unknown. */
 	cancel(id: string): void {
 		const attempt = this.#attempts.get(id);
 		if (attempt?.status !== 'running') {
@@ -157,24 +147,22 @@
 
 		this.#batch.remove(id);
 		attempt.end('cancelled');
-		this.#surroundings.log.count('cancelled');
-		this.#forget(id);
+		this.#options.log.count('cancelled');
+		this.#scheduleRemoval(id);
 	}
 
 	/**
+	 * Reserves KV memory.
+	 *
 	 * @param id - Hold.
-	 * @param wanted - Tokens, owner and deadline.
-	 * @returns Whether the memory is held, also by an equal hold before.
+	 * @param request - Tokens, owner and deadline.
+	 * @returns Whether the memory is held, newly or by an earlier hold with the same id and size.
 	 */
-	hold(id: string, wanted: HoldWanted): boolean {
-		return this.#holds.take(id, wanted);
+	hold(id: string, request: HoldWanted): boolean {
+		return this.#holds.reserve(id, request);
 	}
 
-	/**
-	 * Gives back a hold and stops the work on its segment.
-	 *
-	 * @param id - Hold.
-	 */
+	/** Releases a hold and stops the prefill of its segment. */
 	release(id: string): void {
 		this.#batch.remove(`segment ${id}`);
 		this.#segments.get(id)?.resolve(false);
@@ -187,29 +175,29 @@
 	 *
 	 * @param id - Hold.
 	 * @param work - Range of prompt tokens.
-	 * @returns Whether it was done; false if the hold is gone or too small.
+	 * @returns Whether it finished; false if the hold doesn't exist, is too small, is already being filled or was released meanwhile.
 	 */
 	async prefill(id: string, work: SegmentWork): Promise<boolean> {
 		const tokens = work.to - work.from;
-		if (!this.#holds.fits(id, tokens) || this.#segments.has(id)) {
+		if (!this.#holds.canFit(id, tokens) || this.#segments.has(id)) {
 			return false;
 		}
 
 		const isDone = await new Promise<boolean>(resolve => {
 			this.#segments.set(id, {resolve});
 			this.#batch.add({
-				id: `segment ${id}`, priority: 0, promptTokens: tokens, reserve: 0, output: 0, produced: 0, prefilled: false, blocks: [],
+				id: `segment ${id}`, priority: 0, promptTokens: tokens, reservedTokens: 0, output: 0, produced: 0, isPrefilled: false, blocks: [],
 			});
 		});
-		this.#holds.fill(id, tokens);
+		this.#holds.setFilled(id, tokens);
 		return isDone;
 	}
 
 	/**
-	 * Takes a running stream off the engine.
+	 * Ends a running attempt here so that another engine can continue it.
 	 *
 	 * @param id - Attempt.
-	 * @returns What another engine needs to continue it, or undefined if it does not run here.
+	 * @returns State for the other engine, or undefined if the attempt isn't running here.
 	 */
 	export(id: string): Export | undefined {
 		const attempt = this.#attempts.get(id);
@@ -219,47 +207,47 @@
 
 		this.#batch.remove(id);
 		attempt.end('exported');
-		this.#forget(id);
-		const cache = Buffer.from(JSON.stringify(attempt.wanted)).toString('base64');
+		this.#scheduleRemoval(id);
+		const cache = Buffer.from(JSON.stringify(attempt.task)).toString('base64');
 		return {
-			attempt: id, offset: attempt.produced, prompt: attempt.wanted.promptTokens, cache,
+			attempt: id, offset: attempt.produced, prompt: attempt.task.promptTokens, cache,
 		};
 	}
 
 	/**
-	 * Continues a stream that another engine exported.
+	 * Continues an attempt that another engine exported.
 	 *
 	 * @param exported - The export.
-	 * @param wanted - Work as the exporting engine knew it.
-	 * @returns The attempt, or undefined if there is no memory for it.
+	 * @param task - Task decoded from the export.
+	 * @returns The attempt, or undefined if the memory is insufficient or the attempt id is in use here.
 	 */
-	import(exported: Export, wanted: Wanted): Attempt | undefined {
-		const reserve = wanted.promptTokens + wanted.output;
-		if (this.#memory.used + reserve > this.#settings.memory || this.#attempts.has(wanted.id)) {
+	import(exported: Export, task: Task): Attempt | undefined {
+		const reserve = task.promptTokens + task.output;
+		if (this.#memory.used + reserve > this.#settings.memory || this.#attempts.has(task.id)) {
 			return undefined;
 		}
 
-		const attempt = new Attempt(wanted, exported.offset);
-		this.#attempts.set(wanted.id, attempt);
+		const attempt = new Attempt(task, exported.offset);
+		this.#attempts.set(task.id, attempt);
 		this.#batch.add({
-			id: wanted.id,
+			id: task.id,
 			priority: 0,
-			promptTokens: wanted.promptTokens,
-			reserve,
-			output: wanted.output,
+			promptTokens: task.promptTokens,
+			reservedTokens: reserve,
+			output: task.output,
 			produced: exported.offset,
-			prefilled: true,
+			isPrefilled: true,
 			blocks: [],
 		});
 		return attempt;
 	}
 
-	/** Stops all work until {@link thaw}. */
-	freeze(): void {
+	/** Stops all work until {@link resume}. */
+	pause(): void {
 		this.#batch.pause();
 	}
 
-	thaw(): void {
+	resume(): void {
 		this.#batch.resume();
 	}
 
@@ -271,52 +259,53 @@
 		}
 	}
 
-	#refusalOf(run: Run): Refusal | undefined {
-		const {wanted, holds} = run;
+	#findRefusal(run: RunRequest): Refusal | undefined {
+		const {task, holds} = run;
 		if (this.orders.current === undefined || this.orders.loading !== undefined) {
 			return {status: 503, type: 'not-ready', message: 'the engine is loading or holds no model'};
 		}
 
-		if (this.#attempts.has(wanted.id)) {
+		if (this.#attempts.has(task.id)) {
 			return {status: 409, type: 'attempt-exists', message: 'the attempt id was used before'};
 		}
 
 		if (holds.length > 0) {
-			return this.#holds.firstOf(holds) === undefined
+			return this.#holds.findFirst(holds) === undefined
 				? {status: 409, type: 'hold-gone', message: 'none of the holds is here'}
 				: undefined;
 		}
 
-		return wanted.promptTokens + wanted.output > this.#settings.memory
+		return task.promptTokens + task.output > this.#settings.memory
 			? {status: 413, type: 'too-long', message: 'prompt and answer do not fit into memory'}
 			: undefined;
 	}
 
-	/** A request over holds needs memory only for what its local hold has no room for. */
-	#reserveFor({wanted, holds}: Run): number {
-		const local = this.#holds.firstOf(holds);
-		return local === undefined
-			? wanted.promptTokens + wanted.output
-			: Math.max(wanted.output - this.#holds.room(local), 0);
+	/** A request with a local hold decodes into the hold's free tokens first and reserves only the rest. */
+	#calculateReservation({task, holds}: RunRequest): number {
+		const localHold = this.#holds.findFirst(holds);
+		return localHold === undefined
+			? task.promptTokens + task.output
+			: Math.max(task.output - this.#holds.getFreeTokens(localHold), 0);
 	}
 
-	#limitTime(id: string, timeout: number | undefined): void {
+	#scheduleCancel(id: string, timeout: number | undefined): void {
 		if (timeout !== undefined) {
-			this.#after(timeout, () => {
+			this.#schedule(timeout, () => {
 				this.cancel(id);
 			});
 		}
 	}
 
-	#forget(id: string): void {
+	/** Removes the attempt after the retention time, until which its id can't be used again. */
+	#scheduleRemoval(id: string): void {
 		this.#runs.delete(id);
-		this.#after(this.#settings.retention / this.#surroundings.timeScale, () => {
+		this.#schedule(this.#settings.retention / this.#options.timeScale, () => {
 			this.#attempts.delete(id);
 		});
-		this.#notifyDrained();
+		this.#notifyDrainWaiters();
 	}
 
-	#after(milliseconds: number, action: () => void): void {
+	#schedule(milliseconds: number, action: () => void): void {
 		const timer = setTimeout(() => {
 			this.#timers.delete(timer);
 			action();
@@ -324,29 +313,29 @@
 		this.#timers.add(timer);
 	}
 
-	#started(job: Job, cachedTokens: number): void {
+	#handleStarted(job: Job, cachedTokens: number): void {
 		this.#attempts.get(job.id)?.start(cachedTokens);
 		const run = this.#runs.get(job.id);
 		if (run === undefined) {
 			return;
 		}
 
-		const {log} = this.#surroundings;
+		const {log} = this.#options;
 		log.add({...run.execution, incarnation: this.incarnation});
 		log.count('promptTokens', job.promptTokens);
 		log.count('cachedTokens', cachedTokens);
 		run.onStart();
 	}
 
-	#advanced(job: Job, produced: number): void {
+	#handleAdvanced(job: Job, produced: number): void {
 		const attempt = this.#attempts.get(job.id);
 		if (attempt !== undefined) {
 			attempt.advance(produced);
-			this.#touched.add(attempt);
+			this.#advancedAttempts.add(attempt);
 		}
 	}
 
-	#finished(job: Job): void {
+	#handleFinished(job: Job): void {
 		const segment = job.id.startsWith('segment ') ? job.id.slice('segment '.length) : undefined;
 		if (segment !== undefined) {
 			this.#segments.get(segment)?.resolve(true);
@@ -355,41 +344,41 @@
 		}
 
 		this.#attempts.get(job.id)?.end('finished');
-		this.#surroundings.log.count('finished');
-		this.#forget(job.id);
+		this.#options.log.count('finished');
+		this.#scheduleRemoval(job.id);
 	}
 
-	#settled(): void {
-		for (const attempt of this.#touched) {
-			attempt.pump();
+	#handleSettled(): void {
+		for (const attempt of this.#advancedAttempts) {
+			attempt.notifySubscribers();
 		}
 
-		this.#touched.clear();
+		this.#advancedAttempts.clear();
 	}
 
-	async #drained(): Promise<void> {
+	async #waitForDrain(): Promise<void> {
 		if (this.#batch.running + this.#batch.waiting === 0) {
 			return;
 		}
 
 		await new Promise<void>(resolve => {
-			this.#drains.push(resolve);
+			this.#drainWaiters.push(resolve);
 		});
 	}
 
-	#notifyDrained(): void {
+	#notifyDrainWaiters(): void {
 		if (this.#batch.running + this.#batch.waiting > 0) {
 			return;
 		}
 
-		const waiting = this.#drains;
-		this.#drains = [];
-		for (const resolve of waiting) {
+		const waiters = this.#drainWaiters;
+		this.#drainWaiters = [];
+		for (const resolve of waiters) {
 			resolve();
 		}
 	}
 
-	#figures(): Omit<EngineLoad, 'age'> {
+	#measureLoad(): Omit<EngineLoad, 'age'> {
 		return {
 			engine: this.#settings.id,
 			incarnation: this.incarnation,
--- a/stand-ins/engine/executions.ts
+++ b/stand-ins/engine/executions.ts
@@ -1,10 +1,11 @@
-/** What an engine ran, for tests to count; it outlives the engine's crashes. */
+/** Record of the requests that an engine ran, for assertions in tests. It survives crashes of the engine. */
 import {z} from 'zod';
 
 export const executionSchema = z.object({
 	attempt: z.string(),
-	/** Digest of the body, and of the rendered prompt. */
+	/** Digest of the request body. */
 	body: z.string(),
+	/** Digest of the rendered prompt. */
 	prompt: z.string(),
 	idempotencyKey: z.string().optional(),
 	ticket: z.string().optional(),
@@ -12,15 +13,17 @@
 });
 
 export const countersSchema = z.object({
-	/** Taken into the queue, and begun. */
+	/** Requests added to the queue. */
 	accepted: z.number(),
+	/** Requests that entered the batch. */
 	started: z.number(),
 	finished: z.number(),
 	cancelled: z.number(),
 	refused: z.number(),
 	crashes: z.number(),
-	/** Prompt tokens of begun requests, and those found in the prefix cache. */
+	/** Prompt tokens of started requests. */
 	promptTokens: z.number(),
+	/** Prompt tokens of started requests that were in the prefix cache. */
 	cachedTokens: z.number(),
 });
 
@@ -36,7 +39,7 @@
 export type CounterName = keyof Counters;
 export type Executions = z.infer<typeof executionsSchema>;
 
-const mostKept = 200_000;
+const maxExecutions = 200_000;
 
 export class ExecutionLog {
 	readonly #executions: Execution[] = [];
@@ -52,20 +55,15 @@
 		return this.#counters;
 	}
 
-	/**
-	 * @param name - Counter.
-	 * @param value - Amount to add.
-	 */
+	/** Adds to a counter. */
 	count(name: CounterName, value = 1): void {
 		this.#counters[name] += value;
 	}
 
-	/**
-	 * @param execution - A request that was begun.
-	 */
+	/** Records a started request; beyond a maximum number of records it is only counted. */
 	add(execution: Execution): void {
 		this.count('started');
-		if (this.#executions.length < mostKept) {
+		if (this.#executions.length < maxExecutions) {
 			this.#executions.push(execution);
 		}
 	}
--- a/stand-ins/engine/faults.ts
+++ b/stand-ins/engine/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that tests switch on at one engine, and how many of each are still due. */
+/** Faults that tests inject into an engine, with the number of pending occurrences of each. */
 import {z} from 'zod';
 import {assertNever} from '../../src/core/index.js';
 import {Gate} from '../common/gate.js';
@@ -6,43 +6,43 @@
 
 const count = z.number().int().positive().default(1);
 
-/** Times are real milliseconds. */
+/** Durations are real milliseconds. */
 export const faultSchema = z.discriminatedUnion('type', [
-	/** Drops every connection and loses all state; comes back with a new incarnation, or never. */
+	/** Closes every connection and discards all state; restarts as a new incarnation after `returnAfter`, if given. */
 	z.object({type: z.literal('crash'), returnAfter: millisecondsSchema.optional()}),
-	/** Comes back after a crash that named no time. */
+	/** Restarts a crashed engine at once. */
 	z.object({type: z.literal('restart')}),
-	/** Takes connections and answers nothing until healed. */
+	/** Accepts connections but sends no response until healed. */
 	z.object({type: z.literal('hang')}),
-	/** Answers everything later. */
+	/** Delays every response. */
 	z.object({type: z.literal('late'), delay: millisecondsSchema}),
-	/** Sends another attempt's frame in the place of some frames. */
+	/** Replaces `count` frames with frames of another attempt. */
 	z.object({type: z.literal('cross'), count}),
-	/** Sends some frames twice. */
+	/** Sends `count` frames twice. */
 	z.object({type: z.literal('repeat'), count}),
-	/** Sends some frames after the ones that follow them. */
+	/** Sends `count` frames after the frame that follows them. */
 	z.object({type: z.literal('reorder'), count}),
-	/** Refuses some runs before running them. */
+	/** Refuses `count` chat requests before running them. */
 	z.object({type: z.literal('refuse'), status: z.number().int().min(400).max(599).default(503), count}),
-	/** Cuts some streams after a number of frames. */
+	/** Cuts `count` streams after `afterFrames` frames. */
 	z.object({type: z.literal('cut'), afterFrames: z.number().int().nonnegative(), count}),
-	/** Crashes when it starts a request whose body contains the marker. */
+	/** Crashes when a request whose body contains the marker starts running. */
 	z.object({type: z.literal('poison'), marker: z.string().min(1), returnAfter: millisecondsSchema.default(500)}),
-	/** Share of cache events that is lost from now on. */
+	/** Loses the given fraction of further cache events. */
 	z.object({type: z.literal('lose-cache-events'), share: z.number().min(0).max(1)}),
-	/** Ends every fault but a crash. */
+	/** Ends every fault except a crash and lost cache events. */
 	z.object({type: z.literal('heal')}),
 ]);
 
 export type Fault = z.infer<typeof faultSchema>;
 export type Poison = Extract<Fault, {type: 'poison'}>;
 
-/** How one frame is sent. */
+/** Fault applied to a single frame. */
 export type FrameFault = 'none' | 'cross' | 'repeat' | 'reorder';
 
 type CountedFault = 'cross' | 'repeat' | 'reorder' | 'refuse' | 'cut';
 
-const noneDue: Readonly<Record<CountedFault, number>> = {
+const noFaultsDue: Readonly<Record<CountedFault, number>> = {
 	cross: 0, repeat: 0, reorder: 0, refuse: 0, cut: 0,
 };
 
@@ -50,29 +50,25 @@
 	#late = 0;
 	#refuseStatus = 0;
 	#cutAfter = 0;
-	readonly #due: Record<CountedFault, number> = {...noneDue};
+	readonly #due: Record<CountedFault, number> = {...noFaultsDue};
 
 	#poisons: Poison[] = [];
 	readonly #gate = new Gate();
 
 	get isHanging(): boolean {
-		return this.#gate.isShut;
+		return this.#gate.isClosed;
 	}
 
-	/** Delay before each answer, in milliseconds. */
+	/** Delay before each response, in real milliseconds. */
 	get late(): number {
 		return this.#late;
 	}
 
-	/**
-	 * Switches a fault on. Crashes and lost cache events are the engine's to carry out.
-	 *
-	 * @param fault - Fault wanted.
-	 */
-	set(fault: Fault): void {
+	/** Activates a fault. Crashes, restarts and lost cache events are carried out by the caller. */
+	activate(fault: Fault): void {
 		switch (fault.type) {
 			case 'hang': {
-				this.#gate.shut();
+				this.#gate.close();
 				return;
 			}
 
@@ -122,25 +118,25 @@
 		}
 	}
 
-	/** Waits while the engine hangs. */
-	async opened(): Promise<void> {
-		await this.#gate.opened();
+	/** Resolves once the engine no longer hangs. */
+	async waitWhileHanging(): Promise<void> {
+		await this.#gate.waitUntilOpen();
 	}
 
-	/** Takes one refusal that is due, as an HTTP status. */
+	/** Consumes one pending refusal and returns its HTTP status. */
 	takeRefusal(): number | undefined {
-		return this.#take('refuse') ? this.#refuseStatus : undefined;
+		return this.#takeCounted('refuse') ? this.#refuseStatus : undefined;
 	}
 
-	/** Takes one cut that is due, as the number of frames before it. */
+	/** Consumes one pending cut and returns the number of frames to send before it. */
 	takeCut(): number | undefined {
-		return this.#take('cut') ? this.#cutAfter : undefined;
+		return this.#takeCounted('cut') ? this.#cutAfter : undefined;
 	}
 
-	/** Takes the fault of the next frame. */
+	/** Consumes and returns the fault of the next frame. */
 	takeFrameFault(): FrameFault {
 		for (const type of ['cross', 'repeat', 'reorder'] as const) {
-			if (this.#take(type)) {
+			if (this.#takeCounted(type)) {
 				return type;
 			}
 		}
@@ -148,15 +144,12 @@
 		return 'none';
 	}
 
-	/**
-	 * @param body - Request body.
-	 * @returns The poison that it contains.
-	 */
-	poisonIn(body: string): Poison | undefined {
+	/** Returns the first poison whose marker the request body contains. */
+	findPoison(body: string): Poison | undefined {
 		return this.#poisons.find(each => body.includes(each.marker));
 	}
 
-	#take(type: CountedFault): boolean {
+	#takeCounted(type: CountedFault): boolean {
 		const isDue = this.#due[type] > 0;
 		this.#due[type] -= isDue ? 1 : 0;
 		return isDue;
@@ -166,6 +159,6 @@
 		this.#gate.open();
 		this.#late = 0;
 		this.#poisons = [];
-		Object.assign(this.#due, noneDue);
+		Object.assign(this.#due, noFaultsDue);
 	}
 }
--- a/stand-ins/engine/holds.ts
+++ b/stand-ins/engine/holds.ts
@@ -1,39 +1,39 @@
-/** KV memory held for owners at one engine. A hold stays until it is given back, also past its deadline. */
+/** KV memory holds at one engine. A hold stays until it is released, even after its deadline. */
 import {type HoldWanted, type Holds} from '../../src/upstream/protocol.js';
 import {type Memory} from './memory.js';
 
-type Held = {
-	readonly wanted: HoldWanted;
-	/** Tokens of it that a segment fills. */
-	readonly filled: number;
+type HoldEntry = {
+	readonly request: HoldWanted;
+	/** Tokens that a prefilled segment occupies. */
+	readonly filledTokens: number;
 };
 
-function ownerOf(id: string): string {
+function formatOwner(id: string): string {
 	return `hold ${id}`;
 }
 
 export class HoldTable {
 	readonly #memory: Memory;
-	readonly #holds = new Map<string, Held>();
+	readonly #holds = new Map<string, HoldEntry>();
 
 	constructor(memory: Memory) {
 		this.#memory = memory;
 	}
 
 	/**
-	 * Takes a hold; taking the same one again keeps the memory and renews the deadline.
+	 * Reserves memory for a hold. A repeated call with the same size keeps the memory and renews owner and deadline.
 	 *
 	 * @param id - Hold.
-	 * @param wanted - Owner, tokens and deadline.
+	 * @param request - Owner, tokens and deadline.
 	 * @returns Whether the memory is held.
 	 */
-	take(id: string, wanted: HoldWanted): boolean {
-		const before = this.#holds.get(id);
-		const isHeld = before === undefined
-			? this.#memory.reserve(ownerOf(id), wanted.tokens)
-			: before.wanted.tokens === wanted.tokens;
+	reserve(id: string, request: HoldWanted): boolean {
+		const existing = this.#holds.get(id);
+		const isHeld = existing === undefined
+			? this.#memory.reserve(formatOwner(id), request.tokens)
+			: existing.request.tokens === request.tokens;
 		if (isHeld) {
-			this.#holds.set(id, {wanted, filled: before?.filled ?? 0});
+			this.#holds.set(id, {request, filledTokens: existing?.filledTokens ?? 0});
 		}
 
 		return isHeld;
@@ -41,39 +41,35 @@
 
 	release(id: string): void {
 		this.#holds.delete(id);
-		this.#memory.release(ownerOf(id));
+		this.#memory.release(formatOwner(id));
 	}
 
-	/** Every hold with its owner. */
+	/** Returns every hold with its owner, tokens and deadline. */
 	list(): Holds['holds'] {
-		return [...this.#holds].map(([id, {wanted}]) => ({id, ...wanted}));
+		return [...this.#holds].map(([id, {request}]) => ({id, ...request}));
 	}
 
-	/**
-	 * @param id - Hold.
-	 * @param tokens - Tokens of a segment.
-	 * @returns Whether the hold is there and the segment fits.
-	 */
-	fits(id: string, tokens: number): boolean {
-		return (this.#holds.get(id)?.wanted.tokens ?? -1) >= tokens;
+	/** Returns whether the hold exists and is large enough for a segment of this many tokens. */
+	canFit(id: string, tokens: number): boolean {
+		return (this.#holds.get(id)?.request.tokens ?? -1) >= tokens;
 	}
 
-	/** Notes that a segment now fills a hold. */
-	fill(id: string, tokens: number): void {
+	/** Records how many tokens a segment occupies in a hold; does nothing if the hold doesn't exist. */
+	setFilled(id: string, tokens: number): void {
 		const held = this.#holds.get(id);
 		if (held !== undefined) {
-			this.#holds.set(id, {...held, filled: tokens});
+			this.#holds.set(id, {...held, filledTokens: tokens});
 		}
 	}
 
-	/** Tokens of a hold that no segment fills. */
-	room(id: string): number {
+	/** Returns the tokens of a hold that no segment occupies; 0 if the hold doesn't exist. */
+	getFreeTokens(id: string): number {
 		const held = this.#holds.get(id);
-		return held === undefined ? 0 : held.wanted.tokens - held.filled;
+		return held === undefined ? 0 : held.request.tokens - held.filledTokens;
 	}
 
-	/** The first of some holds that is here. */
-	firstOf(ids: readonly string[]): string | undefined {
+	/** Returns the first of these ids whose hold exists at this engine. */
+	findFirst(ids: readonly string[]): string | undefined {
 		return ids.find(id => this.#holds.has(id));
 	}
 }
--- a/stand-ins/engine/host.ts
+++ b/stand-ins/engine/host.ts
@@ -1,8 +1,8 @@
-/** An engine's address: it stays while incarnations of the engine come and go. */
+/** The fixed address of an engine, behind which each restart after a crash creates a new incarnation. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Address} from '../../src/core/index.js';
 import {Server} from '../common/server.js';
-import {Engine, type Surroundings} from './engine.js';
+import {Engine, type EngineOptions} from './engine.js';
 import {ExecutionLog, type Executions} from './executions.js';
 import {Faults, type Fault} from './faults.js';
 import {addRoutes} from './routes.js';
@@ -13,17 +13,17 @@
 	readonly faults = new Faults();
 	readonly #log = new ExecutionLog();
 	readonly #server: Server;
-	readonly #surroundings: Surroundings;
-	#incarnations = 0;
+	readonly #options: EngineOptions;
+	#incarnationCount = 0;
 	#engine: Engine;
-	#return: NodeJS.Timeout | undefined;
+	#restartTimer: NodeJS.Timeout | undefined;
 	#isUp = true;
 
-	constructor(settings: EngineSettings, surroundings: Omit<Surroundings, 'log'>) {
+	constructor(settings: EngineSettings, options: Omit<EngineOptions, 'log'>) {
 		this.settings = settings;
-		this.#surroundings = {...surroundings, log: this.#log};
+		this.#options = {...options, log: this.#log};
 		this.#server = new Server(settings.id, settings.listen);
-		this.#engine = this.#create();
+		this.#engine = this.#createEngine();
 		addRoutes(this.#server, this);
 	}
 
@@ -56,13 +56,9 @@
 		await this.#server.listen();
 	}
 
-	/**
-	 * Switches a fault on or off.
-	 *
-	 * @param fault - Fault wanted.
-	 */
-	async apply(fault: Fault): Promise<void> {
-		this.faults.set(fault);
+	/** Activates a fault, or ends faults with `heal`. */
+	async applyFault(fault: Fault): Promise<void> {
+		this.faults.activate(fault);
 		switch (fault.type) {
 			case 'crash': {
 				await this.crash(fault.returnAfter);
@@ -77,19 +73,19 @@
 			}
 
 			case 'hang': {
-				this.#engine.freeze();
+				this.#engine.pause();
 
 				break;
 			}
 
 			case 'heal': {
-				this.#engine.thaw();
+				this.#engine.resume();
 
 				break;
 			}
 
 			case 'lose-cache-events': {
-				this.#engine.cacheEvents.lose(fault.share);
+				this.#engine.cacheEvents.setLoss(fault.share);
 
 				break;
 			}
@@ -98,9 +94,9 @@
 	}
 
 	/**
-	 * Loses all connections and state.
+	 * Closes all connections and discards the engine's state.
 	 *
-	 * @param returnAfter - Real milliseconds until the next incarnation; none to stay away.
+	 * @param returnAfter - Real milliseconds until the next incarnation starts; without it only a `restart` fault starts one.
 	 */
 	async crash(returnAfter: number | undefined): Promise<void> {
 		if (!this.#isUp) {
@@ -112,40 +108,40 @@
 		this.#engine[Symbol.dispose]();
 		await this.#server.vanish();
 		if (returnAfter !== undefined) {
-			this.#return = setTimeout(() => {
+			this.#restartTimer = setTimeout(() => {
 				void this.#restart();
 			}, returnAfter);
 		}
 	}
 
 	/**
-	 * Takes the time that moving KV cache between engines needs.
+	 * Waits as long as the transfer of KV cache between engines takes.
 	 *
-	 * @param tokens - Prompt tokens moved.
+	 * @param tokens - Prompt tokens transferred.
 	 */
-	async transfer(tokens: number): Promise<void> {
-		await sleep(tokens / this.settings.transferRate * 1000 / this.#surroundings.timeScale);
+	async simulateTransfer(tokens: number): Promise<void> {
+		await sleep(tokens / this.settings.transferRate * 1000 / this.#options.timeScale);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		clearTimeout(this.#return);
+		clearTimeout(this.#restartTimer);
 		this.#engine[Symbol.dispose]();
 		await this.#server[Symbol.asyncDispose]();
 	}
 
 	async #restart(): Promise<void> {
-		clearTimeout(this.#return);
+		clearTimeout(this.#restartTimer);
 		if (this.#isUp) {
 			return;
 		}
 
 		this.#isUp = true;
-		this.#engine = this.#create();
+		this.#engine = this.#createEngine();
 		await this.#server.listen();
 	}
 
-	#create(): Engine {
-		const incarnation = `${this.settings.id}-${Date.now()}-${this.#incarnations++}`;
-		return new Engine(incarnation, this.settings, this.#surroundings);
+	#createEngine(): Engine {
+		const incarnation = `${this.settings.id}-${Date.now()}-${this.#incarnationCount++}`;
+		return new Engine(incarnation, this.settings, this.#options);
 	}
 }
--- a/stand-ins/engine/load-history.ts
+++ b/stand-ins/engine/load-history.ts
@@ -1,37 +1,37 @@
-/** Keeps load figures for a while, so that they can be reported late. */
+/** Keeps recent load figures, so that they can be reported with a delay. */
 import {performance} from 'node:perf_hooks';
 import {type EngineLoad} from '../../src/upstream/protocol.js';
 
-type Figures = Omit<EngineLoad, 'age'>;
-type Sample = {readonly at: number; readonly figures: Figures};
+type LoadFigures = Omit<EngineLoad, 'age'>;
+type Sample = {readonly at: number; readonly figures: LoadFigures};
 
 const samplesPerLag = 4;
-const shortestInterval = 5;
+const minSampleIntervalMs = 5;
 
 export class LoadHistory implements Disposable {
 	readonly #lag: number;
-	readonly #read: () => Figures;
+	readonly #measure: () => LoadFigures;
 	readonly #timer: NodeJS.Timeout;
 	#samples: readonly Sample[];
 
 	/**
-	 * @param lag - Age of reported figures in real milliseconds.
-	 * @param read - Reads the figures of now.
+	 * @param lag - Minimum age of reported figures in real milliseconds.
+	 * @param measure - Returns the current figures.
 	 */
-	constructor(lag: number, read: () => Figures) {
+	constructor(lag: number, measure: () => LoadFigures) {
 		this.#lag = lag;
-		this.#read = read;
-		this.#samples = [{at: performance.now(), figures: read()}];
+		this.#measure = measure;
+		this.#samples = [{at: performance.now(), figures: measure()}];
 		this.#timer = setInterval(() => {
-			this.#sample();
-		}, Math.max(lag / samplesPerLag, shortestInterval)).unref();
+			this.#addSample();
+		}, Math.max(lag / samplesPerLag, minSampleIntervalMs)).unref();
 	}
 
-	/** The newest figures that are old enough; the first ones where none are yet. */
+	/** Returns the newest figures that are at least as old as the lag, or the oldest if none are. */
 	read(): EngineLoad {
 		const now = performance.now();
 		if (this.#lag === 0) {
-			return {...this.#read(), age: 0};
+			return {...this.#measure(), age: 0};
 		}
 
 		const sample = this.#samples.findLast(each => now - each.at >= this.#lag) ?? this.#samples[0]!;
@@ -42,9 +42,9 @@
 		clearInterval(this.#timer);
 	}
 
-	#sample(): void {
+	#addSample(): void {
 		const now = performance.now();
-		const kept = this.#samples.findLastIndex(each => now - each.at >= this.#lag);
-		this.#samples = [...this.#samples.slice(Math.max(kept, 0)), {at: now, figures: this.#read()}];
+		const firstKept = this.#samples.findLastIndex(each => now - each.at >= this.#lag);
+		this.#samples = [...this.#samples.slice(Math.max(firstKept, 0)), {at: now, figures: this.#measure()}];
 	}
 }
--- a/stand-ins/engine/main.ts
+++ b/stand-ins/engine/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts engine stand-ins by hand. */
+/** Command line of the engine stand-ins. */
 import {main} from '../common/command.js';
 import {EngineProcess} from './process.js';
 import {settingsSchema} from './settings.js';
--- a/stand-ins/engine/memory.ts
+++ b/stand-ins/engine/memory.ts
@@ -1,16 +1,16 @@
-/** One engine's KV memory: tokens reserved by running requests and holds, and cached prefix blocks in what is left. */
+/** KV memory of one engine: tokens reserved by running requests and holds, and a prefix cache in the remaining space. */
 import {blockTokens} from '../../src/upstream/protocol.js';
 
 export type CacheChangeType = 'stored' | 'evicted' | 'cleared';
 
-/** Told of each change of the prefix cache. */
+/** Called on each change of the prefix cache. */
 export type CacheListener = (type: CacheChangeType, blocks: readonly string[]) => void;
 
 export class Memory {
 	readonly #capacity: number;
 	readonly #listener: CacheListener;
 	readonly #reserved = new Map<string, number>();
-	/** Oldest use first. */
+	/** Hashes of cached blocks, least recently used first. */
 	readonly #blocks = new Set<string>();
 	#used = 0;
 
@@ -23,7 +23,7 @@
 		return this.#capacity;
 	}
 
-	/** Tokens reserved, the prefix cache left out. */
+	/** Reserved tokens, without the prefix cache. */
 	get used(): number {
 		return this.#used;
 	}
@@ -33,11 +33,11 @@
 	}
 
 	/**
-	 * Reserves tokens for an owner that has none yet; cached blocks give way.
+	 * Reserves tokens for an owner, evicting cached blocks where needed.
 	 *
-	 * @param owner - Attempt or hold.
-	 * @param tokens - Tokens wanted.
-	 * @returns Whether they were free.
+	 * @param owner - Attempt, segment or hold.
+	 * @param tokens - Tokens to reserve.
+	 * @returns Whether they were reserved; false if too few are free or the owner already has a reservation.
 	 */
 	reserve(owner: string, tokens: number): boolean {
 		if (this.#used + tokens > this.#capacity || this.#reserved.has(owner)) {
@@ -46,67 +46,64 @@
 
 		this.#reserved.set(owner, tokens);
 		this.#used += tokens;
-		this.#shrink();
+		this.#evictSurplus();
 		return true;
 	}
 
-	/**
-	 * Gives back what an owner reserved; harmless if it has nothing.
-	 *
-	 * @param owner - Attempt or hold.
-	 */
+	/** Releases the reservation of an owner; does nothing if it has none. */
 	release(owner: string): void {
 		this.#used -= this.#reserved.get(owner) ?? 0;
 		this.#reserved.delete(owner);
 	}
 
 	/**
-	 * Counts the cached blocks that begin a prompt, and marks them as used.
+	 * Finds the longest cached prefix of a prompt and marks its blocks as used.
 	 *
-	 * @param blocks - Chained hashes, first block first.
-	 * @returns Leading blocks in the cache.
+	 * @param blocks - Chained block hashes of the prompt, in order.
+	 * @returns Number of cached blocks.
 	 */
-	match(blocks: readonly string[]): number {
-		const miss = blocks.findIndex(block => !this.#blocks.has(block));
-		const count = miss === -1 ? blocks.length : miss;
-		this.#touch(blocks.slice(0, count));
+	matchPrefix(blocks: readonly string[]): number {
+		const firstMiss = blocks.findIndex(block => !this.#blocks.has(block));
+		const count = firstMiss === -1 ? blocks.length : firstMiss;
+		this.#markUsed(blocks.slice(0, count));
 		return count;
 	}
 
 	/**
-	 * Caches a prompt's blocks as far as they fit; the least recently used give way.
+	 * Caches the leading blocks of a prompt that fit, evicting the least recently used others.
 	 *
-	 * @param blocks - Chained hashes, first block first.
+	 * @param blocks - Chained block hashes of the prompt, in order.
 	 */
 	store(blocks: readonly string[]): void {
-		const room = Math.floor((this.#capacity - this.#used) / blockTokens);
-		const kept = blocks.slice(0, Math.max(room, 0));
-		const fresh = kept.filter(block => !this.#blocks.has(block));
-		this.#touch(kept);
-		if (fresh.length > 0) {
-			this.#listener('stored', fresh);
+		const freeBlocks = Math.floor((this.#capacity - this.#used) / blockTokens);
+		const fittingBlocks = blocks.slice(0, Math.max(freeBlocks, 0));
+		const newBlocks = fittingBlocks.filter(block => !this.#blocks.has(block));
+		this.#markUsed(fittingBlocks);
+		if (newBlocks.length > 0) {
+			this.#listener('stored', newBlocks);
 		}
 
-		this.#shrink();
+		this.#evictSurplus();
 	}
 
-	/** Drops the whole prefix cache. */
+	/** Clears the prefix cache. */
 	clear(): void {
 		this.#blocks.clear();
 		this.#listener('cleared', []);
 	}
 
-	/** The first block of a prompt is marked last, so that a prefix outlives what continues it. */
-	#touch(blocks: readonly string[]): void {
+	/** Marks the first block last, so that a prefix is evicted after the blocks that continue it. */
+	#markUsed(blocks: readonly string[]): void {
 		for (const block of blocks.toReversed()) {
 			this.#blocks.delete(block);
 			this.#blocks.add(block);
 		}
 	}
 
-	#shrink(): void {
-		const room = Math.floor((this.#capacity - this.#used) / blockTokens);
-		const surplus = this.#blocks.size - room;
+	/** Evicts the least recently used blocks that no longer fit beside the reservations. */
+	#evictSurplus(): void {
+		const freeBlocks = Math.floor((this.#capacity - this.#used) / blockTokens);
+		const surplus = this.#blocks.size - freeBlocks;
 		if (surplus <= 0) {
 			return;
 		}
--- a/stand-ins/engine/orders.ts
+++ b/stand-ins/engine/orders.ts
@@ -1,31 +1,30 @@
-/** What an engine holds and loads, and the orders that change it. */
+/** Tracks which model and adapters an engine has loaded, and applies the fenced orders that change them. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import got from 'got';
 import {type Address, type OrderNumber, type Target} from '../../src/core/index.js';
 import {type OrderBody, type OrderState} from '../../src/upstream/protocol.js';
 import {type EngineSettings} from './settings.js';
 
-/** The engine whose state orders change. */
-export type Ordered = {
-	/** Resolves when no request runs any more. */
-	readonly drained: () => Promise<void>;
-	/** Told when another model or version was loaded. */
+/** Hooks into the engine that the orders apply to. */
+export type OrdersOptions = {
+	/** Resolves once no request is running or waiting. */
+	readonly waitForDrain: () => Promise<void>;
+	/** Called after another model or version was loaded. */
 	readonly replaced: () => void;
 };
 
-export type OrderAnswer = {
+export type OrderResult = {
 	readonly accepted: boolean;
-	readonly seen: OrderNumber | undefined;
+	/** Highest order number accepted so far; undefined without fencing. */
+	readonly highest: OrderNumber | undefined;
 };
 
-const retryInterval = 200;
-const tooMany = 429;
+/** In engine time. */
+const retryIntervalMs = 200;
+/** Stands for a failed connection, so that the load is retried. */
+const tooManyRequests = 429;
 
-/**
- * @param first - Fencing number.
- * @param second - Fencing number.
- * @returns Whether the first is older.
- */
+/** Returns whether the first fencing number is lower than the second; host names break ties. */
 export function isOlder(first: OrderNumber, second: OrderNumber): boolean {
 	return first.counter < second.counter || (first.counter === second.counter && first.host < second.host);
 }
@@ -38,16 +37,16 @@
 	readonly #settings: EngineSettings;
 	readonly #timeScale: number;
 	readonly #weightStore: Address | undefined;
-	readonly #ordered: Ordered;
+	readonly #options: OrdersOptions;
 	#current: Target | undefined;
 	#loading: Target | undefined;
 	#highest: OrderNumber | undefined;
 
-	constructor(settings: EngineSettings, timeScale: number, weightStore: Address | undefined, ordered: Ordered) {
+	constructor(settings: EngineSettings, timeScale: number, weightStore: Address | undefined, options: OrdersOptions) {
 		this.#settings = settings;
 		this.#timeScale = timeScale;
 		this.#weightStore = weightStore;
-		this.#ordered = ordered;
+		this.#options = options;
 		this.#current = settings.target;
 	}
 
@@ -63,26 +62,18 @@
 		return this.#highest;
 	}
 
-	/**
-	 * @param incarnation - Engine incarnation.
-	 * @returns The state that is published, fresh.
-	 */
-	state(incarnation: string): OrderState {
+	/** Returns the current state, without the lag of load figures. */
+	getState(incarnation: string): OrderState {
 		return {
 			incarnation, highest: this.#highest, current: this.#current, loading: this.#loading,
 		};
 	}
 
-	/**
-	 * Takes an order, unless the engine checks numbers and has seen a higher one.
-	 *
-	 * @param order - Order received.
-	 * @returns Whether it was taken, and the highest number seen.
-	 */
-	take(order: OrderBody): OrderAnswer {
+	/** Applies an order, unless fencing is enabled and an order with a higher number was accepted before. */
+	apply(order: OrderBody): OrderResult {
 		if (this.#settings.fencing) {
 			if (this.#highest !== undefined && isOlder(order.number, this.#highest)) {
-				return {accepted: false, seen: this.#highest};
+				return {accepted: false, highest: this.#highest};
 			}
 
 			this.#highest = order.number;
@@ -92,20 +83,20 @@
 			void this.#load(order.target);
 		}
 
-		return {accepted: true, seen: this.#highest};
+		return {accepted: true, highest: this.#highest};
 	}
 
-	/** A later order replaces one that is still loading. */
+	/** Loads a target once the engine is drained. A later order supersedes a load still in progress. */
 	async #load(target: Target): Promise<void> {
-		const wanted = this.#loading ?? this.#current;
-		if (JSON.stringify(wanted) === JSON.stringify(target)) {
+		const requested = this.#loading ?? this.#current;
+		if (JSON.stringify(requested) === JSON.stringify(target)) {
 			return;
 		}
 
 		this.#loading = target;
-		await this.#ordered.drained();
+		await this.#options.waitForDrain();
 		const isReplacement = !hasSameWeights(this.#current, target);
-		await this.#fetch(target, isReplacement);
+		await this.#fetchWeights(target, isReplacement);
 		if (this.#loading !== target) {
 			return;
 		}
@@ -113,25 +104,25 @@
 		this.#current = target;
 		this.#loading = undefined;
 		if (isReplacement) {
-			this.#ordered.replaced();
+			this.#options.replaced();
 		}
 	}
 
-	async #fetch(target: Target, isReplacement: boolean): Promise<void> {
-		const known = isReplacement ? [] : this.#current?.adapters ?? [];
-		const adapters = target.adapters.filter(each => !known.includes(each));
+	async #fetchWeights(target: Target, isReplacement: boolean): Promise<void> {
+		const loadedAdapters = isReplacement ? [] : this.#current?.adapters ?? [];
+		const missingAdapters = target.adapters.filter(each => !loadedAdapters.includes(each));
 		if (isReplacement) {
 			await this.#download(target.model, target.version, target);
 			await sleep(this.#settings.loadTime / this.#timeScale);
 		}
 
-		for (const adapter of adapters) {
+		for (const adapter of missingAdapters) {
 			await this.#download(adapter, target.version, target);
 			await sleep(this.#settings.adapterTime / this.#timeScale);
 		}
 	}
 
-	/** Asks the store until it answers, or until another order has come. */
+	/** Retries until the weight store serves the weights or another order supersedes the load. */
 	async #download(name: string, version: string, target: Target): Promise<void> {
 		const store = this.#weightStore;
 		if (store === undefined) {
@@ -141,12 +132,12 @@
 		while (this.#loading === target) {
 			const status = await got(`http://${store.host}:${store.port}/v1/weights/${name}/${version}`, {
 				throwHttpErrors: false, retry: {limit: 0},
-			}).then(answer => answer.statusCode, () => tooMany);
+			}).then(answer => answer.statusCode, () => tooManyRequests);
 			if (status === 200) {
 				return;
 			}
 
-			await sleep(retryInterval / this.#timeScale);
+			await sleep(retryIntervalMs / this.#timeScale);
 		}
 	}
 }
--- a/stand-ins/engine/process.ts
+++ b/stand-ins/engine/process.ts
@@ -1,4 +1,4 @@
-/** Several engines in one process, each on its own port, with one control server for tests. */
+/** Runs several engines in one process, each on its own port, with one control server through which tests inject faults. */
 import {z} from 'zod';
 import {answerJson, readText, Server} from '../common/server.js';
 import {type Running} from '../common/command.js';
@@ -6,15 +6,15 @@
 import {EngineHost} from './host.js';
 import {type Settings} from './settings.js';
 
-/** Body of `POST /control`; without an engine the fault is for all. */
+/** Body of `POST /control`; without `engine` the fault applies to every engine. */
 export const controlSchema = z.object({engine: z.string().optional(), fault: faultSchema});
 
 export type Control = z.infer<typeof controlSchema>;
 
 export class EngineProcess implements Running {
 	/**
-	 * @param settings - Checked settings.
-	 * @returns The engines, listening.
+	 * @param settings - Validated settings.
+	 * @returns The engines, already listening.
 	 */
 	static async start(settings: Settings): Promise<EngineProcess> {
 		const started = new EngineProcess(settings);
@@ -30,7 +30,7 @@
 		this.#hosts = settings.engines.map((each, index) =>
 			new EngineHost(each, {timeScale, seed: seed + index, weightStore}));
 		this.#control = new Server('engine-control', settings.control);
-		this.#addControl();
+		this.#addControlRoutes();
 	}
 
 	get hosts(): readonly EngineHost[] {
@@ -48,22 +48,22 @@
 		await Promise.all([this.#control, ...this.#hosts].map(async each => each[Symbol.asyncDispose]()));
 	}
 
-	#chosen(id: string | undefined): readonly EngineHost[] {
+	#selectHosts(id: string | undefined): readonly EngineHost[] {
 		return id === undefined ? this.#hosts : this.#hosts.filter(each => each.id === id);
 	}
 
-	#addControl(): void {
+	#addControlRoutes(): void {
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
 			const {engine, fault} = controlSchema.parse(JSON.parse(await readText(incoming)));
-			await Promise.all(this.#chosen(engine).map(async each => each.apply(fault)));
+			await Promise.all(this.#selectHosts(engine).map(async each => each.applyFault(fault)));
 			answerJson(outgoing, 204);
 		});
 		this.#control.route('get', '/control/counters', async ({outgoing}) => {
 			answerJson(outgoing, 200, {engines: this.#hosts.map(({id, log}) => ({engine: id, counters: log.counters}))});
 		});
 		this.#control.route('get', '/control/executions', async ({outgoing, query}) => {
-			const chosen = this.#chosen(query.get('engine') ?? undefined);
-			answerJson(outgoing, 200, {engines: chosen.map(each => each.executions)});
+			const selected = this.#selectHosts(query.get('engine') ?? undefined);
+			answerJson(outgoing, 200, {engines: selected.map(each => each.executions)});
 		});
 	}
 }
--- a/stand-ins/engine/routes.ts
+++ b/stand-ins/engine/routes.ts
@@ -1,4 +1,4 @@
-/** The engine's routes, as src/upstream/protocol.ts describes them. */
+/** HTTP routes of an engine, as described in src/upstream/protocol.ts. */
 import {Buffer} from 'node:buffer';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {performance} from 'node:perf_hooks';
@@ -11,18 +11,18 @@
 import {type Attempt} from './attempt.js';
 import {type Refusal} from './engine.js';
 import {type EngineHost} from './host.js';
-import {readRun, wantedSchema} from './run.js';
-import {StreamSubscriber, WholeSubscriber} from './subscriber.js';
+import {parseChatRequest, taskSchema} from './chat-request.js';
+import {StreamSubscriber, JsonSubscriber} from './subscriber.js';
 
-const pollInterval = 10;
-const longestWait = 60_000;
+const pollIntervalMs = 10;
+const maxWaitMs = 60_000;
 
 function isRefusal(outcome: Attempt | Refusal): outcome is Refusal {
 	return 'type' in outcome;
 }
 
-/** Runs a request unless a fault refuses it. */
-function chat(host: EngineHost): Answer {
+/** Runs a chat request, unless a fault or the engine refuses it. */
+function createChatHandler(host: EngineHost): Answer {
 	return async call => {
 		const body = await readText(call.incoming);
 		const status = host.faults.takeRefusal();
@@ -32,7 +32,7 @@
 			return;
 		}
 
-		const {run, isStream} = readRun(call.incoming, body, host);
+		const {run, isStream} = parseChatRequest(call.incoming, body, host);
 		const outcome = host.engine.run(run);
 		if (isRefusal(outcome)) {
 			host.log.count('refused');
@@ -40,13 +40,13 @@
 			return;
 		}
 
-		await outcome.follow(isStream
+		await outcome.subscribe(isStream
 			? new StreamSubscriber(call.outgoing, 0, host.faults)
-			: new WholeSubscriber(call.outgoing));
+			: new JsonSubscriber(call.outgoing));
 	};
 }
 
-function resume(host: EngineHost): Answer {
+function createResumeHandler(host: EngineHost): Answer {
 	return async ({outgoing, parameters, query}) => {
 		const attempt = host.engine.attempt(parameters.attempt!);
 		if (attempt === undefined || attempt.status === 'cancelled' || attempt.status === 'exported') {
@@ -54,18 +54,18 @@
 			return;
 		}
 
-		await attempt.follow(new StreamSubscriber(outgoing, Number(query.get('offset') ?? 0), host.faults));
+		await attempt.subscribe(new StreamSubscriber(outgoing, Number(query.get('offset') ?? 0), host.faults));
 	};
 }
 
-/** Waits for the first visible change, up to the time that the caller gives. */
-function cacheEvents(host: EngineHost): Answer {
+/** Long poll: waits until a change is visible, at most for the time in the `wait` parameter. */
+function createCacheEventsHandler(host: EngineHost): Answer {
 	return async ({outgoing, query}) => {
 		const since = Number(query.get('since') ?? 0);
-		const end = performance.now() + Math.min(Number(query.get('wait') ?? 0), longestWait);
+		const deadline = performance.now() + Math.min(Number(query.get('wait') ?? 0), maxWaitMs);
 		let events = host.engine.cacheEvents.read(since, performance.now());
-		while (events.changes.length === 0 && performance.now() < end && !outgoing.destroyed) {
-			await sleep(pollInterval);
+		while (events.changes.length === 0 && performance.now() < deadline && !outgoing.destroyed) {
+			await sleep(pollIntervalMs);
 			events = host.engine.cacheEvents.read(since, performance.now());
 		}
 
@@ -73,19 +73,19 @@
 	};
 }
 
-function takeHold(host: EngineHost): Answer {
+function createHoldHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing, parameters}) => {
-		const wanted = holdWantedSchema.parse(JSON.parse(await readText(incoming)));
-		const isHeld = host.engine.hold(parameters.hold!, wanted);
+		const request = holdWantedSchema.parse(JSON.parse(await readText(incoming)));
+		const isHeld = host.engine.hold(parameters.hold!, request);
 		if (isHeld) {
-			answerJson(outgoing, 201, {hold: parameters.hold, tokens: wanted.tokens});
+			answerJson(outgoing, 201, {hold: parameters.hold, tokens: request.tokens});
 		} else {
 			answerError(outgoing, 409, 'no-memory', 'the memory is in use');
 		}
 	};
 }
 
-function prefill(host: EngineHost): Answer {
+function createPrefillHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing, parameters}) => {
 		const work = segmentSchema.parse(JSON.parse(await readText(incoming)));
 		const isDone = await host.engine.prefill(parameters.hold!, work);
@@ -97,7 +97,7 @@
 	};
 }
 
-function exportAttempt(host: EngineHost): Answer {
+function createExportHandler(host: EngineHost): Answer {
 	return async ({outgoing, parameters}) => {
 		const exported = host.engine.export(parameters.attempt!);
 		if (exported === undefined) {
@@ -105,56 +105,53 @@
 			return;
 		}
 
-		await host.transfer(exported.prompt);
+		await host.simulateTransfer(exported.prompt);
 		answerJson(outgoing, 200, exported);
 	};
 }
 
-function importAttempt(host: EngineHost): Answer {
+function createImportHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing}) => {
 		const exported = exportSchema.parse(JSON.parse(await readText(incoming)));
-		const wanted = wantedSchema.parse(JSON.parse(Buffer.from(exported.cache, 'base64').toString('utf8')));
-		await host.transfer(exported.prompt);
-		const attempt = host.engine.import(exported, wanted);
+		const task = taskSchema.parse(JSON.parse(Buffer.from(exported.cache, 'base64').toString('utf8')));
+		await host.simulateTransfer(exported.prompt);
+		const attempt = host.engine.import(exported, task);
 		if (attempt === undefined) {
 			answerError(outgoing, 409, 'no-memory', 'the memory is in use or the attempt is here');
 			return;
 		}
 
-		await attempt.follow(new StreamSubscriber(outgoing, exported.offset, host.faults));
+		await attempt.subscribe(new StreamSubscriber(outgoing, exported.offset, host.faults));
 	};
 }
 
-function order(host: EngineHost): Answer {
+function createOrderHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing}) => {
-		const {accepted, seen} = host.engine.orders.take(orderSchema.parse(JSON.parse(await readText(incoming))));
-		answerJson(outgoing, accepted ? 200 : 409, {highest: seen});
+		const {accepted, highest} = host.engine.orders.apply(orderSchema.parse(JSON.parse(await readText(incoming))));
+		answerJson(outgoing, accepted ? 200 : 409, {highest});
 	};
 }
 
-/** Lets hangs and delays come before every answer. */
-function withFaults(host: EngineHost, answer: Answer): Answer {
+/** Applies `hang` and `late` faults before a route is handled. */
+function withFaults(host: EngineHost, handler: Answer): Answer {
 	return async (call: Call) => {
-		await host.faults.opened();
+		await host.faults.waitWhileHanging();
 		if (host.faults.late > 0) {
 			await sleep(host.faults.late);
 		}
 
-		await answer(call);
+		await handler(call);
 	};
 }
 
-/**
- * @param server - The engine's server.
- * @param host - The engine.
- */
+/** Adds the routes of an engine to its server. */
 export function addRoutes(server: Server, host: EngineHost): void {
-	const add = (method: Parameters<Server['route']>[0], path: string, answer: Answer): void => {
-		server.route(method, path, withFaults(host, answer));
+	const add = (method: Parameters<Server['route']>[0], path: string, handler: Answer): void => {
+		server.route(method, path, withFaults(host, handler));
 	};
 
-	add('post', '/v1/chat/completions', chat(host));
-	add('get', '/v1/attempts/:attempt', resume(host));
+	add('post', '/v1/chat/completions', createChatHandler(host));
+	add('get', '/v1/attempts/:attempt', createResumeHandler(host));
 	add('del', '/v1/attempts/:attempt', async ({outgoing, parameters}) => {
 		host.engine.cancel(parameters.attempt!);
 		answerJson(outgoing, 204);
@@ -162,20 +159,20 @@
 	add('get', '/v1/load', async ({outgoing}) => {
 		answerJson(outgoing, 200, host.engine.load);
 	});
-	add('get', '/v1/cache-events', cacheEvents(host));
+	add('get', '/v1/cache-events', createCacheEventsHandler(host));
 	add('get', '/v1/holds', async ({outgoing}) => {
 		answerJson(outgoing, 200, host.engine.holds);
 	});
-	add('put', '/v1/holds/:hold', takeHold(host));
+	add('put', '/v1/holds/:hold', createHoldHandler(host));
 	add('del', '/v1/holds/:hold', async ({outgoing, parameters}) => {
 		host.engine.release(parameters.hold!);
 		answerJson(outgoing, 204);
 	});
-	add('post', '/v1/segments/:hold', prefill(host));
-	add('post', '/v1/kv/export/:attempt', exportAttempt(host));
-	add('post', '/v1/kv/import', importAttempt(host));
-	add('post', '/v1/orders', order(host));
+	add('post', '/v1/segments/:hold', createPrefillHandler(host));
+	add('post', '/v1/kv/export/:attempt', createExportHandler(host));
+	add('post', '/v1/kv/import', createImportHandler(host));
+	add('post', '/v1/orders', createOrderHandler(host));
 	add('get', '/v1/orders', async ({outgoing}) => {
-		answerJson(outgoing, 200, host.engine.orders.state(host.engine.incarnation));
+		answerJson(outgoing, 200, host.engine.orders.getState(host.engine.incarnation));
 	});
 }
--- a/stand-ins/engine/subscriber.ts
+++ b/stand-ins/engine/subscriber.ts
@@ -1,21 +1,21 @@
-/** A connection that follows an attempt, as an event stream or as one whole answer. */
+/** Connections subscribed to an attempt, answered by an event stream or by one JSON response. */
 import {type Response as Outgoing} from 'restify';
 import {type Frame} from '../../src/upstream/protocol.js';
 import {answerJson} from '../common/server.js';
 import {answerText} from './answer.js';
-import {endEvent, eventOf, type Attempt} from './attempt.js';
+import {endEvent, formatEvent, type Attempt} from './attempt.js';
 import {type Faults} from './faults.js';
 
 export type Subscriber = {
-	/** Resolves when the connection needs the attempt no longer. */
+	/** Resolves when the response is finished or the connection is closed. */
 	readonly closed: Promise<void>;
-	/** Sends what is new. */
-	readonly pump: (attempt: Attempt) => void;
-	/** Breaks the connection off. */
+	/** Sends what was decoded since the last call. */
+	readonly sendPending: (attempt: Attempt) => void;
+	/** Closes the connection without finishing the response. */
 	readonly cut: () => void;
 };
 
-async function closing(outgoing: Outgoing): Promise<void> {
+async function waitForClose(outgoing: Outgoing): Promise<void> {
 	return new Promise(resolve => {
 		outgoing.once('close', resolve);
 		outgoing.once('finish', resolve);
@@ -25,23 +25,24 @@
 	});
 }
 
-/** Sends an event stream; heeds back pressure. */
+/** Sends an event stream, respecting backpressure. */
 export class StreamSubscriber implements Subscriber {
 	readonly closed: Promise<void>;
 	readonly #outgoing: Outgoing;
 	readonly #faults: Faults;
 	readonly #cutAfter: number | undefined;
-	#next: number;
-	#sent = 0;
+	#nextOffset: number;
+	#sentFrames = 0;
 	#isBlocked = false;
-	#heldBack: string | undefined;
+	/** Event of a `reorder` fault, sent after the next one. */
+	#delayedEvent: string | undefined;
 
 	constructor(outgoing: Outgoing, offset: number, faults: Faults) {
 		this.#outgoing = outgoing;
-		this.#next = offset;
+		this.#nextOffset = offset;
 		this.#faults = faults;
 		this.#cutAfter = faults.takeCut();
-		this.closed = closing(outgoing);
+		this.closed = waitForClose(outgoing);
 		outgoing.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store'});
 		outgoing.flushHeaders();
 	}
@@ -50,65 +51,65 @@
 		this.#outgoing.destroy();
 	}
 
-	pump(attempt: Attempt): void {
+	sendPending(attempt: Attempt): void {
 		if (this.#isBlocked || this.#outgoing.destroyed || this.#outgoing.writableEnded) {
 			return;
 		}
 
-		const text = this.#collect(attempt);
+		const text = this.#formatPending(attempt);
 		if (text !== '') {
 			this.#write(text, attempt);
 		}
 
-		if (this.#cutAfter !== undefined && this.#sent >= this.#cutAfter) {
+		if (this.#cutAfter !== undefined && this.#sentFrames >= this.#cutAfter) {
 			this.#outgoing.socket?.end();
 			return;
 		}
 
-		if (attempt.status === 'finished' && this.#next >= attempt.produced) {
+		if (attempt.status === 'finished' && this.#nextOffset >= attempt.produced) {
 			this.#outgoing.end(endEvent);
 		}
 	}
 
-	#collect(attempt: Attempt): string {
-		const allowed = (this.#cutAfter ?? Number.MAX_SAFE_INTEGER) - this.#sent;
-		const until = Math.min(attempt.produced, this.#next + allowed);
+	#formatPending(attempt: Attempt): string {
+		const allowedFrames = (this.#cutAfter ?? Number.MAX_SAFE_INTEGER) - this.#sentFrames;
+		const endOffset = Math.min(attempt.produced, this.#nextOffset + allowedFrames);
 		let text = '';
-		for (; this.#next < until; this.#next++) {
-			text += this.#eventFor(attempt.frame(this.#next));
-			this.#sent++;
+		for (; this.#nextOffset < endOffset; this.#nextOffset++) {
+			text += this.#formatFrame(attempt.createFrame(this.#nextOffset));
+			this.#sentFrames++;
 		}
 
-		return text + (attempt.status === 'finished' ? this.#takeHeldBack() : '');
+		return text + (attempt.status === 'finished' ? this.#takeDelayedEvent() : '');
 	}
 
-	#eventFor(frame: Frame): string {
-		const event = eventOf(frame);
+	#formatFrame(frame: Frame): string {
+		const event = formatEvent(frame);
 		switch (this.#faults.takeFrameFault()) {
 			case 'cross': {
 				const choices = [{index: 0, delta: {content: 'crossed '}, finish_reason: null}];
-				return eventOf({attempt: `crossed-${frame.attempt}`, offset: frame.offset, choices});
+				return formatEvent({attempt: `crossed-${frame.attempt}`, offset: frame.offset, choices});
 			}
 
 			case 'repeat': {
-				return event + event + this.#takeHeldBack();
+				return event + event + this.#takeDelayedEvent();
 			}
 
 			case 'reorder': {
-				const earlier = this.#takeHeldBack();
-				this.#heldBack = event;
-				return earlier;
+				const previousEvent = this.#takeDelayedEvent();
+				this.#delayedEvent = event;
+				return previousEvent;
 			}
 
 			default: {
-				return event + this.#takeHeldBack();
+				return event + this.#takeDelayedEvent();
 			}
 		}
 	}
 
-	#takeHeldBack(): string {
-		const event = this.#heldBack ?? '';
-		this.#heldBack = undefined;
+	#takeDelayedEvent(): string {
+		const event = this.#delayedEvent ?? '';
+		this.#delayedEvent = undefined;
 		return event;
 	}
 
@@ -120,31 +121,31 @@
 		this.#isBlocked = true;
 		this.#outgoing.once('drain', () => {
 			this.#isBlocked = false;
-			this.pump(attempt);
+			this.sendPending(attempt);
 		});
 	}
 }
 
-/** Sends the whole answer once it is there. */
-export class WholeSubscriber implements Subscriber {
+/** Sends the complete answer as JSON once the attempt is finished. */
+export class JsonSubscriber implements Subscriber {
 	readonly closed: Promise<void>;
 	readonly #outgoing: Outgoing;
 
 	constructor(outgoing: Outgoing) {
 		this.#outgoing = outgoing;
-		this.closed = closing(outgoing);
+		this.closed = waitForClose(outgoing);
 	}
 
 	cut(): void {
 		this.#outgoing.destroy();
 	}
 
-	pump(attempt: Attempt): void {
+	sendPending(attempt: Attempt): void {
 		if (attempt.status !== 'finished') {
 			return;
 		}
 
-		const {id, digest, output, promptTokens} = attempt.wanted;
+		const {id, digest, output, promptTokens} = attempt.task;
 		answerJson(this.#outgoing, 200, {
 			id,
 			object: 'chat.completion',
--- a/stand-ins/plain/faults.ts
+++ b/stand-ins/plain/faults.ts
@@ -1,33 +1,34 @@
-/** Faults that tests switch on at a plain service. */
+/** Faults that tests inject into a plain service. */
 import {z} from 'zod';
 import {millisecondsSchema} from '../common/settings.js';
 
 const count = z.number().int().positive().default(1);
 
-/** Times are real milliseconds. */
+/** Durations are real milliseconds. */
 export const faultSchema = z.discriminatedUnion('type', [
-	/** Answers an error before executing. */
+	/** Sends an error without executing. */
 	z.object({type: z.literal('refuse'), status: z.number().int().min(400).max(599).default(503), count}),
-	/** Executes and then answers an error. */
+	/** Executes, then sends an error. */
 	z.object({type: z.literal('fail-after'), status: z.number().int().min(400).max(599).default(500), count}),
-	/** Executes and then drops the connection without an answer. */
+	/** Executes, then closes the connection without a response. */
 	z.object({type: z.literal('drop-after'), count}),
-	/** Drops the connection before executing. */
+	/** Closes the connection without executing. */
 	z.object({type: z.literal('drop-before'), count}),
-	/** Executes and answers nothing until healed. */
+	/** Executes, but sends no response until healed. */
 	z.object({type: z.literal('hang')}),
-	/** Executes and answers later. */
+	/** Executes, then delays the response. */
 	z.object({type: z.literal('late'), delay: millisecondsSchema}),
-	/** Drops every connection; comes back on the same port, or never. */
+	/** Closes every connection; listens again on the same port after `returnAfter`, if given. */
 	z.object({type: z.literal('crash'), returnAfter: millisecondsSchema.optional()}),
+	/** Restarts a crashed service at once. */
 	z.object({type: z.literal('restart')}),
-	/** Crashes when it executes a body with the marker. */
+	/** Crashes when it executes a request whose body contains the marker. */
 	z.object({type: z.literal('poison'), marker: z.string().min(1), returnAfter: millisecondsSchema.default(500)}),
-	/** Ends every fault but a crash. */
+	/** Ends every fault except a crash. */
 	z.object({type: z.literal('heal')}),
 ]);
 
 export type Fault = z.infer<typeof faultSchema>;
 
-/** What happens to one call. */
+/** Fault that affects a limited number of calls. */
 export type CallFault = Extract<Fault, {count: number}>;
--- a/stand-ins/plain/main.ts
+++ b/stand-ins/plain/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts a plain service stand-in by hand. */
+/** Command line of the plain service stand-in. */
 import {main} from '../common/command.js';
 import {PlainService, settingsSchema} from './service.js';
 
--- a/stand-ins/plain/service.ts
+++ b/stand-ins/plain/service.ts
@@ -1,4 +1,4 @@
-/** A plain service that answers any path and counts what it executes. */
+/** A plain HTTP service that responds on any path and counts its executions. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
 import {shortDigest} from '../../src/protocol/blocks.js';
@@ -14,15 +14,16 @@
 	id: z.string().min(1),
 	listen: listenSchema.prefault({}),
 	control: listenSchema.prefault({}),
-	/** Time that each call takes, in real milliseconds. */
+	/** Duration of each call in real milliseconds. */
 	duration: millisecondsSchema.default(2),
 }).readonly();
 
 export const countsSchema = z.object({
 	service: z.string(),
 	executed: z.number(),
-	/** Executions by Idempotency-Key and by body digest. */
+	/** Executions by Idempotency-Key. */
 	byKey: z.record(z.string(), z.number()),
+	/** Executions by digest of the request body. */
 	byBody: z.record(z.string(), z.number()),
 });
 
@@ -37,8 +38,8 @@
 
 export class PlainService implements Running {
 	/**
-	 * @param settings - Checked settings.
-	 * @returns The service, listening.
+	 * @param settings - Validated settings.
+	 * @returns The service, already listening.
 	 */
 	static async start(settings: Settings): Promise<PlainService> {
 		const started = new PlainService(settings);
@@ -54,10 +55,11 @@
 	readonly #byKey = new Map<string, number>();
 	readonly #byBody = new Map<string, number>();
 	#executed = 0;
-	#due: readonly CallFault[] = [];
-	#late = 0;
+	#dueFaults: readonly CallFault[] = [];
+	/** Extra delay before each response, in real milliseconds. */
+	#delay = 0;
 	#poisons: ReadonlyArray<Extract<Fault, {type: 'poison'}>> = [];
-	#return: NodeJS.Timeout | undefined;
+	#restartTimer: NodeJS.Timeout | undefined;
 	#isUp = true;
 
 	private constructor(settings: Settings) {
@@ -65,11 +67,11 @@
 		this.#server = new Server(settings.id, settings.listen);
 		this.#control = new Server(`${settings.id}-control`, settings.control);
 		for (const method of methods) {
-			this.#server.route(method, '/*', async call => this.#answer(call));
+			this.#server.route(method, '/*', async call => this.#handleCall(call));
 		}
 
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
-			await this.#apply(faultSchema.parse(JSON.parse(await readText(incoming))));
+			await this.#applyFault(faultSchema.parse(JSON.parse(await readText(incoming))));
 			answerJson(outgoing, 204);
 		});
 		this.#control.route('get', '/control/executions', async ({outgoing}) => {
@@ -91,14 +93,14 @@
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		clearTimeout(this.#return);
+		clearTimeout(this.#restartTimer);
 		this.#gate.open();
 		await Promise.all([this.#server[Symbol.asyncDispose](), this.#control[Symbol.asyncDispose]()]);
 	}
 
-	async #answer({incoming, outgoing}: Call): Promise<void> {
+	async #handleCall({incoming, outgoing}: Call): Promise<void> {
 		const body = await readText(incoming);
-		const fault = this.#takeDue();
+		const fault = this.#takeDueFault();
 		if (fault?.type === 'refuse') {
 			answerError(outgoing, fault.status, 'refused', 'refused on demand');
 			return;
@@ -111,8 +113,8 @@
 
 		const key = header(incoming, 'idempotency-key');
 		this.#execute(key, body);
-		await sleep(this.#settings.duration + this.#late);
-		await this.#gate.opened();
+		await sleep(this.#settings.duration + this.#delay);
+		await this.#gate.waitUntilOpen();
 		if (fault?.type === 'drop-after') {
 			outgoing.destroy();
 			return;
@@ -141,25 +143,25 @@
 		}
 	}
 
-	/** Takes one use of the first fault that is due. */
-	#takeDue(): CallFault | undefined {
-		const [first, ...rest] = this.#due;
+	/** Consumes one occurrence of the first pending fault. */
+	#takeDueFault(): CallFault | undefined {
+		const [first, ...rest] = this.#dueFaults;
 		if (first !== undefined) {
-			this.#due = first.count > 1 ? [{...first, count: first.count - 1}, ...rest] : rest;
+			this.#dueFaults = first.count > 1 ? [{...first, count: first.count - 1}, ...rest] : rest;
 		}
 
 		return first;
 	}
 
-	async #apply(fault: Fault): Promise<void> {
+	async #applyFault(fault: Fault): Promise<void> {
 		switch (fault.type) {
 			case 'hang': {
-				this.#gate.shut();
+				this.#gate.close();
 				break;
 			}
 
 			case 'late': {
-				this.#late = fault.delay;
+				this.#delay = fault.delay;
 				break;
 			}
 
@@ -184,15 +186,15 @@
 			}
 
 			default: {
-				this.#due = [...this.#due, fault];
+				this.#dueFaults = [...this.#dueFaults, fault];
 			}
 		}
 	}
 
 	#heal(): void {
 		this.#gate.open();
-		this.#late = 0;
-		this.#due = [];
+		this.#delay = 0;
+		this.#dueFaults = [];
 		this.#poisons = [];
 	}
 
@@ -204,14 +206,14 @@
 		this.#isUp = false;
 		await this.#server.vanish();
 		if (returnAfter !== undefined) {
-			this.#return = setTimeout(() => {
+			this.#restartTimer = setTimeout(() => {
 				void this.#restart();
 			}, returnAfter);
 		}
 	}
 
 	async #restart(): Promise<void> {
-		clearTimeout(this.#return);
+		clearTimeout(this.#restartTimer);
 		if (!this.#isUp) {
 			this.#isUp = true;
 			await this.#server.listen();
--- a/stand-ins/weights/main.ts
+++ b/stand-ins/weights/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts a weight store stand-in by hand. */
+/** Command line of the weight store stand-in. */
 import {main} from '../common/command.js';
 import {settingsSchema, WeightStoreService} from './service.js';
 
--- a/stand-ins/weights/service.ts
+++ b/stand-ins/weights/service.ts
@@ -1,4 +1,4 @@
-/** A weight store that serves a limited number of loads a second to everyone together. */
+/** A weight store that serves a limited number of loads per second, over all clients. */
 import {performance} from 'node:perf_hooks';
 import {z} from 'zod';
 import {answerError, answerJson, Server} from '../common/server.js';
@@ -7,18 +7,18 @@
 
 export const settingsSchema = z.object({
 	listen: listenSchema.prefault({}),
-	/** Loads a real second; above it a load is refused with 429. */
+	/** Loads per second of real time; further loads are refused with status 429. */
 	loadsPerSecond: z.number().positive().default(4),
 }).readonly();
 
 export type Settings = z.infer<typeof settingsSchema>;
 
-const second = 1000;
+const secondMs = 1000;
 
 export class WeightStoreService implements Running {
 	/**
-	 * @param settings - Checked settings.
-	 * @returns The store, listening.
+	 * @param settings - Validated settings.
+	 * @returns The store, already listening.
 	 */
 	static async start(settings: Settings): Promise<WeightStoreService> {
 		const started = new WeightStoreService(settings);
@@ -27,18 +27,19 @@
 	}
 
 	readonly #server: Server;
-	readonly #interval: number;
+	/** Milliseconds between loads at the full rate. */
+	readonly #loadInterval: number;
 	readonly #counters = {served: 0, refused: 0};
 	/** Monotonic time at which the next load may be served. */
 	#nextAt = 0;
 
 	private constructor(settings: Settings) {
-		this.#interval = second / settings.loadsPerSecond;
+		this.#loadInterval = secondMs / settings.loadsPerSecond;
 		this.#server = new Server('weights', settings.listen);
 		this.#server.route('get', '/v1/weights/:model/:version', async ({outgoing, parameters}) => {
-			const wait = this.#take(performance.now());
+			const wait = this.#takeLoad(performance.now());
 			if (wait > 0) {
-				outgoing.setHeader('retry-after', Math.ceil(wait / second));
+				outgoing.setHeader('retry-after', Math.ceil(wait / secondMs));
 				answerError(outgoing, 429, 'too-many-loads', 'the store is at its rate');
 				return;
 			}
@@ -58,15 +59,15 @@
 		await this.#server[Symbol.asyncDispose]();
 	}
 
-	/** Takes a load now, or returns the milliseconds until one is free. */
-	#take(now: number): number {
+	/** Counts a load as served and returns 0, or as refused and returns the milliseconds until the next one is allowed. */
+	#takeLoad(now: number): number {
 		if (now < this.#nextAt) {
 			this.#counters.refused++;
 			return this.#nextAt - now;
 		}
 
 		this.#counters.served++;
-		this.#nextAt = Math.max(this.#nextAt, now - this.#interval) + this.#interval;
+		this.#nextAt = Math.max(this.#nextAt, now - this.#loadInterval) + this.#loadInterval;
 		return 0;
 	}
 }
