--- a/bench/gateway/workload.ts
+++ b/bench/gateway/workload.ts
@@ -17,12 +17,12 @@
 	/** Target for the longest pause between events. */
 	readonly pause: number;
 	readonly deadline: number;
-	/** Mean weight, and the share of it that a late answer earns. */
+	/** Weight of a request of mean length, and the share of its weight that a late answer earns. */
 	readonly weight: number;
 	readonly lateShare: number;
 };
 
-/** A truncated log-normal distribution. */
+/** A log-normal distribution; values above the upper bound are clamped to it. */
 type LogNormal = {
 	readonly mean: number;
 	/** Standard deviation of the logarithm. */
--- a/stand-ins/gateway/store.ts
+++ b/stand-ins/gateway/store.ts
@@ -119,7 +119,7 @@
 		for (const watch of this.#pendingWatches) {
 			if (event.Key.startsWith(watch.prefix)) {
 				this.#removeWatch(watch);
-				this.#answerWatch(watch.prefix, watch.after, watch.outgoing);
+				this.#sendEvents(watch.prefix, watch.after, watch.outgoing);
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 		const prefix = url.searchParams.get('Prefix') ?? '';
 		switch (url.pathname) {
 			case '/v1/kv-range': {
-				this.#answerRange(prefix, url.searchParams.get('After') ?? '', outgoing);
+				this.#sendRange(prefix, url.searchParams.get('After') ?? '', outgoing);
 				return;
 			}
 
@@ -178,16 +178,16 @@
 		}
 	}
 
-	#answerRange(prefix: string, after: string, outgoing: ServerResponse): void {
+	#sendRange(prefix: string, after: string, outgoing: ServerResponse): void {
 		const keys = [...this.#items.keys()].filter(key => key.startsWith(prefix) && key > after).toSorted();
 		const page = keys.slice(0, maxPageItems);
-		answerJson(outgoing, {Items: page.map(key => this.#items.get(key)), MorePages: keys.length > page.length, AsOf: this.#revision});
+		sendJson(outgoing, {Items: page.map(key => this.#items.get(key)), MorePages: keys.length > page.length, AsOf: this.#revision});
 	}
 
 	#watch(prefix: string, after: number, timeout: number, outgoing: ServerResponse): void {
 		const hasEvents = this.#history.some(event => event.Revision > after && event.Key.startsWith(prefix));
 		if (hasEvents || after < this.#compactedRevision) {
-			this.#answerWatch(prefix, after, outgoing);
+			this.#sendEvents(prefix, after, outgoing);
 			return;
 		}
 
@@ -197,13 +197,13 @@
 			outgoing,
 			timer: setTimeout(() => {
 				this.#pendingWatches.delete(watch);
-				this.#answerWatch(prefix, after, outgoing);
+				this.#sendEvents(prefix, after, outgoing);
 			}, timeout),
 		};
 		this.#pendingWatches.add(watch);
 	}
 
-	#answerWatch(prefix: string, after: number, outgoing: ServerResponse): void {
+	#sendEvents(prefix: string, after: number, outgoing: ServerResponse): void {
 		if (after < this.#compactedRevision) {
 			outgoing.writeHead(410);
 			outgoing.end();
@@ -211,11 +211,11 @@
 		}
 
 		const events = this.#history.filter(event => event.Revision > after && event.Key.startsWith(prefix));
-		answerJson(outgoing, {events, AsOf: this.#revision});
+		sendJson(outgoing, {events, AsOf: this.#revision});
 	}
 }
 
-function answerJson(outgoing: ServerResponse, value: unknown): void {
+function sendJson(outgoing: ServerResponse, value: unknown): void {
 	const body = JSON.stringify(value);
 	outgoing.writeHead(200, {'content-type': 'application/json', 'content-length': Buffer.byteLength(body)});
 	outgoing.end(body);
--- a/stand-ins/platform/service.ts
+++ b/stand-ins/platform/service.ts
@@ -52,7 +52,7 @@
 		this.#hostLag = settings.hostLag;
 		this.#server = new Server('platform', settings.listen);
 		this.#control = new Server('platform-control', settings.control);
-		this.#server.route('get', '/v1/configuration', this.#withBudget(async call => this.#answerConfiguration(call)));
+		this.#server.route('get', '/v1/configuration', this.#withBudget(async call => this.#sendConfiguration(call)));
 		this.#server.route('get', '/v1/hosts', this.#withBudget(async ({outgoing}) => {
 			answerJson(outgoing, 200, {hosts: this.#getVisibleHosts()});
 		}));
@@ -136,7 +136,7 @@
 		}
 	}
 
-	#withBudget(answer: Answer): Answer {
+	#withBudget(handler: Answer): Answer {
 		return async call => {
 			const reader = header(call.incoming, readerHeader) ?? call.incoming.socket.remoteAddress ?? '';
 			if (!this.#budget.countCall(reader, performance.now())) {
@@ -144,11 +144,11 @@
 				return;
 			}
 
-			await answer(call);
+			await handler(call);
 		};
 	}
 
-	async #answerConfiguration({outgoing, query}: Call): Promise<void> {
+	async #sendConfiguration({outgoing, query}: Call): Promise<void> {
 		this.#documents.countRead();
 		const above = Number(query.get('above') ?? -1);
 		const end = performance.now() + Math.min(Number(query.get('wait') ?? 0), maxWaitMs);
