--- a/bench/demo/main.ts
+++ b/bench/demo/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run demo`: a whole fleet on this machine, prompts from 1,000 to 1,000,000 tokens, first token by length class. */
+/** `npm run demo`: runs a fleet on this machine and prints the time to the first token for prompts from 1,000 to 1,000,000 tokens. */
 import process from 'node:process';
 import {codes} from '../../src/core/index.js';
 import {endWithChildren} from '../fleet/child.js';
@@ -14,7 +14,7 @@
 
 const output = {least: 16, most: 64};
 
-function scenarioOf(fleet: Fleet): Scenario {
+function buildScenario(fleet: Fleet): Scenario {
 	return scenarioSchema.parse({
 		seed: 1,
 		entries: fleet.hosts.alive.map(host => host.caller),
@@ -41,37 +41,37 @@
 	});
 }
 
-function row(name: string, {sent, done, firstToken}: ClassResult): string {
+function formatRow(name: string, {sent, done, firstToken}: ClassResult): string {
 	const engineTime = (milliseconds: number) => (milliseconds * timeScale / 1000).toFixed(2);
 	return `| ${name} | ${sent} | ${done} | ${firstToken.p50.toFixed(0)} | ${firstToken.p95.toFixed(0)} | ${engineTime(firstToken.p50)} |`;
 }
 
-function report({classes, outcomes, wrongAnswers}: Result, order: readonly string[]): void {
+function printReport({classes, outcomes, wrongAnswers}: Result, order: readonly string[]): void {
 	console.log('| prompt tokens | sent | answered | first token p50, ms | p95, ms | p50 in engine time, s |');
 	console.log('|---|---|---|---|---|---|');
 	for (const name of order) {
 		const found = classes[name];
 		if (found !== undefined) {
-			console.log(row(name, found));
+			console.log(formatRow(name, found));
 		}
 	}
 
 	console.log(`\nResult codes: ${JSON.stringify(outcomes)}; wrong answers: ${wrongAnswers}.`);
 }
 
-async function run(): Promise<boolean> {
+async function runDemo(): Promise<boolean> {
 	console.log('Starting a platform, 3 failure domains with 2 entry hosts each, and 12 engines ...');
 	await using fleet = await Fleet.start(demoShape);
-	const scenario = scenarioOf(fleet);
+	const scenario = buildScenario(fleet);
 	console.log(`Sending prompts from 1,000 to 1,000,000 tokens for ${scenario.duration / 1000} s; engines run ${timeScale} times as fast as real ones.\n`);
 	const result = await runLoad(scenario);
-	report(result, scenario.classes.map(each => each.name));
+	printReport(result, scenario.classes.map(each => each.name));
 	return result.wrongAnswers === 0 && result.outcomes[codes.done] === result.sent;
 }
 
 endWithChildren();
-const isWhole = await run();
-if (!isWhole) {
-	console.log('Some requests had no whole answer.');
+const isSuccessful = await runDemo();
+if (!isSuccessful) {
+	console.log('Some requests were not answered completely.');
 	process.exitCode = 1;
 }
--- a/bench/demo/shape.ts
+++ b/bench/demo/shape.ts
@@ -1,14 +1,16 @@
-/** The demo's fleet: three failure domains with two entry hosts each. */
+/** Fleet of the demo: three failure domains with two entry hosts each. */
 import {type ShapeInput} from '../fleet/shape.js';
 
-/** Engine time runs this many times as fast as real time, so that a million tokens take seconds. */
+/** Engines run this many times as fast as real ones, so that a prompt of a million tokens takes seconds. */
 export const timeScale = 20;
 
 export const service = 'summaries';
+
+/** Lengths of the engines' answers in tokens. */
 export const answer = {least: 16, most: 64} as const;
 
-/** The longest prompts need more than twice this. */
-const engineMemory = 420_000;
+/** KV memory of an engine in tokens; the longest prompts need more than twice as much. */
+const engineMemoryTokens = 420_000;
 
 export const demoShape: ShapeInput = {
 	timeScale,
@@ -16,7 +18,7 @@
 	hosts: [2],
 	engines: [{
 		service, perDomain: 4, settings: {
-			memory: engineMemory, prefillRate: 20_000, decodeInterval: 25, answer,
+			memory: engineMemoryTokens, prefillRate: 20_000, decodeInterval: 25, answer,
 		},
 	}],
 	services: [{
--- a/bench/load/__tests__/trace.test.ts
+++ b/bench/load/__tests__/trace.test.ts
@@ -29,12 +29,12 @@
 describe('trace', () => {
 	const trace = planTrace(scenario);
 
-	it('is the same for one seed and another for the next', () => {
+	it('is the same for the same seed and differs for another seed', () => {
 		expect(planTrace(scenario)).toEqual(trace);
 		expect(planTrace({...scenario, seed: 8})[0]).not.toEqual(trace[0]);
 	});
 
-	it('keeps the rate and the shares that the scenario names', () => {
+	it('has the rate and the shares of the scenario', () => {
 		expect(trace.length).toBeGreaterThan(4700);
 		expect(trace.length).toBeLessThan(5300);
 		expect(share(trace, each => each.promptClass.name === 'long')).toBeCloseTo(0.02, 1);
@@ -43,7 +43,7 @@
 		expect(new Set(trace.map(each => each.entry.port)).size).toBe(2);
 	});
 
-	it('gives prompts of one beginning equal first blocks, and every prompt text of its own', () => {
+	it('gives prompts with the same prefix equal first blocks, and every prompt a text of its own', () => {
 		const alike = trace.filter(each => each.prefix === 1).slice(0, 20);
 		const prompts = alike.map(each => renderPrompt([{role: 'user', content: contentOf(each, scenario)}]));
 		expect(new Set(prompts).size).toBe(20);
--- a/bench/load/client.ts
+++ b/bench/load/client.ts
@@ -1,4 +1,4 @@
-/** Sends one request and follows its answer to the end. */
+/** Sends one request and reads its answer to the end. */
 import {Agent} from 'node:http';
 import {performance} from 'node:perf_hooks';
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
@@ -10,7 +10,7 @@
 
 /** How one request ended; times are monotonic milliseconds. */
 export type Ending = {
-	/** Result code; {@link cutCode} where the answer stopped without one. */
+	/** Result code, or {@link cutCode} if the answer ended without one. */
 	readonly code: number;
 	/** Why an answer ended without a code. */
 	readonly detail: string;
@@ -19,10 +19,10 @@
 	readonly endedAt: number;
 };
 
-/** Stands for an answer that ended without a result code. */
+/** Code of an answer that ended without a result code. */
 export const cutCode = -1;
 
-const ticketRequired = 1006;
+const ticketRequiredCode = 1006;
 const agent = new Agent({keepAlive: true, maxFreeSockets: 256});
 
 const eventSchema = z.object({
@@ -34,13 +34,13 @@
 const errorSchema = z.object({error: z.object({code: z.number(), ticket: z.string().optional()})});
 
 /** Collects the events of one stream. */
-class Collector {
+class StreamCollector {
 	content = '';
 	code: number | undefined;
 	firstTokenAt: number | undefined;
 	readonly #parser = createParser({
 		onEvent: event => {
-			this.#take(event);
+			this.#handleEvent(event);
 		},
 	});
 
@@ -48,7 +48,7 @@
 		this.#parser.feed(text);
 	}
 
-	#take(event: EventSourceMessage): void {
+	#handleEvent(event: EventSourceMessage): void {
 		if (event.data === streamEnd) {
 			return;
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-function readError(body: string): {readonly code: number; readonly ticket: string | undefined} {
+function parseError(body: string): {readonly code: number; readonly ticket: string | undefined} {
 	try {
 		const {error} = errorSchema.parse(JSON.parse(body));
 		return {code: error.code, ticket: error.ticket};
@@ -75,15 +75,15 @@
 
 type Attempt = Ending & {readonly ticket: string | undefined};
 
-async function attempt(planned: Planned, scenario: Scenario, body: string, ticket: string | undefined): Promise<Attempt> {
-	const collector = new Collector();
+async function sendAttempt(planned: Planned, scenario: Scenario, body: string, ticket: string | undefined): Promise<Attempt> {
+	const collector = new StreamCollector();
 	let errorText = '';
 	let isStream = false;
 	let detail = '';
 	try {
 		const stream = got.stream.post(`http://${planned.entry.host}:${planned.entry.port}/v1/chat/completions`, {
 			body,
-			headers: headersOf(planned, scenario, ticket),
+			headers: buildHeaders(planned, scenario, ticket),
 			agent: {http: agent},
 			retry: {limit: 0},
 			throwHttpErrors: false,
@@ -101,17 +101,17 @@
 			}
 		}
 	} catch (error) {
-		// A broken connection shows as an answer without a code.
+		// A broken connection leaves the answer without a result code.
 		detail = error instanceof Error ? error.message : String(error);
 	}
 
-	const {code, ticket: issued} = isStream ? {code: collector.code ?? cutCode, ticket: undefined} : readError(errorText);
+	const {code, ticket: issued} = isStream ? {code: collector.code ?? cutCode, ticket: undefined} : parseError(errorText);
 	return {
 		code, detail, content: collector.content, firstTokenAt: collector.firstTokenAt, endedAt: performance.now(), ticket: issued,
 	};
 }
 
-function headersOf(planned: Planned, scenario: Scenario, ticket: string | undefined): Readonly<Record<string, string>> {
+function buildHeaders(planned: Planned, scenario: Scenario, ticket: string | undefined): Readonly<Record<string, string>> {
 	return {
 		'content-type': 'application/json',
 		authorization: `Bearer ${planned.organisation.key}`,
@@ -124,19 +124,19 @@
 }
 
 /**
- * Sends a request; one that is answered with a ticket is sent again with it, as callers do.
+ * Sends a request, and sends it again with the ticket if it was answered with one, as callers do.
  *
  * @param planned - Request.
  * @param scenario - Its scenario.
  * @param content - The user's message.
- * @returns How it ended.
+ * @returns How the request ended.
  */
 export async function sendRequest(planned: Planned, scenario: Scenario, content: string): Promise<Ending> {
 	const body = JSON.stringify({
 		model: scenario.service, messages: [{role: 'user', content}], stream: true, max_tokens: planned.output,
 	});
-	const first = await attempt(planned, scenario, body, undefined);
-	return first.code === ticketRequired && first.ticket !== undefined
-		? attempt(planned, scenario, body, first.ticket)
+	const first = await sendAttempt(planned, scenario, body, undefined);
+	return first.code === ticketRequiredCode && first.ticket !== undefined
+		? sendAttempt(planned, scenario, body, first.ticket)
 		: first;
 }
--- a/bench/load/recorder.ts
+++ b/bench/load/recorder.ts
@@ -1,10 +1,10 @@
-/** Histograms and counts of a run. */
+/** Records the histograms and counts of a run. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import {codes} from '../../src/core/index.js';
 import {cutCode, type Ending} from './client.js';
 import {type Planned} from './trace.js';
 
-/** Milliseconds at some percentiles. */
+/** Summary of a histogram, in milliseconds. */
 export type Summary = {
 	readonly count: number;
 	readonly mean: number;
@@ -32,22 +32,23 @@
 
 export type Result = {
 	readonly sent: number;
-	/** By result code; -1 stands for answers that were cut. */
+	/** Requests by result code; -1 for answers that ended without one. */
 	readonly outcomes: Readonly<Record<string, number>>;
 	readonly classes: Readonly<Record<string, ClassResult>>;
 	readonly organisations: Readonly<Record<string, OrganisationResult>>;
-	/** Finished requests whose answer was not whole or not their own. */
+	/** Finished requests whose answer was incomplete or belonged to another request. */
 	readonly wrongAnswers: number;
-	/** Some answers that ended without a result code. */
+	/** Answers that ended without a result code; only the first ones are kept. */
 	readonly cuts: readonly Cut[];
-	/** Finished requests that took longer than their time. */
+	/** Finished requests that took longer than their timeout. */
 	readonly late: number;
-	/** Time until a request was told that it was not run. */
+	/** Time until a request was answered as not run. */
 	readonly refusal: Summary;
-	/** How late requests were sent; part of every latency. */
+	/** Delay between the intended and the actual time of sending; included in every latency. */
 	readonly sendingLag: Summary;
-	/** Prompt and answer tokens of finished requests, and how many of them finished within the time of sending. */
+	/** Prompt and answer tokens of finished requests. */
 	readonly tokens: number;
+	/** Those tokens divided by the counted duration of the scenario. */
 	readonly tokensPerSecond: number;
 };
 
@@ -55,60 +56,62 @@
 export type Cut = {
 	readonly index: number;
 	readonly promptTokens: number;
-	/** Milliseconds after the intended time, and characters received by then. */
+	/** Milliseconds after the intended time of sending. */
 	readonly after: number;
+	/** Characters received. */
 	readonly received: number;
 	readonly detail: string;
 };
 
-const mostCuts = 20;
-const microseconds = 1000;
-const firstNotRun = 2000;
-const firstFailed = 3000;
+const maxCuts = 20;
+const microsecondsPerMillisecond = 1000;
+const firstNotRunCode = 2000;
+const firstFailedCode = 3000;
 
-function histogram(): Histogram {
+function createHistogram(): Histogram {
 	return build({highestTrackableValue: 3_600_000_000, numberOfSignificantValueDigits: 3});
 }
 
-function record(into: Histogram, milliseconds: number): void {
-	into.recordValue(Math.max(Math.round(milliseconds * microseconds), 0));
+function recordTime(histogram: Histogram, milliseconds: number): void {
+	histogram.recordValue(Math.max(Math.round(milliseconds * microsecondsPerMillisecond), 0));
 }
 
-function summary(of: Histogram): Summary {
-	const at = (percentile: number) => of.getValueAtPercentile(percentile) / microseconds;
+function summarize(histogram: Histogram): Summary {
+	const at = (percentile: number) => histogram.getValueAtPercentile(percentile) / microsecondsPerMillisecond;
 	return {
-		count: of.totalCount,
-		mean: of.totalCount === 0 ? 0 : of.mean / microseconds,
+		count: histogram.totalCount,
+		mean: histogram.totalCount === 0 ? 0 : histogram.mean / microsecondsPerMillisecond,
 		p50: at(50),
 		p90: at(90),
 		p95: at(95),
 		p99: at(99),
 		p999: at(99.9),
-		max: of.totalCount === 0 ? 0 : of.maxValue / microseconds,
+		max: histogram.totalCount === 0 ? 0 : histogram.maxValue / microsecondsPerMillisecond,
 	};
 }
 
-/** One finished request as it is counted. */
+/** One request that has ended, with what is counted of it. */
 export type Observation = {
 	readonly planned: Planned;
 	readonly ending: Ending;
 	/** Monotonic times in milliseconds. */
 	readonly intendedAt: number;
 	readonly sentAt: number;
-	readonly isWhole: boolean;
-	/** Milliseconds that the request was given. */
+	/** Whether the answer is complete and belongs to the request. */
+	readonly isCorrect: boolean;
+	/** Timeout of the request in milliseconds. */
 	readonly timeout: number;
 };
 
 class ClassRecorder {
 	sent = 0;
 	done = 0;
-	readonly firstToken = histogram();
-	readonly total = histogram();
+	readonly firstToken = createHistogram();
+	readonly total = createHistogram();
 
 	get result(): ClassResult {
 		return {
-			sent: this.sent, done: this.done, firstToken: summary(this.firstToken), total: summary(this.total),
+			sent: this.sent, done: this.done, firstToken: summarize(this.firstToken), total: summarize(this.total),
 		};
 	}
 }
@@ -128,39 +131,39 @@
 	readonly #organisations = new Map<string, OrganisationRecorder>();
 	readonly #outcomes = new Map<number, number>();
 	readonly #cuts: Cut[] = [];
-	readonly #refusal = histogram();
-	readonly #sendingLag = histogram();
+	readonly #refusal = createHistogram();
+	readonly #sendingLag = createHistogram();
 	#sent = 0;
 	#wrongAnswers = 0;
 	#late = 0;
 	#tokens = 0;
 
 	/**
-	 * @param observation - A request that is over.
+	 * @param observation - A request that has ended.
 	 */
 	add(observation: Observation): void {
 		const {planned, ending, intendedAt, sentAt} = observation;
 		this.#sent++;
 		this.#outcomes.set(ending.code, (this.#outcomes.get(ending.code) ?? 0) + 1);
-		record(this.#sendingLag, sentAt - intendedAt);
-		this.#classOf(planned).sent++;
-		this.#organisationOf(planned).sent++;
+		recordTime(this.#sendingLag, sentAt - intendedAt);
+		this.#getClassRecorder(planned).sent++;
+		this.#getOrganisationRecorder(planned).sent++;
 		if (ending.code === codes.done) {
 			this.#addDone(observation);
-		} else if (ending.code === cutCode && this.#cuts.length < mostCuts) {
+		} else if (ending.code === cutCode && this.#cuts.length < maxCuts) {
 			const {index, promptTokens} = planned;
 			const {detail, content, endedAt} = ending;
 			this.#cuts.push({
 				index, promptTokens, after: endedAt - intendedAt, received: content.length, detail,
 			});
-		} else if (ending.code >= firstNotRun && ending.code < firstFailed) {
-			record(this.#refusal, ending.endedAt - sentAt);
+		} else if (ending.code >= firstNotRunCode && ending.code < firstFailedCode) {
+			recordTime(this.#refusal, ending.endedAt - sentAt);
 		}
 	}
 
 	/**
-	 * @param seconds - Length of the counted part of the run.
-	 * @returns What was recorded.
+	 * @param seconds - Duration of the counted part of the run.
+	 * @returns The recorded values.
 	 */
 	result(seconds: number): Result {
 		return {
@@ -171,35 +174,35 @@
 			wrongAnswers: this.#wrongAnswers,
 			cuts: this.#cuts,
 			late: this.#late,
-			refusal: summary(this.#refusal),
-			sendingLag: summary(this.#sendingLag),
+			refusal: summarize(this.#refusal),
+			sendingLag: summarize(this.#sendingLag),
 			tokens: this.#tokens,
 			tokensPerSecond: this.#tokens / seconds,
 		};
 	}
 
-	#addDone({planned, ending, intendedAt, isWhole, timeout}: Observation): void {
-		const recorder = this.#classOf(planned);
+	#addDone({planned, ending, intendedAt, isCorrect, timeout}: Observation): void {
+		const recorder = this.#getClassRecorder(planned);
 		const total = ending.endedAt - intendedAt;
 		recorder.done++;
-		record(recorder.firstToken, (ending.firstTokenAt ?? ending.endedAt) - intendedAt);
-		record(recorder.total, total);
-		this.#wrongAnswers += isWhole ? 0 : 1;
+		recordTime(recorder.firstToken, (ending.firstTokenAt ?? ending.endedAt) - intendedAt);
+		recordTime(recorder.total, total);
+		this.#wrongAnswers += isCorrect ? 0 : 1;
 		this.#late += total > timeout ? 1 : 0;
 		const tokens = planned.promptTokens + planned.output;
 		this.#tokens += tokens;
-		const organisation = this.#organisationOf(planned);
+		const organisation = this.#getOrganisationRecorder(planned);
 		organisation.done++;
 		organisation.tokens += tokens;
 	}
 
-	#classOf({promptClass}: Planned): ClassRecorder {
+	#getClassRecorder({promptClass}: Planned): ClassRecorder {
 		const found = this.#classes.get(promptClass.name) ?? new ClassRecorder();
 		this.#classes.set(promptClass.name, found);
 		return found;
 	}
 
-	#organisationOf({organisation}: Planned): OrganisationRecorder {
+	#getOrganisationRecorder({organisation}: Planned): OrganisationRecorder {
 		const found = this.#organisations.get(organisation.id) ?? new OrganisationRecorder();
 		this.#organisations.set(organisation.id, found);
 		return found;
--- a/bench/load/run.ts
+++ b/bench/load/run.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario: sends each request at its intended time, whatever became of those before. */
+/** Runs a scenario in an open loop: sends each request at its intended time, whether or not earlier ones have ended. */
 import {performance} from 'node:perf_hooks';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {renderPrompt} from '../../src/protocol/blocks.js';
@@ -9,9 +9,9 @@
 import {contentOf, planTrace, type Planned} from './trace.js';
 
 const millisecondsPerSecond = 1000;
-const shortestSleep = 1;
+const minSleepMs = 1;
 
-function isWhole(planned: Planned, scenario: Scenario, content: string, ending: Ending): boolean {
+function isCorrectAnswer(planned: Planned, scenario: Scenario, content: string, ending: Ending): boolean {
 	if (scenario.answer === undefined) {
 		return true;
 	}
@@ -20,20 +20,20 @@
 	return ending.content === answerText(digest, answerLength(digest, scenario.answer, planned.output));
 }
 
-async function runOne(planned: Planned, scenario: Scenario, intendedAt: number, recorder: Recorder): Promise<void> {
+async function runRequest(planned: Planned, scenario: Scenario, intendedAt: number, recorder: Recorder): Promise<void> {
 	const sentAt = performance.now();
 	const content = contentOf(planned, scenario);
 	const ending = await sendRequest(planned, scenario, content);
 	if (planned.at >= scenario.warmUp) {
 		recorder.add({
-			planned, ending, intendedAt, sentAt, isWhole: isWhole(planned, scenario, content, ending), timeout: scenario.timeout,
+			planned, ending, intendedAt, sentAt, isCorrect: isCorrectAnswer(planned, scenario, content, ending), timeout: scenario.timeout,
 		});
 	}
 }
 
 /**
- * @param scenario - Checked scenario.
- * @returns What was measured.
+ * @param scenario - Validated scenario.
+ * @returns The measured values.
  */
 export async function runLoad(scenario: Scenario): Promise<Result> {
 	const recorder = new Recorder();
@@ -42,10 +42,10 @@
 	for (const planned of planTrace(scenario)) {
 		const intendedAt = start + planned.at;
 		while (performance.now() < intendedAt) {
-			await sleep(Math.max(Math.floor(intendedAt - performance.now()), shortestSleep));
+			await sleep(Math.max(Math.floor(intendedAt - performance.now()), minSleepMs));
 		}
 
-		running.push(runOne(planned, scenario, intendedAt, recorder));
+		running.push(runRequest(planned, scenario, intendedAt, recorder));
 	}
 
 	await Promise.all(running);
--- a/bench/load/trace.ts
+++ b/bench/load/trace.ts
@@ -1,4 +1,4 @@
-/** The requests of a scenario, the same each time for one seed. */
+/** Generates the requests of a scenario; the same seed gives the same requests. */
 import {uniformFloat32} from 'pure-rand/distribution/uniformFloat32';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {charactersPerToken} from '../../src/protocol/blocks.js';
@@ -14,24 +14,24 @@
 	readonly promptClass: PromptClass;
 	readonly promptTokens: number;
 	readonly output: number;
-	/** Number of the prompt's beginning, if it has one in common with others. */
+	/** Index of the shared prefix, if the prompt has one. */
 	readonly prefix: number | undefined;
-	/** Present on a request that may run only once. */
+	/** Idempotency key of a request that is not idempotent. */
 	readonly key: string | undefined;
 };
 
-/** A source of numbers from 0 up to 1. */
-type Source = () => number;
+/** Returns random numbers from 0 (inclusive) to 1 (exclusive). */
+type RandomSource = () => number;
 
 const millisecondsPerSecond = 1000;
 const roleCharacters = 'user: \n'.length;
 const patternCharacters = 64;
 const alphabet = 'abcdefghijklmnopqrstuvwxyz';
 
-/** The generator's first numbers are much alike for small seeds. */
+/** The generator's first numbers are similar for small seeds. */
 const skippedNumbers = 32;
 
-function sourceOf(seed: number): Source {
+function createSource(seed: number): RandomSource {
 	const generator = xoroshiro128plus(seed);
 	for (let count = 0; count < skippedNumbers; count++) {
 		uniformFloat32(generator);
@@ -40,16 +40,16 @@
 	return () => uniformFloat32(generator);
 }
 
-function pick<Item extends {readonly weight: number}>(items: readonly Item[], source: Source): Item {
+function pickWeighted<Item extends {readonly weight: number}>(items: readonly Item[], source: RandomSource): Item {
 	let total = 0;
 	for (const item of items) {
 		total += item.weight;
 	}
 
-	let left = source() * total;
+	let remaining = source() * total;
 	for (const item of items) {
-		left -= item.weight;
-		if (left < 0) {
+		remaining -= item.weight;
+		if (remaining < 0) {
 			return item;
 		}
 	}
@@ -57,16 +57,16 @@
 	return items.at(-1)!;
 }
 
-function evenly({least, most}: {readonly least: number; readonly most: number}, source: Source): number {
+function drawUniform({least, most}: {readonly least: number; readonly most: number}, source: RandomSource): number {
 	return least + Math.floor(source() * (most - least + 1));
 }
 
-function byLogarithm({least, most}: {readonly least: number; readonly most: number}, source: Source): number {
+function drawLogUniform({least, most}: {readonly least: number; readonly most: number}, source: RandomSource): number {
 	return Math.round(least * ((most / least) ** source()));
 }
 
-/** A prompt's length must be a whole multiple of the text's, so that equal beginnings give equal blocks. */
-function wholeMultiple(tokens: number, unit: number): number {
+/** Rounds a prompt length to a multiple of the tokens per text token, so that equal prefixes give equal blocks. */
+function roundToMultiple(tokens: number, unit: number): number {
 	return Math.max(Math.round(tokens / unit), 2) * unit;
 }
 
@@ -77,35 +77,35 @@
  * @returns Requests in order of their intended time.
  */
 export function planTrace(scenario: Scenario): readonly Planned[] {
-	const source = sourceOf(scenario.seed);
+	const source = createSource(scenario.seed);
 	const planned: Planned[] = [];
 	const gap = () => -Math.log(1 - source()) * millisecondsPerSecond / scenario.rate;
 	for (let at = gap(); at < scenario.duration; at += gap()) {
-		planned.push(planOne(scenario, planned.length, at, source));
+		planned.push(planRequest(scenario, planned.length, at, source));
 	}
 
 	return planned;
 }
 
-function planOne(scenario: Scenario, index: number, at: number, source: Source): Planned {
-	const promptClass = pick(scenario.classes, source);
+function planRequest(scenario: Scenario, index: number, at: number, source: RandomSource): Planned {
+	const promptClass = pickWeighted(scenario.classes, source);
 	const {prefixes} = promptClass;
 	const hasPrefix = prefixes !== undefined && source() < prefixes.share;
 	return {
 		index,
 		at,
 		entry: scenario.entries[Math.floor(source() * scenario.entries.length)]!,
-		organisation: pick(scenario.organisations, source),
+		organisation: pickWeighted(scenario.organisations, source),
 		promptClass,
-		promptTokens: wholeMultiple(byLogarithm(promptClass.prompt, source), scenario.tokensPerTextToken),
-		output: evenly(promptClass.output, source),
+		promptTokens: roundToMultiple(drawLogUniform(promptClass.prompt, source), scenario.tokensPerTextToken),
+		output: drawUniform(promptClass.output, source),
 		prefix: hasPrefix ? Math.floor(source() * prefixes.count) : undefined,
 		key: source() < scenario.nonIdempotent ? `load-${scenario.seed}-${index}` : undefined,
 	};
 }
 
-function letters(seed: number, length: number): string {
-	const source = sourceOf(seed);
+function generateLetters(seed: number, length: number): string {
+	const source = createSource(seed);
 	let text = '';
 	while (text.length < length) {
 		let bits = Math.floor(source() * (2 ** 24));
@@ -118,25 +118,25 @@
 	return text.slice(0, length);
 }
 
-function textSeedOf(seed: number, textSeed: number): number {
+function combineSeeds(seed: number, textSeed: number): number {
 	return Math.imul(seed + 1, 7919) + Math.imul(textSeed + 1, 611_953);
 }
 
-/** Repeats a text up to a length; a long prompt need differ from others only where its own text begins. */
-function repeated(pattern: string, length: number): string {
+/** Repeats a pattern up to a length: prompts only need to differ where their own text begins. */
+function repeatToLength(pattern: string, length: number): string {
 	return pattern.repeat(Math.ceil(length / pattern.length)).slice(0, length);
 }
 
 const prefixTexts = new Map<string, string>();
 
-function prefixText({promptClass, prefix}: Planned, {seed, textSeed, tokensPerTextToken}: Scenario): string {
+function getPrefixText({promptClass, prefix}: Planned, {seed, textSeed, tokensPerTextToken}: Scenario): string {
 	if (prefix === undefined || promptClass.prefixes === undefined) {
 		return '';
 	}
 
 	const name = `${seed} ${textSeed} ${promptClass.name} ${prefix}`;
 	const characters = Math.floor(promptClass.prefixes.tokens * charactersPerToken / tokensPerTextToken);
-	const text = prefixTexts.get(name) ?? letters(textSeedOf(seed, textSeed) + Math.imul(prefix + 1, 104_729), characters);
+	const text = prefixTexts.get(name) ?? generateLetters(combineSeeds(seed, textSeed) + Math.imul(prefix + 1, 104_729), characters);
 	prefixTexts.set(name, text);
 	return text;
 }
@@ -144,18 +144,18 @@
 /**
  * @param planned - Request.
  * @param scenario - Its scenario.
- * @returns The user's message: the common beginning, if any, then text of its own.
+ * @returns The user's message: the shared prefix, if any, followed by text of its own.
  */
 export function contentOf(planned: Planned, scenario: Scenario): string {
 	const characters = (planned.promptTokens * charactersPerToken / scenario.tokensPerTextToken) - roleCharacters;
-	const prefix = prefixText(planned, scenario).slice(0, Math.max(characters - charactersPerToken, 0));
-	const own = letters(textSeedOf(scenario.seed, scenario.textSeed) + Math.imul(planned.index + 1, 15_485_863), patternCharacters);
-	return prefix + repeated(own, characters - prefix.length);
+	const prefix = getPrefixText(planned, scenario).slice(0, Math.max(characters - charactersPerToken, 0));
+	const own = generateLetters(combineSeeds(scenario.seed, scenario.textSeed) + Math.imul(planned.index + 1, 15_485_863), patternCharacters);
+	return prefix + repeatToLength(own, characters - prefix.length);
 }
 
 /**
  * @param trace - Requests.
- * @returns Share of prompt tokens that one router with one endless cache would find cached.
+ * @returns Share of prompt tokens that a single router with one unlimited cache would find cached.
  */
 export function reusableShare(trace: readonly Planned[]): number {
 	const seen = new Set<string>();
--- a/bench/membership/main.ts
+++ b/bench/membership/main.ts
@@ -1,4 +1,4 @@
-/** Measures membership, adoption and rolling replacement on a fleet of real processes; prints one JSON line for each. */
+/** Measures membership, adoption of configurations and rolling replacement on a fleet of real processes; prints a JSON line for each. */
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Command} from 'commander';
@@ -6,23 +6,23 @@
 import {type ShapeInput} from '../fleet/shape.js';
 import {countReversions} from './reversions.js';
 import {rollHosts} from './roll.js';
-import {costOf, inForce, linked} from './status.js';
+import {fetchHostCost, inForce, linked} from './status.js';
 
 const domains = ['a', 'b', 'c'];
 const publications = 20;
-const costTime = 20_000;
-const streamsAtOnce = 6;
+const costWindowMs = 20_000;
+const concurrentStreams = 6;
 
-/** Links of each of the seven hosts: its own domain and one host of each other. */
-const leastLinks = 3;
-const second = 1000;
+/** Links that each of the seven hosts has at least: one within its failure domain and one to each other domain. */
+const minLinks = 3;
+const secondMs = 1000;
 
-type Counts = {
+type Options = {
 	readonly rolls: number;
 	readonly changes: number;
 };
 
-function shape(changes: Partial<ShapeInput>): ShapeInput {
+function buildShape(changes: Partial<ShapeInput>): ShapeInput {
 	return {
 		timeScale: 10,
 		domains,
@@ -42,7 +42,7 @@
 	process.stdout.write(`${JSON.stringify({name, figures})}\n`);
 }
 
-function summary(values: readonly number[]) {
+function summarize(values: readonly number[]) {
 	const sorted = values.toSorted((a, b) => a - b);
 	return {
 		count: sorted.length,
@@ -51,7 +51,7 @@
 	};
 }
 
-async function publishOften(fleet: Fleet, hosts: readonly string[]): Promise<readonly number[]> {
+async function measurePublications(fleet: Fleet, hosts: readonly string[]): Promise<readonly number[]> {
 	const times: number[] = [];
 	for (let change = 0; change < publications; change++) {
 		const began = performance.now();
@@ -63,51 +63,51 @@
 }
 
 async function measureAdoption(): Promise<void> {
-	await using fleet = await Fleet.start(shape({isProxied: true}));
+	await using fleet = await Fleet.start(buildShape({isProxied: true}));
 	const hosts = fleet.hosts.all.map(host => host.id);
-	await linked(fleet, hosts, leastLinks);
-	print('adoption, milliseconds until in force on 7 hosts', summary(await publishOften(fleet, hosts)));
+	await linked(fleet, hosts, minLinks);
+	print('adoption, milliseconds until in force on 7 hosts', summarize(await measurePublications(fleet, hosts)));
 	for (const host of hosts.slice(1)) {
 		fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
 	}
 
 	fleet.fault({type: 'refuse', where: {from: 'a', to: 'c'}});
 	fleet.fault({type: 'refuse', where: {from: 'c', to: 'a'}});
-	await sleep(second);
-	print('the same through one host that reads the platform, a and c cut off from each other', summary(await publishOften(fleet, hosts)));
+	await sleep(secondMs);
+	print('the same through one host that reads the platform, a and c cut off from each other', summarize(await measurePublications(fleet, hosts)));
 }
 
 async function measureCost(): Promise<void> {
-	await using fleet = await Fleet.start(shape({}));
+	await using fleet = await Fleet.start(buildShape({}));
 	const hosts = fleet.hosts.all.map(host => host.id);
-	await linked(fleet, hosts, leastLinks);
-	const before = await Promise.all(hosts.map(async host => costOf(fleet, host)));
+	await linked(fleet, hosts, minLinks);
+	const before = await Promise.all(hosts.map(async host => fetchHostCost(fleet, host)));
 	const callsBefore = fleet.platformCalls.calls;
-	await sleep(costTime);
-	const after = await Promise.all(hosts.map(async host => costOf(fleet, host)));
-	const seconds = costTime / second;
+	await sleep(costWindowMs);
+	const after = await Promise.all(hosts.map(async host => fetchHostCost(fleet, host)));
+	const seconds = costWindowMs / secondMs;
 	const perSecond = (read: (cost: typeof after[number]) => number) =>
-		summary(after.map((cost, index) => (read(cost) - read(before[index]!)) / seconds));
+		summarize(after.map((cost, index) => (read(cost) - read(before[index]!)) / seconds));
 	print('idle host, per second', {
 		bytesSent: perSecond(cost => cost.peerBytes.sent),
 		processorMicroseconds: perSecond(cost => cost.processor.user + cost.processor.system),
-		coreTickMicroseconds: perSecond(cost => (cost.core.tick?.milliseconds ?? 0) * second),
-		corePeerMessageMicroseconds: perSecond(cost => (cost.core['peer-message']?.milliseconds ?? 0) * second),
+		coreTickMicroseconds: perSecond(cost => (cost.core.tick?.milliseconds ?? 0) * secondMs),
+		corePeerMessageMicroseconds: perSecond(cost => (cost.core['peer-message']?.milliseconds ?? 0) * secondMs),
 		peerMessages: perSecond(cost => cost.core['peer-message']?.events ?? 0),
 		platformCallsPerHost: Math.round((fleet.platformCalls.calls - callsBefore) / seconds / hosts.length * 100) / 100,
 	});
 }
 
-async function run({rolls, changes}: Counts): Promise<void> {
+async function run({rolls, changes}: Options): Promise<void> {
 	await measureAdoption();
 	await measureCost();
 	{
-		await using fleet = await Fleet.start(shape({}));
+		await using fleet = await Fleet.start(buildShape({}));
 		print('changes with stale reads and restarts', await countReversions(fleet, changes, 20));
 	}
 
-	await using fleet = await Fleet.start(shape({}));
-	print('rolling replacement under load', await rollHosts(fleet, rolls, streamsAtOnce));
+	await using fleet = await Fleet.start(buildShape({}));
+	print('rolling replacement under load', await rollHosts(fleet, rolls, concurrentStreams));
 }
 
 await new Command('membership')
--- a/bench/membership/reversions.ts
+++ b/bench/membership/reversions.ts
@@ -1,25 +1,26 @@
-/** Changes of configuration with a platform that alternates fresh and stale, and with restarts in the middle. */
+/** Publishes configurations while the platform alternates between fresh and stale reads and hosts restart, and counts reversions. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet} from '../fleet/fleet.js';
 import {inForce, stateOf} from './status.js';
 
-const pollInterval = 20;
+const pollIntervalMs = 20;
 
-export type Reversions = {
+export type ReversionCounts = {
 	readonly changes: number;
 	readonly restarts: number;
-	/** Times that a serving host had a lower revision than any incarnation of it had while serving. */
+	/** Times that a serving host had a lower revision than one of its incarnations had while serving. */
 	readonly reversions: number;
+	/** Times that the revision of a serving host was read. */
 	readonly readings: number;
 };
 
 /**
  * @param fleet - Fleet with its hosts serving.
- * @param changes - Documents to publish.
- * @param restartEvery - Changes between two restarts of a host.
- * @returns What was seen.
+ * @param changes - Number of documents to publish.
+ * @param restartEvery - Number of changes from one restart of a host to the next.
+ * @returns The counts.
  */
-export async function countReversions(fleet: Fleet, changes: number, restartEvery: number): Promise<Reversions> {
+export async function countReversions(fleet: Fleet, changes: number, restartEvery: number): Promise<ReversionCounts> {
 	const hosts = fleet.hosts.all.map(host => host.id);
 	const highest = new Map<string, number>();
 	const stopping = new AbortController();
@@ -34,7 +35,7 @@
 				highest.set(host, Math.max(highest.get(host) ?? 0, state.revision));
 			}
 
-			await sleep(pollInterval);
+			await sleep(pollIntervalMs);
 		}
 	};
 
@@ -49,7 +50,7 @@
 			restarts++;
 		}
 
-		await (change % 10 === 0 && !isRestart ? inForce(fleet, hosts, revision) : sleep(pollInterval));
+		await (change % 10 === 0 && !isRestart ? inForce(fleet, hosts, revision) : sleep(pollIntervalMs));
 	}
 
 	await fleet.platform({type: 'fresh'});
--- a/bench/membership/roll.ts
+++ b/bench/membership/roll.ts
@@ -1,24 +1,24 @@
-/** Replaces hosts one after another while callers stream through whichever host a lagging balancer gives them. */
+/** Replaces hosts one after another while callers stream through the hosts that a lagging load balancer picks. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet} from '../fleet/fleet.js';
 import {apiKey} from '../fleet/shape.js';
 import {stateOf} from './status.js';
 
-/** How late the balancer notices that a host is not ready, in milliseconds. */
-const balancerLag = 1000;
-const balancerInterval = 100;
+/** Delay until the balancer notices that a host is not ready. */
+const balancerLagMs = 1000;
+const balancerIntervalMs = 100;
 
-/** Time after which a host that announced leaving must get no request, in milliseconds. */
-const leavingBound = 3000;
+/** Time after which a host that announced leaving must get no more requests. */
+const leavingLimitMs = 3000;
 
-export type Roll = {
+export type RollResult = {
 	readonly replacements: number;
 	readonly streams: number;
-	/** Streams that began and did not end whole. */
+	/** Streams that began and did not complete. */
 	readonly cut: number;
-	/** Requests that were not begun: refused or no connection. */
+	/** Requests that did not begin: refused, or no connection. */
 	readonly refused: number;
-	/** Requests that a host took more than three seconds after it announced leaving. */
+	/** Requests that a host accepted more than three seconds after it announced leaving. */
 	readonly late: number;
 };
 
@@ -43,13 +43,13 @@
 			const hosts = this.#fleet.hosts.all.map(host => host.id);
 			const states = await Promise.all(hosts.map(async host => stateOf(this.#fleet, host)));
 			seen.push(hosts.filter((_, index) => states[index]?.phase === 'serving'));
-			const late = seen.length - (balancerLag / balancerInterval);
-			if (late > 0) {
-				seen.splice(0, late);
+			const excess = seen.length - (balancerLagMs / balancerIntervalMs);
+			if (excess > 0) {
+				seen.splice(0, excess);
 			}
 
 			this.#ready = seen[0]!;
-			await sleep(balancerInterval);
+			await sleep(balancerIntervalMs);
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	late: number;
 };
 
-class Callers {
+class CallerPool {
 	readonly counts: Counts = {
 		streams: 0, cut: 0, refused: 0, late: 0,
 	};
@@ -83,14 +83,14 @@
 		while (!this.#signal.aborted) {
 			const {ready} = this.#balancer;
 			const host = ready[this.#next++ % Math.max(ready.length, 1)];
-			await (host === undefined ? sleep(balancerInterval) : this.#stream(host, model));
+			await (host === undefined ? sleep(balancerIntervalMs) : this.#stream(host, model));
 		}
 	}
 
 	async #stream(host: string, model: string): Promise<void> {
 		const {caller} = this.#fleet.hosts.get(host);
-		const left = this.#leaving.get(host);
-		const isLate = left !== undefined && performance.now() - left > leavingBound;
+		const leavingSince = this.#leaving.get(host);
+		const isLate = leavingSince !== undefined && performance.now() - leavingSince > leavingLimitMs;
 		let isBegun = false;
 		try {
 			const answer = await fetch(`http://${caller.host}:${caller.port}/v1/chat/completions`, {
@@ -107,30 +107,30 @@
 			this.counts.refused += isBegun ? 0 : 1;
 			this.counts.late += isBegun && isLate ? 1 : 0;
 			if (!isBegun) {
-				await sleep(balancerInterval);
+				await sleep(balancerIntervalMs);
 			}
 		} catch {
 			this.counts.cut += isBegun ? 1 : 0;
 			this.counts.refused += isBegun ? 0 : 1;
-			await sleep(balancerInterval);
+			await sleep(balancerIntervalMs);
 		}
 	}
 }
 
 /**
  * @param fleet - Fleet with its hosts serving.
- * @param replacements - Hosts to replace.
- * @param callers - Streams at a time.
- * @returns What the callers saw.
+ * @param replacements - Number of hosts to replace.
+ * @param callers - Number of concurrent streams.
+ * @returns Counts of the callers' requests.
  */
-export async function rollHosts(fleet: Fleet, replacements: number, callers: number): Promise<Roll> {
+export async function rollHosts(fleet: Fleet, replacements: number, callers: number): Promise<RollResult> {
 	const hosts = fleet.hosts.all.map(host => host.id);
 	const stopping = new AbortController();
 	const leaving = new Map<string, number>();
 	const balancer = new Balancer(fleet, stopping.signal);
-	const crowd = new Callers(fleet, balancer, leaving, stopping.signal);
+	const pool = new CallerPool(fleet, balancer, leaving, stopping.signal);
 	const model = fleet.configuration.services.find(service => service.kind === 'model')!.id;
-	const running = [balancer.watch(), ...Array.from({length: callers}, async () => crowd.call(model))];
+	const running = [balancer.watch(), ...Array.from({length: callers}, async () => pool.call(model))];
 	for (let index = 0; index < replacements; index++) {
 		const host = hosts[index % hosts.length]!;
 		leaving.set(host, performance.now());
@@ -142,5 +142,5 @@
 
 	stopping.abort();
 	await Promise.all(running);
-	return {replacements, ...crowd.counts};
+	return {replacements, ...pool.counts};
 }
--- a/bench/membership/scale.ts
+++ b/bench/membership/scale.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what membership, adoption, stops and placement cost the core of one host of a large fleet; prints one JSON line.
- * The other features are left out: the peers here are figures, which answer nothing.
+ * Measures what membership, configuration, stops and placement cost the core of one host in a large fleet; prints one JSON
+ * line. The other features are left out, because the simulated peers do not reply.
  */
 import process from 'node:process';
 import {
@@ -14,14 +14,14 @@
 
 const domainCount = 8;
 const hostsPerDomain = 42;
-const tickInterval = 25;
+const tickIntervalMs = 25;
 const seconds = 60;
 
-/** Nine of the own domain, as many dial as are dialled, and three of others. */
-const mostLinks = 12;
-const second = 1000;
+/** Nine within the failure domain, where a host accepts about as many links as it dials, and three to other domains. */
+const maxLinks = 12;
+const secondMs = 1000;
 
-function memberOf(domain: number, index: number): Member {
+function buildMember(domain: number, index: number): Member {
 	return {
 		incarnation: {host: `host-${domain}-${index}`, started: 1},
 		failureDomain: `domain-${domain}`,
@@ -30,14 +30,14 @@
 	};
 }
 
-const self = memberOf(0, 0);
+const self = buildMember(0, 0);
 const members = Array.from({length: domainCount}, (_, domain) =>
-	Array.from({length: hostsPerDomain}, (_unused, index) => memberOf(domain, index))).flat().filter(member => member.incarnation.host !== self.incarnation.host);
+	Array.from({length: hostsPerDomain}, (_unused, index) => buildMember(domain, index))).flat().filter(member => member.incarnation.host !== self.incarnation.host);
 let state: State = initialState(self);
 let now = 0;
-const sent = new Map<string, number>();
-const spent = new Map<Event['type'], {events: number; milliseconds: number}>();
-const linked = new Set<string>();
+const bytesSent = new Map<string, number>();
+const timeByEvent = new Map<Event['type'], {events: number; milliseconds: number}>();
+const linkedHosts = new Set<string>();
 
 const features = [configurationFeature, membershipFeature, stopsFeature, placementFeature];
 
@@ -49,22 +49,22 @@
 		state = next.state;
 		return next.effects;
 	});
-	const before = spent.get(event.type) ?? {events: 0, milliseconds: 0};
-	spent.set(event.type, {events: before.events + 1, milliseconds: before.milliseconds + performance.now() - began});
+	const before = timeByEvent.get(event.type) ?? {events: 0, milliseconds: 0};
+	timeByEvent.set(event.type, {events: before.events + 1, milliseconds: before.milliseconds + performance.now() - began});
 	for (const effect of effects) {
-		if (effect.type === 'connect' && linked.size < mostLinks) {
-			linked.add(effect.host);
+		if (effect.type === 'connect' && linkedHosts.size < maxLinks) {
+			linkedHosts.add(effect.host);
 		} else if (effect.type === 'peer-send') {
 			const {type} = effect.message;
-			sent.set(type, (sent.get(type) ?? 0) + encodeFrame(effect.message).length);
+			bytesSent.set(type, (bytesSent.get(type) ?? 0) + encodeFrame(effect.message).length);
 		}
 	}
 }
 
-/** Every peer that has a link sends a heartbeat as large as those of a busy host: loads, and six others passed on. */
-function hearLinks(sequence: number): void {
-	for (const [place, host] of [...linked].entries()) {
-		const relayed = Array.from({length: 6}, (_, index) => members[((sequence * 6) + index + (place * 7)) % members.length]!);
+/** Delivers a heartbeat from every linked peer, as large as a busy host's: its loads, and relayed heartbeats of six other hosts. */
+function deliverHeartbeats(sequence: number): void {
+	for (const [linkIndex, host] of [...linkedHosts].entries()) {
+		const relayed = Array.from({length: 6}, (_, index) => members[((sequence * 6) + index + (linkIndex * 7)) % members.length]!);
 		dispatch({
 			type: 'peer-message',
 			from: host,
@@ -76,7 +76,7 @@
 				digest: '0123456789abcdef',
 				whole: true,
 				loads: Array.from({length: 8}, (_, index) => ({
-					upstream: `engine-${(place + index) % 75}`, requests: 3, prefill: 1000 * sequence, decode: 300,
+					upstream: `engine-${(linkIndex + index) % 75}`, requests: 3, prefill: 1000 * sequence, decode: 300,
 				})),
 				demands: [],
 				suspicions: [],
@@ -91,7 +91,7 @@
 
 dispatch({type: 'hosts-listed', members, leaving: []});
 dispatch({type: 'tick'});
-for (const host of linked) {
+for (const host of linkedHosts) {
 	const member = members.find(each => each.incarnation.host === host)!;
 	dispatch({type: 'peer-connected', host});
 	dispatch({
@@ -103,24 +103,24 @@
 
 for (let sequence = 1; sequence <= seconds; sequence++) {
 	if (sequence === 10) {
-		// The first seconds run cold and fill the tables.
-		spent.clear();
-		sent.clear();
+		// Leaves out the first seconds, in which code runs cold and tables fill.
+		timeByEvent.clear();
+		bytesSent.clear();
 	}
 
-	hearLinks(sequence);
-	for (let tick = 0; tick < second / tickInterval; tick++) {
-		now += tickInterval;
+	deliverHeartbeats(sequence);
+	for (let tick = 0; tick < secondMs / tickIntervalMs; tick++) {
+		now += tickIntervalMs;
 		dispatch({type: 'tick'});
 	}
 }
 
-const measured = seconds - 9;
-const figures = Object.fromEntries([...spent].map(([type, {events, milliseconds}]) => [type, {
-	eventsPerSecond: Math.round(events / measured),
-	microsecondsPerEvent: Math.round(milliseconds * second / events),
-	corePercent: Math.round(milliseconds / measured / second * 100_000) / second,
+const measuredSeconds = seconds - 9;
+const figures = Object.fromEntries([...timeByEvent].map(([type, {events, milliseconds}]) => [type, {
+	eventsPerSecond: Math.round(events / measuredSeconds),
+	microsecondsPerEvent: Math.round(milliseconds * secondMs / events),
+	corePercent: Math.round(milliseconds / measuredSeconds / secondMs * 100_000) / secondMs,
 }]));
 process.stdout.write(`${JSON.stringify({
-	members: members.length + 1, links: linked.size, bytesSentPerSecond: Object.fromEntries([...sent].map(([type, bytes]) => [type, Math.round(bytes / measured)])), ...figures,
+	members: members.length + 1, links: linkedHosts.size, bytesSentPerSecond: Object.fromEntries([...bytesSent].map(([type, bytes]) => [type, Math.round(bytes / measuredSeconds)])), ...figures,
 })}\n`);
--- a/bench/membership/status.ts
+++ b/bench/membership/status.ts
@@ -1,10 +1,10 @@
-/** Reads what hosts of a fleet say of themselves. */
+/** Reads the status and cost that hosts of a fleet report, and waits for states. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import got from 'got';
 import {z} from 'zod';
 import {type Fleet} from '../fleet/fleet.js';
 
-const pollInterval = 10;
+const pollIntervalMs = 10;
 
 const stateSchema = z.object({
 	phase: z.string(),
@@ -23,7 +23,7 @@
 export type HostState = z.infer<typeof stateSchema>;
 export type HostCost = z.infer<typeof costSchema>;
 
-async function read(fleet: Fleet, host: string, page: string): Promise<unknown> {
+async function readAdminPage(fleet: Fleet, host: string, page: string): Promise<unknown> {
 	const {admin} = fleet.hosts.get(host);
 	return got(`http://${admin?.host}:${admin?.port}/admin/${page}`, {retry: {limit: 0}, timeout: {request: 2000}}).json();
 }
@@ -31,11 +31,11 @@
 /**
  * @param fleet - Fleet.
  * @param host - Host.
- * @returns Its phase, revision and start; undefined while it does not answer.
+ * @returns Its phase, revision, start and peers; undefined while it does not answer.
  */
 export async function stateOf(fleet: Fleet, host: string): Promise<HostState | undefined> {
 	try {
-		return stateSchema.parse(await read(fleet, host, 'status'));
+		return stateSchema.parse(await readAdminPage(fleet, host, 'status'));
 	} catch {
 		return undefined;
 	}
@@ -44,36 +44,36 @@
 /**
  * @param fleet - Fleet.
  * @param host - Host.
- * @returns What it has cost so far.
+ * @returns Its processor time, memory and traffic so far.
  */
-export async function costOf(fleet: Fleet, host: string): Promise<HostCost> {
-	return costSchema.parse(await read(fleet, host, 'cost'));
+export async function fetchHostCost(fleet: Fleet, host: string): Promise<HostCost> {
+	return costSchema.parse(await readAdminPage(fleet, host, 'cost'));
 }
 
 /**
- * Waits until hosts have a revision in force.
+ * Waits until every given host has a revision in force.
  *
  * @param fleet - Fleet.
  * @param hosts - Hosts.
  * @param revision - Revision.
- * @returns Milliseconds that the last of them took.
+ * @returns Milliseconds until the last host had it in force.
  */
 export async function inForce(fleet: Fleet, hosts: readonly string[], revision: number): Promise<number> {
 	const began = performance.now();
 	await Promise.all(hosts.map(async host => {
 		for (let state = await stateOf(fleet, host); state?.revision !== revision; state = await stateOf(fleet, host)) {
-			await sleep(pollInterval);
+			await sleep(pollIntervalMs);
 		}
 	}));
 	return performance.now() - began;
 }
 
 /**
- * Waits until hosts have links to so many others.
+ * Waits until every given host has links to a number of others.
  *
  * @param fleet - Fleet.
  * @param hosts - Hosts.
- * @param links - Links that each needs at least.
+ * @param links - Minimum number of links of each host.
  */
 export async function linked(fleet: Fleet, hosts: readonly string[], links: number): Promise<void> {
 	await Promise.all(hosts.map(async host => {
@@ -83,7 +83,7 @@
 		};
 
 		while (await count() < links) {
-			await sleep(pollInterval);
+			await sleep(pollIntervalMs);
 		}
 	}));
 }
--- a/bench/model/decision.ts
+++ b/bench/model/decision.ts
@@ -1,18 +1,18 @@
-/** Measures what one routing decision costs at the size of two years: 75 engines in a failure domain, 42 hosts. */
+/** Measures the cost of one routing decision at the expected size in two years: 75 engines in a failure domain, 42 hosts. */
 import {route} from '../../src/core/features/routing/queries.js';
 import {service} from '../../src/core/features/configuration/queries.js';
 import {type Request} from '../../src/core/index.js';
 import {Fleet} from './fleet.js';
-import {speed} from './scenarios.js';
+import {engineOptions} from './scenarios.js';
 import {seeded} from './workload.js';
 
 const hosts = 42;
 const engines = 75;
 const decisions = 20_000;
-const warmUp = 2000;
+const warmUpDecisions = 2000;
 const blockTokens = 256;
 
-function request(index: number, promptTokens: number): Request {
+function buildRequest(index: number, promptTokens: number): Request {
 	return {
 		id: `d${index}`,
 		organisation: 'o',
@@ -28,21 +28,21 @@
 }
 
 /**
- * @param promptTokens - Length of the prompts.
- * @returns Microseconds for one decision, on the mean.
+ * @param promptTokens - Length of the prompts in tokens.
+ * @returns Mean time of one decision in microseconds.
  */
-export function decisionCost(promptTokens: number): number {
+export function measureDecisionCost(promptTokens: number): number {
 	const fleet = new Fleet({
-		hosts, engines, policy: 'cost', speed, organisations: [{id: 'o', weight: 1}], deadline: 100_000, weights: {slowdown: 1, firstToken: 1},
+		hosts, engines, policy: 'cost', engineOptions, organisations: [{id: 'o', weight: 1}], deadline: 100_000, weights: {slowdown: 1, firstToken: 1},
 	}, 1);
 	fleet.run([], 2000);
-	const state = fleet.stateOf(0);
+	const state = fleet.getHostState(0);
 	const random = seeded(1);
 	const wanted = service(state, 's')!;
-	const requests = Array.from({length: 100}, (_, index) => request(index, promptTokens));
+	const requests = Array.from({length: 100}, (_, index) => buildRequest(index, promptTokens));
 	let started = 0;
-	for (let index = 0; index < decisions + warmUp; index++) {
-		if (index === warmUp) {
+	for (let index = 0; index < decisions + warmUpDecisions; index++) {
+		if (index === warmUpDecisions) {
 			started = performance.now();
 		}
 
--- a/bench/model/engine.ts
+++ b/bench/model/engine.ts
@@ -1,16 +1,19 @@
-/** A model engine in virtual time: continuous batching with a chunk of prefill in each iteration, by priority. */
+/** Models an engine in virtual time: continuous batching by priority, with chunked prefill. */
 
-export type EngineSpeed = {
-	/** Prompt tokens a second. */
+export type ModelEngineOptions = {
+	/** Prompt tokens per second. */
 	readonly prefillRate: number;
-	/** Milliseconds between tokens of a batch of one, and the part by which each further request lengthens it. */
+	/** Milliseconds between tokens for a batch of one job. */
 	readonly decodeInterval: number;
+	/** Fraction by which each further job in the batch lengthens that interval. */
 	readonly batchSlowdown: number;
+	/** Limit of jobs in the batch. */
 	readonly batch: number;
+	/** Limit of prompt tokens prefilled in one iteration. */
 	readonly chunk: number;
-	/** Tokens of KV memory. */
+	/** KV memory in tokens. */
 	readonly memory: number;
-	/** Prefixes that stay cached. */
+	/** Number of prefixes that stay cached. */
 	readonly prefixes: number;
 };
 
@@ -20,41 +23,44 @@
 	readonly priority: number;
 	readonly promptTokens: number;
 	readonly prefix: string;
-	/** Tokens of the prompt that other prompts may share. */
+	/** Tokens of the prompt that other prompts with the same prefix share. */
 	readonly prefixTokens: number;
+	/** Tokens of the answer. */
 	readonly output: number;
 };
 
-/** What an iteration brought for one job. */
-export type Advance = {
+/** Progress of one job in an iteration that produced a token. */
+export type JobProgress = {
 	readonly job: Job;
 	readonly cached: number;
 	readonly produced: number;
-	readonly isOver: boolean;
+	readonly isFinished: boolean;
 };
 
 type Entry = {
 	readonly job: Job;
 	readonly order: number;
 	cached: number;
+	/** Prompt tokens that remain to be prefilled. */
 	left: number;
 	produced: number;
 };
 
 export class ModelEngine {
 	isBusy = false;
-	/** Prefill time spent, in milliseconds. */
-	worked = 0;
-	readonly #speed: EngineSpeed;
+	/** Total prefill time in milliseconds. */
+	prefillTime = 0;
+	readonly #options: ModelEngineOptions;
 	readonly #waiting: Entry[] = [];
 	#running: Entry[] = [];
-	/** Cached tokens of each prefix, the oldest use first. */
+	/** Cached tokens by prefix, least recently used first. */
 	readonly #prefixes = new Map<string, number>();
-	#shares = new Map<Entry, number>();
+	/** Prompt tokens that each job prefills in the current iteration. */
+	#prefillShares = new Map<Entry, number>();
 	#order = 0;
 
-	constructor(speed: EngineSpeed) {
-		this.#speed = speed;
+	constructor(options: ModelEngineOptions) {
+		this.#options = options;
 	}
 
 	get running(): number {
@@ -92,42 +98,42 @@
 
 	remove(attempt: string): void {
 		this.#running = this.#running.filter(each => each.job.attempt !== attempt);
-		const place = this.#waiting.findIndex(each => each.job.attempt === attempt);
-		if (place !== -1) {
-			this.#waiting.splice(place, 1);
+		const index = this.#waiting.findIndex(each => each.job.attempt === attempt);
+		if (index !== -1) {
+			this.#waiting.splice(index, 1);
 		}
 	}
 
-	/** Starts an iteration; returns how long it takes in milliseconds, or undefined if there is nothing to do. */
-	begin(): number | undefined {
+	/** Starts an iteration; returns its duration in milliseconds, or undefined if there is no job. */
+	startIteration(): number | undefined {
 		this.#admit();
 		this.isBusy = this.#running.length > 0;
 		if (!this.isBusy) {
 			return undefined;
 		}
 
-		const {chunk, prefillRate, decodeInterval, batchSlowdown} = this.#speed;
+		const {chunk, prefillRate, decodeInterval, batchSlowdown} = this.#options;
 		let budget = chunk;
 		let decoding = 0;
-		this.#shares = new Map();
+		this.#prefillShares = new Map();
 		for (const entry of this.#running) {
 			const share = Math.min(entry.left, budget);
 			budget -= share;
 			decoding += entry.left === 0 ? 1 : 0;
-			this.#shares.set(entry, share);
+			this.#prefillShares.set(entry, share);
 		}
 
 		const decode = decoding === 0 ? 0 : decodeInterval * (1 + (batchSlowdown * (decoding - 1)));
 		const prefill = (chunk - budget) * 1000 / prefillRate;
-		this.worked += prefill;
+		this.prefillTime += prefill;
 		return prefill + decode;
 	}
 
-	/** Ends an iteration. */
-	finish(): readonly Advance[] {
-		const advances: Advance[] = [];
+	/** Ends an iteration; returns the jobs that produced a token. */
+	finishIteration(): readonly JobProgress[] {
+		const progress: JobProgress[] = [];
 		for (const entry of this.#running) {
-			const share = this.#shares.get(entry);
+			const share = this.#prefillShares.get(entry);
 			if (share === undefined) {
 				continue;
 			}
@@ -138,24 +144,24 @@
 			}
 
 			if (share > 0) {
-				this.#store(entry.job);
+				this.#cachePrefix(entry.job);
 			}
 
 			entry.produced++;
-			const isOver = entry.produced >= entry.job.output;
-			advances.push({
-				job: entry.job, cached: entry.cached, produced: entry.produced, isOver,
+			const isFinished = entry.produced >= entry.job.output;
+			progress.push({
+				job: entry.job, cached: entry.cached, produced: entry.produced, isFinished,
 			});
 		}
 
 		this.#running = this.#running.filter(each => each.produced < each.job.output);
-		return advances;
+		return progress;
 	}
 
 	#admit(): void {
 		for (let next = this.#waiting[0]; next !== undefined; next = this.#waiting[0]) {
 			const needed = next.job.promptTokens + next.job.output;
-			if (this.#running.length >= this.#speed.batch || this.usedMemory + needed > this.#speed.memory) {
+			if (this.#running.length >= this.#options.batch || this.usedMemory + needed > this.#options.memory) {
 				return;
 			}
 
@@ -167,11 +173,11 @@
 		}
 	}
 
-	#store({prefix, prefixTokens}: Job): void {
-		const held = Math.max(this.#prefixes.get(prefix) ?? 0, prefixTokens);
+	#cachePrefix({prefix, prefixTokens}: Job): void {
+		const cachedTokens = Math.max(this.#prefixes.get(prefix) ?? 0, prefixTokens);
 		this.#prefixes.delete(prefix);
-		this.#prefixes.set(prefix, held);
-		if (this.#prefixes.size > this.#speed.prefixes) {
+		this.#prefixes.set(prefix, cachedTokens);
+		if (this.#prefixes.size > this.#options.prefixes) {
 			const [oldest] = this.#prefixes.keys();
 			this.#prefixes.delete(oldest!);
 		}
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several hosts' core states before model engines, in virtual time. Only the core's own step function decides; the
- * engines are queues, the network a fixed delay. It is a check of the decisions, not of a cluster.
+ * Simulates several hosts and their model engines in virtual time. Only the core's step function makes decisions; engines
+ * are modelled as queues and the network as a fixed delay, so this checks the decisions, not a cluster.
  */
 import {Map as Table} from 'immutable';
 import {
@@ -20,23 +20,23 @@
 import {ownDemands} from '../../src/core/features/limits/queries.js';
 import {ownMixes} from '../../src/core/features/routing/segments.js';
 import {ownLoads} from '../../src/core/features/membership/heartbeat.js';
-import {ModelEngine, type EngineSpeed, type Job} from './engine.js';
+import {ModelEngine, type ModelEngineOptions, type Job} from './engine.js';
 import {Timeline} from './timeline.js';
 import {seeded, type Arrival} from './workload.js';
 
-export type Layout = {
+export type FleetOptions = {
 	readonly hosts: number;
 	readonly engines: number;
 	readonly policy: Policy;
-	readonly speed: EngineSpeed;
+	readonly engineOptions: ModelEngineOptions;
 	readonly organisations: ReadonlyArray<{readonly id: string; readonly weight: number}>;
 	/** Milliseconds. */
 	readonly deadline: number;
 	readonly weights: {readonly slowdown: number; readonly firstToken: number};
 };
 
-/** What became of one request; times in milliseconds. */
-export type Result = {
+/** Result of one request; times in milliseconds. */
+export type RequestResult = {
 	readonly arrival: Arrival;
 	readonly deadline: number;
 	readonly firstToken?: number;
@@ -46,15 +46,15 @@
 	readonly cached: number;
 };
 
-const oneWay = 0.5;
-const tickInterval = 25;
-const heartbeatInterval = 100;
-const reportInterval = 250;
-const reportLag = 500;
-const checkInterval = 1000;
+const networkDelayMs = 0.5;
+const tickIntervalMs = 25;
+const heartbeatIntervalMs = 100;
+const reportIntervalMs = 250;
+const reportLagMs = 500;
+const checkIntervalMs = 1000;
 const blockTokens = 256;
 
-function configuration(layout: Layout): Configuration {
+function buildConfiguration(options: FleetOptions): Configuration {
 	return configurationSchema.parse({
 		schema: 1,
 		revision: 1,
@@ -63,29 +63,29 @@
 			id: 's',
 			kind: 'model',
 			model: 'm',
-			deadline: {default: layout.deadline, most: layout.deadline * 10},
+			deadline: {default: options.deadline, most: options.deadline * 10},
 			idempotent: true,
-			policy: layout.policy,
-			weights: layout.weights,
+			policy: options.policy,
+			weights: options.weights,
 		}],
-		organisations: layout.organisations.map(({id, weight}) => ({id, keyHashes: [], weight})),
-		upstreams: Array.from({length: layout.engines}, (_, index) => ({
+		organisations: options.organisations.map(({id, weight}) => ({id, keyHashes: [], weight})),
+		upstreams: Array.from({length: options.engines}, (_, index) => ({
 			id: `e${index}`,
 			failureDomain: 'a',
 			address: {host: '127.0.0.1', port: index + 1},
 			kind: 'engine',
 			service: 's',
-			memory: layout.speed.memory,
-			prefillRate: layout.speed.prefillRate,
-			decodeInterval: layout.speed.decodeInterval,
-			batch: layout.speed.batch,
+			memory: options.engineOptions.memory,
+			prefillRate: options.engineOptions.prefillRate,
+			decodeInterval: options.engineOptions.decodeInterval,
+			batch: options.engineOptions.batch,
 			fencing: true,
 		})),
 		tokenKeys: [{id: 'k', secret: '0'.repeat(64)}],
 	});
 }
 
-function member(host: number) {
+function buildMember(host: number) {
 	return {
 		incarnation: {host: `h${host}`, started: 1},
 		failureDomain: 'a',
@@ -96,66 +96,68 @@
 
 export class Fleet {
 	readonly #timeline = new Timeline();
-	readonly #layout: Layout;
+	readonly #options: FleetOptions;
 	readonly #random: Random;
 	readonly #states: State[];
 	readonly #engines: readonly ModelEngine[];
-	readonly #results = new Map<string, Result>();
+	readonly #results = new Map<string, RequestResult>();
 
-	constructor(layout: Layout, seed: number) {
-		this.#layout = layout;
+	constructor(options: FleetOptions, seed: number) {
+		this.#options = options;
 		this.#random = seeded(seed);
-		this.#states = Array.from({length: layout.hosts}, (_, index) => initialState(member(index)));
-		this.#engines = Array.from({length: layout.engines}, () => new ModelEngine(layout.speed));
-		const document = configuration(layout);
-		for (let host = 0; host < layout.hosts; host++) {
-			this.#step(host, {
+		this.#states = Array.from({length: options.hosts}, (_, index) => initialState(buildMember(index)));
+		this.#engines = Array.from({length: options.engines}, () => new ModelEngine(options.engineOptions));
+		const document = buildConfiguration(options);
+		for (let host = 0; host < options.hosts; host++) {
+			this.#dispatch(host, {
 				type: 'configuration-received', source: {type: 'file'}, configuration: document, digest: 'd', text: '',
 			});
-			this.#repeat(tickInterval, () => {
-				this.#step(host, {type: 'tick'});
+			this.#scheduleEvery(tickIntervalMs, () => {
+				this.#dispatch(host, {type: 'tick'});
 			});
-			this.#repeat(heartbeatInterval, () => {
-				this.#publish(host);
+			this.#scheduleEvery(heartbeatIntervalMs, () => {
+				this.#publishHeartbeat(host);
 			});
 		}
 
-		for (let engine = 0; engine < layout.engines; engine++) {
-			this.#repeat(reportInterval, () => {
-				this.#report(engine);
+		for (let engine = 0; engine < options.engines; engine++) {
+			this.#scheduleEvery(reportIntervalMs, () => {
+				this.#sendReport(engine);
 			});
 		}
 	}
 
-	/** Milliseconds of prefill that all engines did, over what they could have done. */
+	/** Share of the engines' time spent on prefill. */
 	get utilisation(): number {
-		let worked = 0;
+		let prefillTime = 0;
 		for (const engine of this.#engines) {
-			worked += engine.worked;
+			prefillTime += engine.prefillTime;
 		}
 
-		return worked / (this.#timeline.now * this.#engines.length);
+		return prefillTime / (this.#timeline.now * this.#engines.length);
 	}
 
-	/** Whether a request has not been answered. */
-	get #isWaited(): boolean {
+	/** Whether any request is still unanswered. */
+	get #hasPendingRequests(): boolean {
 		return [...this.#results.values()].some(each => each.outcome === undefined);
 	}
 
 	/**
-	 * @param arrivals - Requests.
+	 * Runs until every request is answered or the end is reached.
+	 *
+	 * @param arrivals - Requests in order of time.
 	 * @param end - Time to stop at, in milliseconds.
-	 * @returns What became of each request.
+	 * @returns Result of each request.
 	 */
-	run(arrivals: readonly Arrival[], end: number): readonly Result[] {
+	run(arrivals: readonly Arrival[], end: number): readonly RequestResult[] {
 		for (const [index, arrival] of arrivals.entries()) {
 			this.#timeline.add(arrival.at, () => {
-				this.#arrive(`r${index}`, arrival);
+				this.#submitRequest(`r${index}`, arrival);
 			});
 		}
 
 		const last = arrivals.at(-1)?.at ?? end;
-		for (let time = last; time <= end && (time === last || this.#isWaited); time += checkInterval) {
+		for (let time = last; time <= end && (time === last || this.#hasPendingRequests); time += checkIntervalMs) {
 			this.#timeline.runUntil(time);
 		}
 
@@ -163,14 +165,14 @@
 	}
 
 	/**
-	 * @param host - Number of a host.
-	 * @returns Its core's state.
+	 * @param host - Index of a host.
+	 * @returns State of its core.
 	 */
-	stateOf(host: number): State {
+	getHostState(host: number): State {
 		return this.#states[host]!;
 	}
 
-	#repeat(interval: number, run: () => void): void {
+	#scheduleEvery(interval: number, run: () => void): void {
 		const next = () => {
 			run();
 			this.#timeline.add(this.#timeline.now + interval, next);
@@ -179,12 +181,12 @@
 		this.#timeline.add(this.#random.integer(0, interval), next);
 	}
 
-	#arrive(id: string, arrival: Arrival): void {
+	#submitRequest(id: string, arrival: Arrival): void {
 		const {now} = this.#timeline;
-		const shared = Math.floor(arrival.prefixTokens / blockTokens);
-		const deadline = now + this.#layout.deadline;
+		const sharedBlocks = Math.floor(arrival.prefixTokens / blockTokens);
+		const deadline = now + this.#options.deadline;
 		this.#results.set(id, {arrival, deadline, cached: 0});
-		this.#step(arrival.host, {
+		this.#dispatch(arrival.host, {
 			type: 'request-arrived',
 			request: {
 				id,
@@ -195,29 +197,29 @@
 				deadline,
 				promptTokens: arrival.promptTokens,
 				blocks: Array.from({length: Math.ceil(arrival.promptTokens / blockTokens)}, (_, index) =>
-					index < shared ? `${arrival.prefix}/${index}` : `${id}/${index}`),
+					index < sharedBlocks ? `${arrival.prefix}/${index}` : `${id}/${index}`),
 				proof: {type: 'idempotent'},
 				fingerprint: id,
 			},
 		});
 	}
 
-	#step(host: number, event: Event): void {
+	#dispatch(host: number, event: Event): void {
 		const {now} = this.#timeline;
 		const {state, effects} = step(this.#states[host]!, event, {now, wall: now, random: this.#random});
 		this.#states[host] = state;
 		for (const effect of effects) {
-			this.#execute(host, effect);
+			this.#executeEffect(host, effect);
 		}
 	}
 
-	#execute(host: number, effect: Effect): void {
+	#executeEffect(host: number, effect: Effect): void {
 		switch (effect.type) {
 			case 'send': {
 				const {arrival} = this.#results.get(effect.request)!;
 				const {promptTokens, prefix, prefixTokens, output} = arrival;
-				this.#after(() => {
-					this.#add(effect.upstream, {
+				this.#scheduleDelivery(() => {
+					this.#addJob(effect.upstream, {
 						attempt: effect.attempt, host, priority: effect.priority, promptTokens, prefix, prefixTokens, output,
 					});
 				});
@@ -225,8 +227,8 @@
 			}
 
 			case 'cancel': {
-				this.#after(() => {
-					this.#engine(effect.upstream).remove(effect.attempt);
+				this.#scheduleDelivery(() => {
+					this.#findEngine(effect.upstream).remove(effect.attempt);
 				});
 				break;
 			}
@@ -243,88 +245,88 @@
 		}
 	}
 
-	#after(run: () => void): void {
-		this.#timeline.add(this.#timeline.now + oneWay, run);
+	#scheduleDelivery(run: () => void): void {
+		this.#timeline.add(this.#timeline.now + networkDelayMs, run);
 	}
 
-	#engine(id: string): ModelEngine {
+	#findEngine(id: string): ModelEngine {
 		return this.#engines[Number(id.slice(1))]!;
 	}
 
-	#add(id: string, job: Job): void {
-		const engine = this.#engine(id);
+	#addJob(id: string, job: Job): void {
+		const engine = this.#findEngine(id);
 		engine.add(job);
 		if (!engine.isBusy) {
-			this.#iterate(engine);
+			this.#runIterations(engine);
 		}
 	}
 
-	#iterate(engine: ModelEngine): void {
-		const duration = engine.begin();
+	#runIterations(engine: ModelEngine): void {
+		const duration = engine.startIteration();
 		if (duration === undefined) {
 			return;
 		}
 
 		this.#timeline.add(this.#timeline.now + duration, () => {
-			for (const {job, cached, produced, isOver} of engine.finish()) {
-				this.#advance(job, cached, produced, isOver);
+			for (const {job, cached, produced, isFinished} of engine.finishIteration()) {
+				this.#sendProgress(job, cached, produced, isFinished);
 			}
 
-			this.#iterate(engine);
+			this.#runIterations(engine);
 		});
 	}
 
-	#advance(job: Job, cached: number, produced: number, isOver: boolean): void {
+	#sendProgress(job: Job, cached: number, produced: number, isFinished: boolean): void {
 		const {host, attempt} = job;
 		if (produced === 1) {
-			this.#after(() => {
-				this.#note(attempt, cached);
-				this.#step(host, {
+			this.#scheduleDelivery(() => {
+				this.#recordFirstToken(attempt, cached);
+				this.#dispatch(host, {
 					type: 'attempt-progressed', attempt, tokens: 1, cachedTokens: cached,
 				});
 			});
 		}
 
-		if (isOver) {
-			this.#after(() => {
-				this.#step(host, {type: 'attempt-ended', attempt, ending: {type: 'done', tokens: produced, cachedTokens: cached}});
+		if (isFinished) {
+			this.#scheduleDelivery(() => {
+				this.#dispatch(host, {type: 'attempt-ended', attempt, ending: {type: 'done', tokens: produced, cachedTokens: cached}});
 			});
 		}
 	}
 
-	#note(attempt: string, cached: number): void {
+	#recordFirstToken(attempt: string, cached: number): void {
 		const id = attempt.slice(0, attempt.indexOf('.'));
 		const result = this.#results.get(id)!;
 		this.#results.set(id, {...result, firstToken: this.#timeline.now - result.arrival.at, cached});
 	}
 
-	#report(index: number): void {
+	#sendReport(index: number): void {
 		const engine = this.#engines[index]!;
 		const report = {
 			upstream: `e${index}`,
 			incarnation: '1',
-			age: reportLag,
+			age: reportLagMs,
 			ready: true,
 			running: engine.running,
 			waiting: engine.waiting,
 			queuedPrefill: engine.queuedPrefill,
 			usedMemory: engine.usedMemory,
-			memory: this.#layout.speed.memory,
+			memory: this.#options.engineOptions.memory,
 		};
-		this.#timeline.add(this.#timeline.now + reportLag, () => {
-			for (let host = 0; host < this.#layout.hosts; host++) {
-				this.#step(host, {type: 'report-received', report});
+		this.#timeline.add(this.#timeline.now + reportLagMs, () => {
+			for (let host = 0; host < this.#options.hosts; host++) {
+				this.#dispatch(host, {type: 'report-received', report});
 			}
 		});
 	}
 
-	/** What heartbeats would bring, put into the peers' states directly: membership has its own tests. */
-	#publish(host: number): void {
+	/** Writes what a heartbeat would carry directly into the other hosts' states, since membership has its own tests. */
+	#publishHeartbeat(host: number): void {
 		const state = this.#states[host]!;
 		const {now} = this.#timeline;
 		const loads = Table(ownLoads(state).map(load => [load.upstream, load] as [string, Load]));
 		const peer: Peer = {
-			member: member(host),
+			member: buildMember(host),
 			phase: 'serving',
 			status: 'live',
 			connected: true,
@@ -339,7 +341,7 @@
 			demands: ownDemands(state, now),
 			mixes: ownMixes(state, now),
 		};
-		this.#after(() => {
+		this.#scheduleDelivery(() => {
 			for (const [index, other] of this.#states.entries()) {
 				if (index !== host) {
 					const peers = other.membership.peers.set(`h${host}`, peer);
--- a/bench/model/main.ts
+++ b/bench/model/main.ts
@@ -1,18 +1,18 @@
-/** Prints what the policies achieve in virtual time, for several seeds. */
+/** Simulates the policies in virtual time for several seeds and prints the measured values. */
 import process from 'node:process';
 import {type Policy} from '../../src/core/index.js';
-import {decisionCost} from './decision.js';
+import {measureDecisionCost} from './decision.js';
 import {summary} from './measure.js';
 import {run, type Scenario} from './scenarios.js';
 
 const policies: readonly Policy[] = ['cost', 'round-robin', 'random', 'least-requests'];
-/** Given as arguments, or these. */
-const usualSeeds = ['1', '2', '3', '4', '5'];
-const duration = 300_000;
-/** Long enough that no policy refuses a long prompt and looks the better for it. */
-const patientDeadline = 300_000;
+/** Used if no seeds are given as arguments. */
+const defaultSeeds = ['1', '2', '3', '4', '5'];
+const durationMs = 300_000;
+/** Long enough that no policy refuses long prompts, which would improve its other values. */
+const longDeadlineMs = 300_000;
 
-function line(scenario: Scenario): void {
+function printScenario(scenario: Scenario): void {
 	const started = performance.now();
 	const {results, utilisation} = run(scenario);
 	const figures = summary(results, scenario.duration / 1000);
@@ -23,24 +23,24 @@
 }
 
 for (const promptTokens of [2000, 30_000, 400_000]) {
-	process.stdout.write(`one decision at 75 engines and 42 hosts, prompt of ${promptTokens} tokens: ${decisionCost(promptTokens).toFixed(1)} microseconds\n`);
+	process.stdout.write(`one decision at 75 engines and 42 hosts, prompt of ${promptTokens} tokens: ${measureDecisionCost(promptTokens).toFixed(1)} microseconds\n`);
 }
 
-const given = process.argv.slice(2);
-for (const seed of (given.length > 0 ? given : usualSeeds).map(Number)) {
+const seedArguments = process.argv.slice(2);
+for (const seed of (seedArguments.length > 0 ? seedArguments : defaultSeeds).map(Number)) {
 	for (const policy of policies) {
-		line({
-			policy, seed, load: 0.7, duration, deadline: patientDeadline,
+		printScenario({
+			policy, seed, load: 0.7, duration: durationMs, deadline: longDeadlineMs,
 		});
 	}
 
-	line({
-		policy: 'cost', seed, load: 0.7, duration, deadline: patientDeadline, isShortAlone: true,
+	printScenario({
+		policy: 'cost', seed, load: 0.7, duration: durationMs, deadline: longDeadlineMs, isShortAlone: true,
 	});
-	line({
-		policy: 'cost', seed, load: 1.3, duration,
+	printScenario({
+		policy: 'cost', seed, load: 1.3, duration: durationMs,
 	});
-	line({
-		policy: 'least-requests', seed, load: 1.3, duration,
+	printScenario({
+		policy: 'least-requests', seed, load: 1.3, duration: durationMs,
 	});
 }
--- a/bench/model/scenarios.ts
+++ b/bench/model/scenarios.ts
@@ -1,10 +1,10 @@
-/** The scenarios that tests and the bench share. */
+/** Scenarios shared by tests and benchmarks. */
 import {type Policy} from '../../src/core/index.js';
-import {Fleet, type Layout, type Result} from './fleet.js';
-import {type EngineSpeed} from './engine.js';
-import {arrivals, shortTokens, type Workload} from './workload.js';
+import {Fleet, type FleetOptions, type RequestResult} from './fleet.js';
+import {type ModelEngineOptions} from './engine.js';
+import {generateArrivals, maxShortTokens, type Workload} from './workload.js';
 
-export const speed: EngineSpeed = {
+export const engineOptions: ModelEngineOptions = {
 	prefillRate: 10_000,
 	decodeInterval: 25,
 	batchSlowdown: 0.02,
@@ -14,64 +14,64 @@
 	prefixes: 40,
 };
 
-/** Prompt tokens a second that one engine takes with the usual mix, measured with every engine full. */
-export const engineCapacity = 8000;
+/** Prompt tokens per second that one engine takes at full load with this mix of prompts. */
+export const engineTokensPerSecond = 8000;
 
-/** Mean prompt tokens that are not cached, measured with the usual mix. */
-export const meanPrompt = 15_500;
+/** Mean prompt tokens that are not cached with this mix of prompts. */
+export const meanUncachedTokens = 15_500;
 
 const engines = 8;
 
 export const organisations = [
-	{id: 'large1', part: 0.35, weight: 1},
-	{id: 'large2', part: 0.3, weight: 1},
-	{id: 'large3', part: 0.2, weight: 1},
-	...Array.from({length: 7}, (_, index) => ({id: `small${index}`, part: 0.15 / 7, weight: 1})),
+	{id: 'large1', share: 0.35, weight: 1},
+	{id: 'large2', share: 0.3, weight: 1},
+	{id: 'large3', share: 0.2, weight: 1},
+	...Array.from({length: 7}, (_, index) => ({id: `small${index}`, share: 0.15 / 7, weight: 1})),
 ];
 
 export type Scenario = {
 	readonly policy: Policy;
 	readonly seed: number;
-	/** Part of the engines' capacity that is asked for. */
+	/** Offered load, as a fraction of the engines' capacity. */
 	readonly load: number;
 	/** Milliseconds in which requests arrive. */
 	readonly duration: number;
-	/** Whether only the short prompts of the same arrivals come. */
+	/** Whether to run only the short prompts of the same arrivals. */
 	readonly isShortAlone?: boolean;
 	/** Milliseconds. */
 	readonly deadline?: number;
 };
 
-const usualDeadline = 120_000;
+const defaultDeadlineMs = 120_000;
 
 /**
- * @param scenario - What to run.
- * @returns What became of the requests, and how busy the engines were.
+ * @param scenario - Scenario.
+ * @returns Results of the requests, and the share of the engines' time spent on prefill.
  */
-export function run(scenario: Scenario): {readonly results: readonly Result[]; readonly utilisation: number} {
-	const deadline = scenario.deadline ?? usualDeadline;
-	const layout: Layout = {
+export function run(scenario: Scenario): {readonly results: readonly RequestResult[]; readonly utilisation: number} {
+	const deadline = scenario.deadline ?? defaultDeadlineMs;
+	const options: FleetOptions = {
 		hosts: 7,
 		engines,
 		policy: scenario.policy,
-		speed,
+		engineOptions,
 		organisations,
 		deadline,
 		weights: {slowdown: 1, firstToken: 1},
 	};
 	const workload: Workload = {
 		seed: scenario.seed,
-		hosts: layout.hosts,
+		hosts: options.hosts,
 		duration: scenario.duration,
-		rate: scenario.load * engines * engineCapacity / meanPrompt,
+		rate: scenario.load * engines * engineTokensPerSecond / meanUncachedTokens,
 		organisations,
-		shortPart: 0.7,
-		longPart: 0.02,
-		longest: 400_000,
+		shortShare: 0.7,
+		longShare: 0.02,
+		maxPromptTokens: 400_000,
 	};
-	const all = arrivals(workload);
-	const wanted = scenario.isShortAlone === true ? all.filter(each => each.promptTokens <= shortTokens) : all;
-	const fleet = new Fleet(layout, scenario.seed);
-	const results = fleet.run(wanted, scenario.duration + deadline);
+	const all = generateArrivals(workload);
+	const selected = scenario.isShortAlone === true ? all.filter(each => each.promptTokens <= maxShortTokens) : all;
+	const fleet = new Fleet(options, scenario.seed);
+	const results = fleet.run(selected, scenario.duration + deadline);
 	return {results, utilisation: fleet.utilisation};
 }
--- a/bench/model/timeline.ts
+++ b/bench/model/timeline.ts
@@ -1,4 +1,4 @@
-/** Things to do in virtual time, in order. */
+/** Event queue in virtual time. */
 
 type Entry = {
 	readonly at: number;
@@ -10,18 +10,19 @@
 	return a.at < b.at || (a.at === b.at && a.order < b.order);
 }
 
-/** A binary heap; entries of the same time run in the order in which they were added. */
+/** Runs callbacks in order of their time, and in order of insertion at the same time; a binary heap. */
 export class Timeline {
+	/** Milliseconds. */
 	now = 0;
 	readonly #heap: Entry[] = [];
 	#order = 0;
 
 	add(at: number, run: () => void): void {
 		this.#heap.push({at: Math.max(at, this.now), order: this.#order++, run});
-		this.#rise(this.#heap.length - 1);
+		this.#siftUp(this.#heap.length - 1);
 	}
 
-	/** Runs everything up to a time in milliseconds. */
+	/** Runs every entry up to a time in milliseconds. */
 	runUntil(end: number): void {
 		for (let next = this.#heap[0]; next !== undefined && next.at <= end; next = this.#heap[0]) {
 			this.#removeFirst();
@@ -30,16 +31,16 @@
 		}
 	}
 
-	#rise(start: number): void {
-		let place = start;
-		while (place > 0) {
-			const parent = Math.floor((place - 1) / 2);
-			if (!isBefore(this.#heap[place]!, this.#heap[parent]!)) {
+	#siftUp(start: number): void {
+		let index = start;
+		while (index > 0) {
+			const parent = Math.floor((index - 1) / 2);
+			if (!isBefore(this.#heap[index]!, this.#heap[parent]!)) {
 				return;
 			}
 
-			this.#swap(place, parent);
-			place = parent;
+			this.#swap(index, parent);
+			index = parent;
 		}
 	}
 
@@ -50,17 +51,17 @@
 		}
 
 		this.#heap[0] = last;
-		for (let place = 0; ;) {
-			const left = (2 * place) + 1;
+		for (let index = 0; ;) {
+			const left = (2 * index) + 1;
 			const right = left + 1;
 			const hasRight = right < this.#heap.length && isBefore(this.#heap[right]!, this.#heap[left]!);
 			const child = hasRight ? right : left;
-			if (child >= this.#heap.length || !isBefore(this.#heap[child]!, this.#heap[place]!)) {
+			if (child >= this.#heap.length || !isBefore(this.#heap[child]!, this.#heap[index]!)) {
 				return;
 			}
 
-			this.#swap(place, child);
-			place = child;
+			this.#swap(index, child);
+			index = child;
 		}
 	}
 
--- a/bench/model/workload.ts
+++ b/bench/model/workload.ts
@@ -1,4 +1,4 @@
-/** Seeded arrivals: prompts of very unlike lengths, from organisations of very unlike sizes. */
+/** Generates arrivals from a seed: prompts of widely different lengths from organisations of widely different sizes. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {type Random} from '../../src/core/index.js';
@@ -9,8 +9,9 @@
 	readonly host: number;
 	readonly organisation: string;
 	readonly promptTokens: number;
+	/** Tokens of the answer. */
 	readonly output: number;
-	/** Common start of prompts, and its length in tokens. */
+	/** Prefix that several prompts share. */
 	readonly prefix: string;
 	readonly prefixTokens: number;
 };
@@ -20,23 +21,24 @@
 	readonly hosts: number;
 	/** Milliseconds. */
 	readonly duration: number;
-	/** Requests a second, all hosts together. */
+	/** Requests per second for all hosts together. */
 	readonly rate: number;
-	/** Part of requests by organisation. */
-	readonly organisations: ReadonlyArray<{readonly id: string; readonly part: number}>;
-	/** Part of prompts that are short, and that are long; the rest is between. */
-	readonly shortPart: number;
-	readonly longPart: number;
-	readonly longest: number;
+	/** Share of the requests by organisation. */
+	readonly organisations: ReadonlyArray<{readonly id: string; readonly share: number}>;
+	/** Shares of short and long prompts; the rest are of middle length. */
+	readonly shortShare: number;
+	readonly longShare: number;
+	/** Longest prompt. */
+	readonly maxPromptTokens: number;
 };
 
-export const shortest = 1000;
-export const shortTokens = 4096;
-export const longTokens = 100_000;
+export const minPromptTokens = 1000;
+export const maxShortTokens = 4096;
+export const minLongTokens = 100_000;
 
 const resolution = 1_000_000_000;
 
-/** A seeded source of numbers. */
+/** Creates a seeded source of random numbers. */
 export function seeded(seed: number): Random {
 	const generator = xoroshiro128plus(seed);
 	return {
@@ -44,30 +46,30 @@
 	};
 }
 
-function part(random: Random): number {
+function drawFraction(random: Random): number {
 	return random.integer(1, resolution) / resolution;
 }
 
-function between(random: Random, least: number, most: number): number {
-	return Math.round(least * ((most / least) ** part(random)));
+function drawLogUniform(random: Random, least: number, most: number): number {
+	return Math.round(least * ((most / least) ** drawFraction(random)));
 }
 
-function length(random: Random, workload: Workload): number {
-	const drawn = part(random);
-	if (drawn <= workload.longPart) {
-		return between(random, longTokens, workload.longest);
+function drawPromptTokens(random: Random, workload: Workload): number {
+	const drawn = drawFraction(random);
+	if (drawn <= workload.longShare) {
+		return drawLogUniform(random, minLongTokens, workload.maxPromptTokens);
 	}
 
-	return drawn <= workload.longPart + workload.shortPart
-		? between(random, shortest, shortTokens)
-		: between(random, shortTokens + 1, longTokens - 1);
+	return drawn <= workload.longShare + workload.shortShare
+		? drawLogUniform(random, minPromptTokens, maxShortTokens)
+		: drawLogUniform(random, maxShortTokens + 1, minLongTokens - 1);
 }
 
-function organisation(random: Random, workload: Workload): string {
-	let left = part(random);
+function drawOrganisation(random: Random, workload: Workload): string {
+	let remaining = drawFraction(random);
 	for (const each of workload.organisations) {
-		left -= each.part;
-		if (left <= 0) {
+		remaining -= each.share;
+		if (remaining <= 0) {
 			return each.id;
 		}
 	}
@@ -75,33 +77,33 @@
 	return workload.organisations.at(-1)!.id;
 }
 
-/** Tokens of the prefixes that each organisation uses. */
-const prefixLengths = [512, 1024, 2048, 4096, 8192, 16_384];
-/** Part of a prompt that may be shared. */
-const sharedPart = 0.8;
-const leastOutput = 16;
-const mostOutput = 256;
+/** Lengths of the prefixes that each organisation uses. */
+const prefixTokenCounts = [512, 1024, 2048, 4096, 8192, 16_384];
+/** Largest share of a prompt that its prefix may take. */
+const maxPrefixShare = 0.8;
+const minOutputTokens = 16;
+const maxOutputTokens = 256;
 
 /**
- * @param workload - What arrives.
+ * @param workload - Workload.
  * @returns Arrivals in order of time, the same for the same seed.
  */
-export function arrivals(workload: Workload): readonly Arrival[] {
+export function generateArrivals(workload: Workload): readonly Arrival[] {
 	const random = seeded(workload.seed);
 	const all: Arrival[] = [];
 	for (let at = 0; at < workload.duration;) {
-		at += -Math.log(part(random)) * 1000 / workload.rate;
-		const id = organisation(random, workload);
-		const promptTokens = length(random, workload);
-		const prefix = random.integer(0, prefixLengths.length - 1);
+		at += -Math.log(drawFraction(random)) * 1000 / workload.rate;
+		const id = drawOrganisation(random, workload);
+		const promptTokens = drawPromptTokens(random, workload);
+		const prefix = random.integer(0, prefixTokenCounts.length - 1);
 		all.push({
 			at,
 			host: random.integer(0, workload.hosts - 1),
 			organisation: id,
 			promptTokens,
-			output: random.integer(leastOutput, mostOutput),
+			output: random.integer(minOutputTokens, maxOutputTokens),
 			prefix: `${id}/${prefix}`,
-			prefixTokens: Math.min(prefixLengths[prefix]!, Math.floor(promptTokens * sharedPart)),
+			prefixTokens: Math.min(prefixTokenCounts[prefix]!, Math.floor(promptTokens * maxPrefixShare)),
 		});
 	}
 
--- a/bench/soak/__tests__/soak.test.ts
+++ b/bench/soak/__tests__/soak.test.ts
@@ -1,19 +1,19 @@
-/** The soak itself: its checks can fail, its plans repeat, and seeds that found a fault stay green. */
+/** Tests that the soak's checks can fail and its plans repeat, and runs the seeds that once found a bug. */
 import {describe, expect, it} from 'vitest';
 import {type Answer} from '../../gateway/asking.js';
-import {plan} from '../plan.js';
+import {planFaults} from '../plan.js';
 import {
-	broken, goesBack, type Excuse, type Result, type Visit,
-} from '../promises.js';
-import {run} from '../run.js';
+	findBrokenGuarantees, hasReversion, type Outage, type RequestResult, type RequestRecord,
+} from '../guarantees.js';
+import {runSoak} from '../run.js';
 
-function answer(change: Partial<Answer> = {}): Answer {
+function buildAnswer(change: Partial<Answer> = {}): Answer {
 	return {
 		status: 200, headers: {}, body: 'a', isWhole: true, took: 10, ...change,
 	};
 }
 
-function visit(result: Result, change: Partial<Visit> = {}): Visit {
+function buildRequest(result: RequestResult, change: Partial<RequestRecord> = {}): RequestRecord {
 	return {
 		id: 'v', kind: 'once', host: 1, began: 1000, ended: 1100, limit: 1500, expected: 'a', result, ...change,
 	};
@@ -23,71 +23,71 @@
 	request: 'v', upstream: 'u', method: 'POST', path: '/', headers: {}, body: '', at: 0,
 };
 
-describe('promises', () => {
-	const whole: Result = {type: 'answered', answer: answer(), got: 'a'};
-	const cut: Result = {type: 'cut', reason: 'ECONNRESET', isIdle: false};
-	const killed: Excuse = {
+describe('guarantees', () => {
+	const whole: RequestResult = {type: 'answered', answer: buildAnswer(), received: 'a'};
+	const cut: RequestResult = {type: 'cut', reason: 'ECONNRESET', isIdle: false};
+	const killed: Outage = {
 		host: 1, from: 1050, to: 1060, type: 'killed',
 	};
 
-	it('are kept by a whole answer in time', () => {
-		expect(broken([visit(whole)], () => [ran], [], 0)).toEqual([]);
+	it('hold for a complete answer in time', () => {
+		expect(findBrokenGuarantees([buildRequest(whole)], () => [ran], [], 0)).toEqual([]);
 	});
 
-	it.each<[string, Visit, number]>([
-		['late', visit(whole, {ended: 4000}), 1],
-		['never answered', visit({type: 'never'}), 1],
-		['another\'s', visit({type: 'answered', answer: answer(), got: 'b'}), 1],
-		['not run, though it ran', visit({type: 'answered', answer: answer({status: 503, headers: {'x-not-executed': '1'}}), got: ''}), 1],
-		['cut', visit(cut), 1],
-		['run twice', visit(whole), 2],
-	])('are broken by an answer that is %s', (_, seen, runs) => {
-		expect(broken([seen], () => Array.from({length: runs}, () => ran), [], 0)).toHaveLength(1);
+	it.each<[string, RequestRecord, number]>([
+		['late', buildRequest(whole, {ended: 4000}), 1],
+		['never answered', buildRequest({type: 'never'}), 1],
+		['for another request', buildRequest({type: 'answered', answer: buildAnswer(), received: 'b'}), 1],
+		['reported as not executed, but ran', buildRequest({type: 'answered', answer: buildAnswer({status: 503, headers: {'x-not-executed': '1'}}), received: ''}), 1],
+		['cut', buildRequest(cut), 1],
+		['executed twice', buildRequest(whole), 2],
+	])('are broken by an answer that is %s', (_, request, runs) => {
+		expect(findBrokenGuarantees([request], () => Array.from({length: runs}, () => ran), [], 0)).toHaveLength(1);
 	});
 
-	it('excuse what a kill cut, and nothing else', () => {
-		expect(broken([visit(cut)], () => [ran], [killed], 0)).toEqual([]);
-		expect(broken([visit(cut)], () => [ran], [{...killed, host: 2}], 0)).toHaveLength(1);
-		expect(broken([visit(cut)], () => [ran], [{...killed, type: 'paused'}], 0)).toHaveLength(1);
-		expect(broken([visit({...cut, isIdle: true})], () => [ran], [{...killed, type: 'stopping'}], 0)).toEqual([]);
+	it('excuse a lost connection only during a matching outage of the same host', () => {
+		expect(findBrokenGuarantees([buildRequest(cut)], () => [ran], [killed], 0)).toEqual([]);
+		expect(findBrokenGuarantees([buildRequest(cut)], () => [ran], [{...killed, host: 2}], 0)).toHaveLength(1);
+		expect(findBrokenGuarantees([buildRequest(cut)], () => [ran], [{...killed, type: 'paused'}], 0)).toHaveLength(1);
+		expect(findBrokenGuarantees([buildRequest({...cut, isIdle: true})], () => [ran], [{...killed, type: 'stopping'}], 0)).toEqual([]);
 	});
 
-	it('excuse a cut by a host that has long said it leaves, if nothing ran', () => {
-		const stopping: Excuse = {
+	it('excuse a lost connection to a host that has long been stopping, if nothing ran', () => {
+		const stopping: Outage = {
 			host: 1, from: 0, to: 5000, type: 'stopping',
 		};
-		const late = visit(cut, {began: 3000, ended: 3010});
-		expect(broken([late], () => [], [stopping], 0)).toEqual([]);
-		expect(broken([late], () => [ran], [stopping], 0)).toHaveLength(1);
-		expect(broken([{...late, began: 2000}], () => [], [stopping], 0)).toHaveLength(1);
+		const late = buildRequest(cut, {began: 3000, ended: 3010});
+		expect(findBrokenGuarantees([late], () => [], [stopping], 0)).toEqual([]);
+		expect(findBrokenGuarantees([late], () => [ran], [stopping], 0)).toHaveLength(1);
+		expect(findBrokenGuarantees([{...late, began: 2000}], () => [], [stopping], 0)).toHaveLength(1);
 	});
 
-	it('notice a host that goes back to an earlier configuration', () => {
-		expect([goesBack([1, 2, 5]), goesBack([1, 3, 2]), goesBack([2, 2])]).toEqual([false, true, true]);
+	it('detect a host that reverts to an earlier configuration', () => {
+		expect([hasReversion([1, 2, 5]), hasReversion([1, 3, 2]), hasReversion([2, 2])]).toEqual([false, true, true]);
 	});
 });
 
-describe('a plan', () => {
-	const shape = {
+describe('planFaults', () => {
+	const options = {
 		hosts: 3, upstreams: 5, links: 5, length: 60_000,
 	};
 
-	it('repeats for its seed, and has every kind of mishap', () => {
-		const all = Array.from({length: 10}, (_, seed) => plan(seed + 1, shape));
-		expect(plan(1, shape)).toEqual(all[0]);
-		expect(new Set(all.flat().map(({mishap}) => mishap.type)).size).toBe(10);
+	it('returns the same plan for the same seed, and draws every type of fault', () => {
+		const all = Array.from({length: 10}, (_, seed) => planFaults(seed + 1, options));
+		expect(planFaults(1, options)).toEqual(all[0]);
+		expect(new Set(all.flat().map(({fault}) => fault.type)).size).toBe(10);
 	});
 });
 
 describe('real gateway processes', () => {
 	it.each([
-		[3, 'a caller that connected as a stop ended was cut'],
-		[404, 'a caller that waited to be accepted as listening ended was cut'],
-	])('keep every promise (seed %i: %s)', {timeout: 120_000}, async seed => {
-		const outcome = await run({
+		[3, 'a caller that connected as a stop ended lost its connection'],
+		[404, 'a caller whose connection was not accepted when the socket closed lost it'],
+	])('keep every guarantee (seed %i: %s)', {timeout: 120_000}, async seed => {
+		const result = await runSoak({
 			seed, hosts: 3, clients: 8, length: 12_000,
 		});
-		expect(outcome.broken, outcome.story.join('\n')).toEqual([]);
-		expect(outcome.served).toBeGreaterThan(50);
+		expect(result.broken, result.history.join('\n')).toEqual([]);
+		expect(result.served).toBeGreaterThan(50);
 	});
 });
--- a/bench/soak/clients.ts
+++ b/bench/soak/clients.ts
@@ -1,4 +1,4 @@
-/** Callers that keep using one connection until its process is gone, and note what they saw. */
+/** Callers that use one connection until it fails, and record the result of each request. */
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {messageOf, type Random} from '../../src/core/index.js';
@@ -6,28 +6,28 @@
 	CallFailure, eventsOf, prompt, type Answer, type Asking,
 } from '../gateway/asking.js';
 import {type Site} from '../gateway/site.js';
-import {type Kind, type Result, type Visit} from './promises.js';
+import {type RequestKind, type RequestResult, type RequestRecord} from './guarantees.js';
 
-/** Milliseconds that the routes of the site allow. */
-const limits: Readonly<Record<Kind, number>> = {ask: 8000, once: 1500, read: 1500};
+/** Time limits of the site's routes. */
+const timeLimitsMs: Readonly<Record<RequestKind, number>> = {ask: 8000, once: 1500, read: 1500};
 
-/** Milliseconds after which a caller takes it that nothing will come. */
-const patience = 25_000;
+/** Time after which a caller gives up on an answer. */
+const callerTimeoutMs = 25_000;
 
-/** Milliseconds between two requests of a caller. */
-const pause = {least: 5, most: 120};
+/** Pause between two requests of a caller. */
+const pauseMs = {least: 5, most: 120};
 
-/** Tokens of usual prompts, and of one in so many that is larger than an engine's memory. */
-const usual = {least: 200, most: 20_000};
-const large = {least: 110_000, most: 160_000};
-const largeShare = 20;
+const usualPromptTokens = {least: 200, most: 20_000};
+/** Larger than an engine's memory. */
+const largePromptTokens = {least: 110_000, most: 160_000};
+const requestsPerLargePrompt = 20;
 
-const mostEvents = 40;
+const maxEvents = 40;
 
-type Wanted = Pick<Visit, 'id' | 'kind' | 'expected'> & {readonly asking: Asking};
+type PlannedRequest = Pick<RequestRecord, 'id' | 'kind' | 'expected'> & {readonly asking: Asking};
 
 export class Client {
-	readonly visits: Visit[] = [];
+	readonly records: RequestRecord[] = [];
 	readonly #name: string;
 	readonly #site: Site;
 	readonly #random: Random;
@@ -43,24 +43,26 @@
 	}
 
 	/**
-	 * @param signal - Ends it once its last answer is there.
+	 * Sends requests one after another.
+	 *
+	 * @param signal - Stops the client after the request in progress.
 	 */
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			const visit = await this.#visit();
-			this.visits.push(visit);
-			if (visit.result.type !== 'answered') {
-				await this.#move();
+			const request = await this.#sendNext();
+			this.records.push(request);
+			if (request.result.type !== 'answered') {
+				await this.#switchHost();
 			}
 
-			await sleep(this.#random.integer(pause.least, pause.most));
+			await sleep(this.#random.integer(pauseMs.least, pauseMs.most));
 		}
 
 		this.#agent.destroy();
 	}
 
-	/** To another host that says it is ready, over a connection of its own. */
-	async #move(): Promise<void> {
+	/** Switches to the next host that reports ready, over a new connection. */
+	async #switchHost(): Promise<void> {
 		this.#agent.destroy();
 		this.#agent = new Agent({keepAlive: true, maxSockets: 1});
 		const {hosts} = this.#site;
@@ -73,13 +75,13 @@
 		}
 	}
 
-	#want(): Wanted {
+	#planRequest(): PlannedRequest {
 		this.#sent++;
 		const id = `${this.#name}-${this.#sent}`;
 		const kind = (['ask', 'once', 'read'] as const)[this.#random.integer(0, 2)]!;
 		if (kind === 'ask') {
-			const sizes = this.#random.integer(1, largeShare) === 1 ? large : usual;
-			const events = this.#random.integer(1, mostEvents);
+			const sizes = this.#random.integer(1, requestsPerLargePrompt) === 1 ? largePromptTokens : usualPromptTokens;
+			const events = this.#random.integer(1, maxEvents);
 			const headers = prompt(this.#random.integer(sizes.least, sizes.most), events);
 			return {
 				id, kind, expected: events, asking: {path: '/ask/x', id, headers},
@@ -94,23 +96,23 @@
 		};
 	}
 
-	async #visit(): Promise<Visit> {
-		const {asking, ...wanted} = this.#want();
+	async #sendNext(): Promise<RequestRecord> {
+		const {asking, ...planned} = this.#planRequest();
 		const host = this.#host;
 		const began = performance.now();
-		const result = await this.#ask(asking, wanted.kind);
+		const result = await this.#send(asking, planned.kind);
 		return {
-			...wanted, host, began, ended: performance.now(), limit: limits[wanted.kind], result,
+			...planned, host, began, ended: performance.now(), limit: timeLimitsMs[planned.kind], result,
 		};
 	}
 
-	async #ask(asking: Asking, kind: Kind): Promise<Result> {
+	async #send(asking: Asking, kind: RequestKind): Promise<RequestResult> {
 		try {
-			const answer = await this.#site.ask({...asking, agent: this.#agent, signal: AbortSignal.timeout(patience)}, this.#site.hosts[this.#host]);
-			return {type: 'answered', answer, got: kind === 'ask' ? lengthOf(answer) : answer.body};
+			const answer = await this.#site.ask({...asking, agent: this.#agent, signal: AbortSignal.timeout(callerTimeoutMs)}, this.#site.hosts[this.#host]);
+			return {type: 'answered', answer, received: kind === 'ask' ? countEvents(answer) : answer.body};
 		} catch (error) {
 			const reason = messageOf(error);
-			// Reset while it connected: nothing was sent.
+			// The connection was refused or reset while connecting, so nothing was sent.
 			if (reason.includes('ECONNREFUSED') || reason.startsWith('connect ')) {
 				return {type: 'refused'};
 			}
@@ -120,8 +122,8 @@
 	}
 }
 
-/** Events of a stream, or -1 if one is missing or comes twice. */
-function lengthOf(answer: Answer): number {
+/** Returns the number of events of a stream, or -1 if one is missing or repeated. */
+function countEvents(answer: Answer): number {
 	const ids = eventsOf(answer);
 	return ids.every((id, index) => id === index + 1) ? ids.length : -1;
 }
--- /dev/null
+++ b/bench/soak/guarantees.ts
@@ -0,0 +1,126 @@
+/** Checks the guarantees of the gateway against what callers and upstreams recorded. */
+import {type Answer} from '../gateway/asking.js';
+import {type Run} from '../../stand-ins/gateway/ledger.js';
+
+export type RequestKind = 'ask' | 'once' | 'read';
+
+/** One request of a caller; times are monotonic milliseconds. */
+export type RequestRecord = {
+	readonly id: string;
+	readonly kind: RequestKind;
+	readonly host: number;
+	readonly began: number;
+	readonly ended: number;
+	/** Time limit of its route, in milliseconds. */
+	readonly limit: number;
+	/** Content of a complete answer: a body, or the number of events. */
+	readonly expected: string | number;
+	readonly result: RequestResult;
+};
+
+export type RequestResult
+	= | {readonly type: 'answered'; readonly answer: Answer; readonly received: string | number}
+	/** The connection ended before any answer; `isIdle` if it had carried other requests and closed as this one was sent. */
+		| {readonly type: 'cut'; readonly reason: string; readonly isIdle: boolean}
+	/** The connection was not established. */
+		| {readonly type: 'refused'}
+	/** No answer within the caller's timeout. */
+		| {readonly type: 'never'};
+
+/** A period in which a host was killed, paused or stopping; monotonic milliseconds. */
+export type Outage = {
+	readonly host: number;
+	readonly from: number;
+	readonly to: number;
+	readonly type: 'killed' | 'paused' | 'stopping';
+};
+
+/** Tolerance for the time limit of a request: on a busy machine a process may wait for the processor. */
+const answerSlackMs = 1200;
+
+/** Time around an outage within which a connection may break. */
+const outageMarginMs = 100;
+
+/** Time after SIGTERM within which a load balancer may still send callers: it probes once a second and needs two probes. */
+const balancerLagMs = 2600;
+
+function overlaps({host, began, ended}: RequestRecord, outage: Outage): boolean {
+	return outage.host === host && outage.from - outageMarginMs < ended && began < outage.to + outageMarginMs;
+}
+
+function checkTime(request: RequestRecord, outages: readonly Outage[], lag: number): readonly string[] {
+	const isExcused = outages.some(outage => outage.type === 'paused' && overlaps(request, outage));
+	const took = request.ended - request.began;
+	return took > request.limit + answerSlackMs + lag && !isExcused ? [`${request.id} took ${Math.round(took)} ms of ${request.limit}`] : [];
+}
+
+function checkAnswer({id, expected, result}: RequestRecord, runs: readonly Run[]): readonly string[] {
+	if (result.type !== 'answered') {
+		return [];
+	}
+
+	const {answer, received} = result;
+	const found: string[] = [];
+	if (answer.status === 200 && answer.isWhole && received !== expected) {
+		found.push(`${id} received ${received} instead of ${expected}`);
+	}
+
+	if (answer.headers['x-not-executed'] !== undefined && runs.length > 0) {
+		found.push(`${id} was reported as not executed, but ran at ${runs.map(run => run.upstream).join(', ')}`);
+	}
+
+	return found;
+}
+
+/**
+ * Returns whether a caller connected to a host long after its stop began, because no host was ready. When a process closes its
+ * listening socket, the kernel resets the connections that it has not accepted yet; the process cannot prevent that.
+ */
+function connectedLateInStop(request: RequestRecord, outages: readonly Outage[]): boolean {
+	return outages.some(outage => outage.type === 'stopping' && overlaps(request, outage) && request.began > outage.from + balancerLagMs);
+}
+
+function checkConnection(request: RequestRecord, outages: readonly Outage[], runs: readonly Run[]): readonly string[] {
+	const {id, host, result} = request;
+	if (result.type === 'never') {
+		return [`${id} got no answer from host ${host}`];
+	}
+
+	if (result.type !== 'cut') {
+		return [];
+	}
+
+	const excusingTypes = result.isIdle ? ['killed', 'stopping'] : ['killed'];
+	const isExcused = outages.some(outage => excusingTypes.includes(outage.type) && overlaps(request, outage));
+	return isExcused || (runs.length === 0 && connectedLateInStop(request, outages))
+		? []
+		: [`${id}, sent at ${Math.round(request.began)} ms, lost its connection to host ${host} at ${Math.round(request.ended)} ms: ${result.reason}`];
+}
+
+/**
+ * @param requests - All requests.
+ * @param runsOf - Returns the executions of a request at upstreams.
+ * @param outages - When hosts were killed, stopped or paused.
+ * @param lag - Longest event loop lag of this process, in milliseconds.
+ * @returns A description of each broken guarantee.
+ */
+export function findBrokenGuarantees(
+	requests: readonly RequestRecord[],
+	runsOf: (id: string) => readonly Run[],
+	outages: readonly Outage[],
+	lag: number,
+): readonly string[] {
+	return requests.flatMap(request => {
+		const runs = runsOf(request.id);
+		const repeated = request.kind === 'once' && runs.length > 1 ? [`${request.id} ran ${runs.length} times`] : [];
+		return [...checkTime(request, outages, lag), ...checkAnswer(request, runs), ...checkConnection(request, outages, runs), ...repeated];
+	});
+}
+
+/**
+ * @param versions - Configuration versions that one run of a host applied, in order.
+ * @returns Whether a version was followed by the same or an earlier one.
+ */
+export function hasReversion(versions: readonly number[]): boolean {
+	return versions.some((version, index) => index > 0 && version <= versions[index - 1]!);
+}
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
-/** Soaks with one seed after another: `npm run soak -- --seeds 50 --seed 1`. */
+/** Runs soaks for consecutive seeds: `npm run soak -- --seeds 50 --seed 1`. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {wholeNumber} from '../options.js';
-import {run} from './run.js';
+import {runSoak} from './run.js';
 
 type Options = {
 	readonly seeds: number;
@@ -14,19 +14,19 @@
 };
 
 const command = new Command('soak')
-	.description('Real gateway processes under mishaps from outside; exit code 1 if a promise was broken.')
-	.option('--seeds <n>', 'soaks, one after another', wholeNumber, 1)
-	.option('--seed <n>', 'seed of the first', wholeNumber, 1)
-	.option('--hosts <n>', 'gateway processes', wholeNumber, 3)
-	.option('--clients <n>', 'callers', wholeNumber, 8)
-	.option('--length <s>', 'seconds in which mishaps begin', wholeNumber, 12)
+	.description('Runs real gateway processes under injected faults; exit code 1 if a guarantee was broken.')
+	.option('--seeds <n>', 'number of soaks, one after another', wholeNumber, 1)
+	.option('--seed <n>', 'seed of the first soak', wholeNumber, 1)
+	.option('--hosts <n>', 'number of gateway processes', wholeNumber, 3)
+	.option('--clients <n>', 'number of callers', wholeNumber, 8)
+	.option('--length <s>', 'seconds in which faults begin', wholeNumber, 12)
 	.action(async ({seeds, seed, hosts, clients, length}: Options) => {
 		for (let index = 0; index < seeds; index++) {
-			const outcome = await run({
+			const result = await runSoak({
 				seed: seed + index, hosts, clients, length: length * 1000,
 			});
-			process.stdout.write(`seed ${seed + index}: ${outcome.requests} requests, ${outcome.served} served, ${outcome.mishaps} mishaps, ${outcome.broken.length} promises broken\n`);
-			for (const each of outcome.broken.length === 0 ? [] : [...outcome.story, ...outcome.broken]) {
+			process.stdout.write(`seed ${seed + index}: ${result.requests} requests, ${result.served} served, ${result.faults} faults, ${result.broken.length} guarantees broken\n`);
+			for (const each of result.broken.length === 0 ? [] : [...result.history, ...result.broken]) {
 				process.stdout.write(`  ${each}\n`);
 				process.exitCode = 1;
 			}
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -1,56 +1,57 @@
-/** What goes wrong in a soak, and when: drawn from a seed. */
+/** Plans the faults of a soak and their times from a seed. */
 import {type Random} from '../../src/core/index.js';
 import {seeded} from '../model/workload.js';
 
-/** Times in milliseconds. */
-export type Mishap
-	/** The process ends at once and is started again. */
+/** A fault; times are in milliseconds. */
+export type Fault
+	/** SIGKILL, then a restart after `down`. */
 	= | {readonly type: 'kill'; readonly host: number; readonly down: number}
-	/** The process stands still. */
+	/** SIGSTOP, then SIGCONT after `length`. */
 		| {readonly type: 'pause'; readonly host: number; readonly length: number}
-	/** The process is told to stop, and started again when it has. */
+	/** SIGTERM, then a restart once the process has ended. */
 		| {readonly type: 'stop'; readonly host: number}
+	/** SIGHUP. */
 		| {readonly type: 'reload'; readonly host: number}
 		| {readonly type: 'store'; readonly mode: 'busy' | 'silent' | 'reset'; readonly length: number}
 		| {readonly type: 'compact'}
-	/** A configuration of a new version. */
+	/** The store gets a new configuration version. */
 		| {readonly type: 'publish'}
-	/** An upstream treats requests badly. */
+	/** An upstream fails requests in the given way. */
 		| {readonly type: 'upstream'; readonly upstream: number; readonly fault: 'shed' | 'error' | 'lost' | 'dark' | 'cut' | 'extra' | 'unframed-reset'; readonly length: number}
-	/** An upstream is no longer registered, and later again. */
+	/** An upstream's registration is removed, and added again after `length`. */
 		| {readonly type: 'leave'; readonly upstream: number; readonly length: number}
-	/** The way to the store or to a plain service. */
+	/** A fault of the link to the store or to a plain service. */
 		| {readonly type: 'link'; readonly link: number; readonly how: 'delay' | 'cut' | 'refuse' | 'black-hole'; readonly length: number};
 
-export type Planned = {
+export type PlannedFault = {
+	/** Milliseconds after the start. */
 	readonly at: number;
-	readonly mishap: Mishap;
+	readonly fault: Fault;
 };
 
-export type Shape = {
+export type PlanOptions = {
 	readonly hosts: number;
 	readonly upstreams: number;
 	readonly links: number;
-	/** Milliseconds in which mishaps begin. */
+	/** Milliseconds in which faults begin. */
 	readonly length: number;
 };
 
-const types = ['kill', 'pause', 'stop', 'reload', 'store', 'compact', 'publish', 'upstream', 'leave', 'link'] as const;
+const faultTypes = ['kill', 'pause', 'stop', 'reload', 'store', 'compact', 'publish', 'upstream', 'leave', 'link'] as const;
 
-/** Milliseconds between two mishaps of a series, and between series. */
-const seriesGap = {least: 50, most: 400};
-const gap = {least: 300, most: 1500};
+const gapWithinSeriesMs = {least: 50, most: 400};
+const gapBetweenSeriesMs = {least: 300, most: 1500};
 
-/** Mishaps of one kind in a row, at most. */
-const longestSeries = 3;
+/** Limit for consecutive faults of one type. */
+const maxSeriesLength = 3;
 
 function pick<T>(random: Random, all: readonly T[]): T {
 	return all[random.integer(0, all.length - 1)]!;
 }
 
-function draw(random: Random, type: Mishap['type'], shape: Shape): Mishap {
-	const host = random.integer(0, shape.hosts - 1);
-	const upstream = random.integer(0, shape.upstreams - 1);
+function drawFault(random: Random, type: Fault['type'], options: PlanOptions): Fault {
+	const host = random.integer(0, options.hosts - 1);
+	const upstream = random.integer(0, options.upstreams - 1);
 	const length = random.integer(300, 3000);
 	switch (type) {
 		case 'kill': {
@@ -87,30 +88,30 @@
 
 		case 'link': {
 			return {
-				type, link: random.integer(0, shape.links - 1), how: pick(random, ['delay', 'cut', 'refuse', 'black-hole']), length,
+				type, link: random.integer(0, options.links - 1), how: pick(random, ['delay', 'cut', 'refuse', 'black-hole']), length,
 			};
 		}
 	}
 }
 
 /**
- * @param seed - Seed.
- * @param shape - What there is to go wrong, and for how long.
- * @returns Mishaps in order of time, in series of one kind that overlap with what went before.
+ * @param seed - Seed; the same seed gives the same plan.
+ * @param options - Size of the testbed, and for how long faults begin.
+ * @returns Faults in order of time: series of one type, each of which may overlap with earlier faults.
  */
-export function plan(seed: number, shape: Shape): readonly Planned[] {
+export function planFaults(seed: number, options: PlanOptions): readonly PlannedFault[] {
 	const random = seeded(seed);
-	const planned: Planned[] = [];
-	let at = random.integer(gap.least, gap.most);
-	while (at < shape.length) {
-		const type = pick(random, types);
-		const series = random.integer(1, longestSeries);
+	const planned: PlannedFault[] = [];
+	let at = random.integer(gapBetweenSeriesMs.least, gapBetweenSeriesMs.most);
+	while (at < options.length) {
+		const type = pick(random, faultTypes);
+		const series = random.integer(1, maxSeriesLength);
 		for (let index = 0; index < series; index++) {
-			planned.push({at, mishap: draw(random, type, shape)});
-			at += random.integer(seriesGap.least, seriesGap.most);
+			planned.push({at, fault: drawFault(random, type, options)});
+			at += random.integer(gapWithinSeriesMs.least, gapWithinSeriesMs.most);
 		}
 
-		at += random.integer(gap.least, gap.most);
+		at += random.integer(gapBetweenSeriesMs.least, gapBetweenSeriesMs.most);
 	}
 
 	return planned;
--- a/bench/soak/recovery.ts
+++ b/bench/soak/recovery.ts
@@ -1,69 +1,70 @@
-/** What must hold again once nothing goes wrong any more, and how closely that was watched. */
+/** Checks that a site recovers once the faults of a soak are over, and measures the event loop lag of the soak itself. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Host} from '../gateway/host.js';
-import {type Ground} from './ground.js';
+import {type Testbed} from './testbed.js';
 
-/** Milliseconds after the last mishap within which every host serves again, and knows the newest configuration. */
-const recovery = 15_000;
+/** Time after the last fault within which every host serves again and has the final configuration. */
+const recoveryTimeoutMs = 15_000;
 
-/** Milliseconds within which memory that nobody renews is free again: the longest hold and some. */
-const memoryFree = 6000;
+/** Time within which memory that no host renews is released: the longest hold plus a margin. */
+const memoryReleaseTimeoutMs = 6000;
 
-const lookInterval = 20;
+const pollIntervalMs = 20;
 
-/** Lines that tell why a host does not serve, and how many of the last ones are told. */
-const beliefs: ReadonlySet<string> = new Set(['configuration', 'store-lost', 'store-regained', 'store-compacted', 'started', 'stopping', 'peer-lost', 'suspected', 'acquitted']);
-const toldBeliefs = 10;
+/** Log events that show why a host does not serve; the last of them are reported. */
+const stateEvents: ReadonlySet<string> = new Set(['configuration', 'store-lost', 'store-regained', 'store-compacted', 'started', 'stopping', 'peer-lost', 'suspected', 'acquitted']);
+const maxStateEvents = 10;
 
-/** Longest time for which this process did not get to look, in milliseconds. */
-export class Lag implements Disposable {
+/** Measures the event loop lag of this process, by which measured times may be too long. */
+export class EventLoopLag implements Disposable {
+	/** Longest lag so far, in milliseconds. */
 	most = 0;
 	#last = performance.now();
 	readonly #timer = setInterval(() => {
 		const now = performance.now();
-		this.most = Math.max(this.most, now - this.#last - lookInterval);
+		this.most = Math.max(this.most, now - this.#last - pollIntervalMs);
 		this.#last = now;
-	}, lookInterval);
+	}, pollIntervalMs);
 
 	[Symbol.dispose](): void {
 		clearInterval(this.#timer);
 	}
 }
 
-async function within(time: number, holds: () => boolean | Promise<boolean>): Promise<boolean> {
-	for (const end = performance.now() + time; performance.now() < end;) {
-		if (await holds()) {
+async function isMetWithin(timeout: number, isMet: () => boolean | Promise<boolean>): Promise<boolean> {
+	for (const end = performance.now() + timeout; performance.now() < end;) {
+		if (await isMet()) {
 			return true;
 		}
 
-		await sleep(lookInterval);
+		await sleep(pollIntervalMs);
 	}
 
 	return false;
 }
 
-/** What a host last said of its configuration, of what it depends on and of requests. */
-function lastBeliefs(host: Host): string {
-	const last = host.lines.filter(({event}) => beliefs.has(String(event))).slice(-toldBeliefs);
+/** Formats a host's last log lines about its configuration, its dependencies and its requests. */
+function formatLastEvents(host: Host): string {
+	const last = host.lines.filter(({event}) => stateEvents.has(String(event))).slice(-maxStateEvents);
 	return [...last, ...host.logged('ended').slice(-1)].map(line => JSON.stringify(line)).join(' ');
 }
 
 /**
- * @param ground - The site, its mishaps over.
- * @returns What does not hold again in time.
+ * @param testbed - Testbed whose faults are over.
+ * @returns A description of each host that did not recover in time, and of memory still held.
  */
-export async function recovered({site, isCurrent}: Pick<Ground, 'site' | 'isCurrent'>): Promise<readonly string[]> {
+export async function findUnrecovered({site, hasFinalVersion}: Pick<Testbed, 'site' | 'hasFinalVersion'>): Promise<readonly string[]> {
 	const found: string[] = [];
 	for (const [index, host] of site.hosts.entries()) {
-		const serves = await within(recovery, async () => {
+		const hasRecovered = await isMetWithin(recoveryTimeoutMs, async () => {
 			const answer = await site.ask({path: '/read/x', id: `after-${index}`, method: 'GET'}, host).catch(() => undefined);
-			return answer?.status === 200 && isCurrent(host);
+			return answer?.status === 200 && hasFinalVersion(host);
 		});
-		if (!serves) {
-			found.push(`${host.name} does not serve the newest configuration ${recovery} ms after the last mishap; it said ${lastBeliefs(host)}`);
+		if (!hasRecovered) {
+			found.push(`${host.name} does not serve the final configuration ${recoveryTimeoutMs} ms after the last fault; last log lines: ${formatLastEvents(host)}`);
 		}
 	}
 
-	const isFree = await within(memoryFree, () => site.engines.every(engine => engine.tickets.length === 0));
-	return isFree ? found : [...found, `memory is held at ${site.engines.filter(engine => engine.tickets.length > 0).map(engine => engine.id).join(', ')}`];
+	const isFree = await isMetWithin(memoryReleaseTimeoutMs, () => site.engines.every(engine => engine.tickets.length === 0));
+	return isFree ? found : [...found, `memory is still held at ${site.engines.filter(engine => engine.tickets.length > 0).map(engine => engine.id).join(', ')}`];
 }
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -1,61 +1,61 @@
-/** One soak: real gateway processes under mishaps from outside, and callers that check the promises. */
+/** Runs one soak: real gateway processes under injected faults, and callers whose records are checked against the guarantees. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {seeded} from '../model/workload.js';
 import {Client} from './clients.js';
-import {engines, Ground, plains} from './ground.js';
-import {plan} from './plan.js';
-import {broken, goesBack} from './promises.js';
-import {Lag, recovered} from './recovery.js';
+import {engineCount, Testbed, plainCount} from './testbed.js';
+import {planFaults} from './plan.js';
+import {findBrokenGuarantees, hasReversion} from './guarantees.js';
+import {EventLoopLag, findUnrecovered} from './recovery.js';
 
-export type Soak = {
+export type SoakOptions = {
 	readonly seed: number;
 	readonly hosts: number;
 	readonly clients: number;
-	/** Milliseconds in which mishaps begin. */
+	/** Milliseconds in which faults begin. */
 	readonly length: number;
 };
 
-export type Outcome = {
+export type SoakResult = {
 	readonly requests: number;
 	readonly served: number;
-	readonly mishaps: number;
-	/** Promises that were broken. */
+	readonly faults: number;
+	/** Descriptions of broken guarantees. */
 	readonly broken: readonly string[];
-	/** What happened, for whoever looks for a cause. */
-	readonly story: readonly string[];
+	/** Faults and outages in order, to trace the cause of a broken guarantee. */
+	readonly history: readonly string[];
 };
 
 /**
- * @param soak - Seed and size.
- * @returns What was served and which promises were broken.
+ * @param options - Seed and size.
+ * @returns What was served and which guarantees were broken.
  */
-export async function run(soak: Soak): Promise<Outcome> {
-	using lag = new Lag();
-	await using ground = await Ground.start(soak.hosts);
-	const {site} = ground;
-	const planned = plan(soak.seed, {
-		hosts: soak.hosts, upstreams: engines + plains, links: ground.links, length: soak.length,
+export async function runSoak(options: SoakOptions): Promise<SoakResult> {
+	using lag = new EventLoopLag();
+	await using testbed = await Testbed.start(options.hosts);
+	const {site} = testbed;
+	const planned = planFaults(options.seed, {
+		hosts: options.hosts, upstreams: engineCount + plainCount, links: testbed.links, length: options.length,
 	});
-	const clients = Array.from({length: soak.clients}, (_, index) => new Client(`c${index}`, site, seeded((soak.seed * 1000) + index)));
+	const clients = Array.from({length: options.clients}, (_, index) => new Client(`c${index}`, site, seeded((options.seed * 1000) + index)));
 	const ending = new AbortController();
 	const running = clients.map(async client => client.run(ending.signal));
 	const began = performance.now();
-	for (const {at, mishap} of planned) {
+	for (const {at, fault} of planned) {
 		await sleep(Math.max(0, began + at - performance.now()));
-		ground.strike(mishap);
+		testbed.inject(fault);
 	}
 
-	await ground.settle();
+	await testbed.settle();
 	ending.abort();
 	await Promise.all(running);
-	const after = await recovered(ground);
-	const visits = clients.flatMap(client => client.visits);
-	const back = ground.versions().filter(versions => goesBack(versions)).map(versions => `a host went back: ${versions.join(', ')}`);
+	const unrecovered = await findUnrecovered(testbed);
+	const requests = clients.flatMap(client => client.records);
+	const reversions = testbed.appliedVersions().filter(versions => hasReversion(versions)).map(versions => `a host reverted to an earlier configuration: ${versions.join(', ')}`);
 	return {
-		requests: visits.length,
-		served: visits.filter(({result}) => result.type === 'answered' && result.answer.status === 200 && result.answer.isWhole).length,
-		mishaps: planned.length,
-		story: ground.story,
-		broken: [...broken(visits, id => site.ledger.of(id), ground.excuses, lag.most), ...after, ...back],
+		requests: requests.length,
+		served: requests.filter(({result}) => result.type === 'answered' && result.answer.status === 200 && result.answer.isWhole).length,
+		faults: planned.length,
+		history: testbed.history,
+		broken: [...findBrokenGuarantees(requests, id => site.ledger.of(id), testbed.outages, lag.most), ...unrecovered, ...reversions],
 	};
 }
--- /dev/null
+++ b/bench/soak/testbed.ts
@@ -0,0 +1,223 @@
+/** Runs the gateway processes and stand-ins of a soak, and injects faults into them. */
+import {once} from 'node:events';
+import {setTimeout as sleep} from 'node:timers/promises';
+import {assertNever} from '../../src/core/index.js';
+import {type UpstreamStandIn} from '../../stand-ins/gateway/upstream.js';
+import {FaultProxy, settingsSchema} from '../../stand-ins/proxy/service.js';
+import {configuration} from '../gateway/figures.js';
+import {type Host} from '../gateway/host.js';
+import {Site} from '../gateway/site.js';
+import {type Fault} from './plan.js';
+import {type Outage} from './guarantees.js';
+
+/** Number of upstreams of each kind. */
+export const engineCount = 3;
+export const plainCount = 2;
+
+/** Milliseconds between SIGTERM and the end of a process; longer than any request may take. */
+const stopGraceMs = 9000;
+
+/** Delay of a slowed link. */
+const linkDelayMs = 80;
+
+/** Configuration version published after all faults; higher than any that a fault publishes. */
+const finalVersion = 1000;
+
+export class Testbed implements AsyncDisposable {
+	/**
+	 * @param hosts - Number of gateway processes.
+	 * @returns A testbed whose hosts are ready, each with its own proxied links.
+	 */
+	static async start(hosts: number): Promise<Testbed> {
+		const proxy = await FaultProxy.start(settingsSchema.parse({}));
+		const links: string[] = [];
+		const site = await Site.start({
+			hosts, engines: engineCount, plains: plainCount, settings: {grace: stopGraceMs}, async link(name, target) {
+				links.push(name);
+				return proxy.open({name, target, listen: {host: '127.0.0.1', port: 0}});
+			},
+		});
+		return new Testbed(site, proxy, links);
+	}
+
+	readonly site: Site;
+	readonly outages: Outage[] = [];
+	readonly history: string[] = [];
+	/** Number of log lines that each host had written when each of its runs began. */
+	readonly #runStarts: number[][];
+	readonly #proxy: FaultProxy;
+	readonly #links: readonly string[];
+	readonly #activeFaults: Array<Promise<void>> = [];
+	readonly #isDown: boolean[];
+	#version = 1;
+
+	private constructor(site: Site, proxy: FaultProxy, links: readonly string[]) {
+		this.site = site;
+		this.#proxy = proxy;
+		this.#links = links;
+		this.#runStarts = site.hosts.map(() => [0]);
+		this.#isDown = site.hosts.map(() => false);
+	}
+
+	get links(): number {
+		return this.#links.length;
+	}
+
+	/** Starts a fault, which ends by itself. */
+	inject(fault: Fault): void {
+		this.history.push(`${Math.round(performance.now())} ms ${JSON.stringify(fault)}`);
+		this.#activeFaults.push(this.#execute(fault));
+	}
+
+	/** Waits until every fault is over, heals all links and publishes the final configuration. */
+	async settle(): Promise<void> {
+		await Promise.all(this.#activeFaults);
+		this.#proxy.apply({type: 'heal'});
+		this.#publish(finalVersion);
+	}
+
+	/** Returns the configuration versions that each run of a host applied, in order. */
+	appliedVersions(): ReadonlyArray<readonly number[]> {
+		return this.site.hosts.flatMap((host, index) => this.#runStarts[index]!.map((from, run) => {
+			const lines = host.lines.slice(from, this.#runStarts[index]![run + 1]);
+			return lines.filter(line => line.event === 'configuration').map(line => Number(line.version));
+		}));
+	}
+
+	hasFinalVersion(host: Host): boolean {
+		return host.logged('configuration').at(-1)?.version === finalVersion;
+	}
+
+	async [Symbol.asyncDispose](): Promise<void> {
+		await this.site[Symbol.asyncDispose]();
+		await this.#proxy[Symbol.asyncDispose]();
+	}
+
+	get #upstreams(): readonly UpstreamStandIn[] {
+		return [...this.site.engines, ...this.site.plains];
+	}
+
+	async #execute(fault: Fault): Promise<void> {
+		switch (fault.type) {
+			case 'kill': {
+				await this.#kill(fault.host, fault.down);
+				return;
+			}
+
+			case 'pause': {
+				await this.#pause(fault.host, fault.length);
+				return;
+			}
+
+			case 'stop': {
+				await this.#stop(fault.host);
+				return;
+			}
+
+			case 'reload': {
+				if (!this.#isDown[fault.host]!) {
+					this.site.hosts[fault.host]!.process.kill('SIGHUP');
+				}
+
+				return;
+			}
+
+			case 'store': {
+				this.site.store.mode = fault.mode;
+				await sleep(fault.length);
+				this.site.store.mode = 'serving';
+				return;
+			}
+
+			case 'compact': {
+				this.site.store.compact();
+				return;
+			}
+
+			case 'publish': {
+				this.#publish(this.#version + 1);
+				return;
+			}
+
+			case 'upstream': {
+				const upstream = this.#upstreams[fault.upstream]!;
+				upstream.fault = fault.fault;
+				await sleep(fault.length);
+				upstream.fault = 'none';
+				return;
+			}
+
+			case 'leave': {
+				const upstream = this.#upstreams[fault.upstream]!;
+				this.site.store.remove(`servers/${upstream.id}`);
+				await sleep(fault.length);
+				this.site.register(upstream);
+				return;
+			}
+
+			case 'link': {
+				const where = {link: this.#links[fault.link]};
+				this.#proxy.apply(fault.how === 'delay' ? {type: 'delay', where, delay: linkDelayMs} : {type: fault.how, where});
+				await sleep(fault.length);
+				this.#proxy.apply({type: 'heal'});
+				return;
+			}
+
+			default: {
+				assertNever(fault);
+			}
+		}
+	}
+
+	#publish(version: number): void {
+		this.#version = version;
+		this.site.store.put('op/config', configuration(version));
+	}
+
+	/** Runs a fault that takes a process down and records the outage; does nothing if the process is already down. */
+	async #recordOutage(host: number, type: Outage['type'], run: (process: Host) => Promise<void>): Promise<void> {
+		if (this.#isDown[host]!) {
+			return;
+		}
+
+		this.#isDown[host] = true;
+		const from = performance.now();
+		await run(this.site.hosts[host]!);
+		this.outages.push({
+			host, from, to: performance.now(), type,
+		});
+		this.history.push(`${Math.round(from)} to ${Math.round(performance.now())} ms host ${host} ${type}`);
+		this.#isDown[host] = false;
+	}
+
+	async #kill(host: number, down: number): Promise<void> {
+		await this.#recordOutage(host, 'killed', async process => {
+			await process.kill();
+			await sleep(down);
+			await this.#restart(host, process);
+		});
+	}
+
+	async #pause(host: number, length: number): Promise<void> {
+		await this.#recordOutage(host, 'paused', async ({process}) => {
+			process.kill('SIGSTOP');
+			await sleep(length);
+			process.kill('SIGCONT');
+		});
+	}
+
+	async #stop(host: number): Promise<void> {
+		await this.#recordOutage(host, 'stopping', async process => {
+			const ended = once(process.process, 'exit');
+			process.process.kill('SIGTERM');
+			await ended;
+			await this.#restart(host, process);
+		});
+	}
+
+	async #restart(host: number, process: Host): Promise<void> {
+		this.#runStarts[host]!.push(process.lines.length);
+		process.start();
+		await this.site.ready(process);
+	}
+}
