--- a/bench/beliefs/member.ts
+++ b/bench/beliefs/member.ts
@@ -1,5 +1,5 @@
-/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- Only what the follower and the sharing of beliefs reach stands in for the rest. */
-/** A host of a played fleet: what it knows of the platform, read from the played store or told by other hosts. */
+/* eslint-disable @typescript-eslint/no-unsafe-type-assertion -- The fakes have only the members that are used here. */
+/** A simulated host: its view of the upstreams, read from the simulated store or received from other hosts. */
 import {Follower} from '../../platform/follower.js';
 import {type Store} from '../../platform/store.js';
 import {type GatewayUpstream} from '../../src/core/gateway/types.js';
@@ -9,21 +9,21 @@
 import {messageReader, type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {relaysOf} from '../../src/gateway/peers/topology.js';
 import {settingsSchema} from '../../src/gateway/settings.js';
-import {StoreWay, type PlayedStore} from './store.js';
+import {StoreClient, type SimulatedStore} from './store.js';
 
-/** Milliseconds: the bounds of a large fleet. */
-export const newsBound = 3000;
-const revocation = 5000;
+/** The bounds of a large fleet. */
+export const stalenessBoundMs = 3000;
+const revocationMs = 5000;
 
-/** How hosts reach each other. */
+/** Delivers messages between hosts. */
 export type Network = {
-	readonly visible: (name: string) => readonly Host[];
+	readonly getVisibleHosts: (name: string) => readonly Host[];
 	readonly send: (from: string, to: string, message: Message) => void;
 };
 
-/** The virtual clock, which may stand still while its host does. */
-class PlayedClock extends Clock {
-	/** Milliseconds that the monotonic clock did not count. */
+/** A clock in virtual time whose monotonic part may stop while its host is frozen. */
+class VirtualClock extends Clock {
+	/** Milliseconds for which the monotonic clock stopped. */
 	lost = 0;
 
 	override now(): number {
@@ -33,27 +33,28 @@
 
 export class Member {
 	readonly host: Host;
-	readonly way: StoreWay;
+	readonly storeClient: StoreClient;
 	readonly lines: Line[] = [];
-	/** When something last went wrong with this host, and until when it stands still or handles messages late. */
-	disturbed = Number.NEGATIVE_INFINITY;
+	/** End of the latest fault. */
+	disturbedUntil = Number.NEGATIVE_INFINITY;
 	frozenUntil = 0;
+	/** End of the time in which it handles messages late. */
 	slowUntil = 0;
 	isAlive = true;
-	readonly #clock = new PlayedClock();
+	readonly #clock = new VirtualClock();
 	readonly #network: Network;
 	#gateway: Gateway | undefined;
 	#follower: Follower | undefined;
 
 	/**
-	 * @param host - Who it is.
-	 * @param network - How it reaches the others.
-	 * @param store - What it reads.
+	 * @param host - Name and address, as its peers know it.
+	 * @param network - Delivers its messages.
+	 * @param store - Store that it reads.
 	 */
-	constructor(host: Host, network: Network, store: PlayedStore) {
+	constructor(host: Host, network: Network, store: SimulatedStore) {
 		this.host = host;
 		this.#network = network;
-		this.way = new StoreWay(store, async () => this.awake());
+		this.storeClient = new StoreClient(store, async () => this.waitUntilRunning());
 	}
 
 	get name(): string {
@@ -69,17 +70,16 @@
 		return this.#gateway?.upstreams.all ?? [];
 	}
 
-	/** Settles when the host runs. */
-	async awake(): Promise<void> {
+	/** Resolves when the host is not frozen. */
+	async waitUntilRunning(): Promise<void> {
 		while (this.isFrozen) {
-			const left = this.frozenUntil - performance.now();
+			const remainingTime = this.frozenUntil - performance.now();
 			await new Promise(resolve => {
-				setTimeout(resolve, left);
+				setTimeout(resolve, remainingTime);
 			});
 		}
 	}
 
-	/** Starts the process. */
 	start(): void {
 		this.isAlive = true;
 		const log: Pick<Log, 'write'> = {
@@ -90,24 +90,29 @@
 		const settings = settingsSchema.parse({
 			host: this.name,
 			failureDomain: 'a', caller: '127.0.0.1:1', ready: '127.0.0.1:2', peer: '127.0.0.1:3', store: '127.0.0.1:4',
-			drainDelay: newsBound, configurationDelay: newsBound, revocation,
+			drainDelay: stalenessBoundMs, configurationDelay: stalenessBoundMs, revocation: revocationMs,
 		});
 		const gateway = new Gateway(settings, this.#clock, log as Log);
-		Object.assign(gateway, {peers: this.#peers()});
+		Object.assign(gateway, {peers: this.#createPeers()});
 		gateway.adopt({
 			version: 1, routes: [], services: [], limits: {
 				headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1,
 			},
 		});
 		const follower = new Follower({
-			store: this.way as unknown as Store, gateway, clock: this.#clock, log: log as Log, newsBound, revocation,
+			store: this.storeClient as unknown as Store,
+			gateway,
+			clock: this.#clock,
+			log: log as Log,
+			newsBound: stalenessBoundMs,
+			revocation: revocationMs,
 		});
 		follower.start();
 		this.#gateway = gateway;
 		this.#follower = follower;
 	}
 
-	/** Ends the process at once. */
+	/** Ends the process without notice to its peers. */
 	kill(): void {
 		this.isAlive = false;
 		void this.#follower?.[Symbol.asyncDispose]();
@@ -116,28 +121,28 @@
 	}
 
 	/**
-	 * @param time - Milliseconds for which it stands still from now on.
-	 * @param isCounted - Whether its monotonic clock goes on meanwhile.
+	 * @param time - Milliseconds from now for which the host does nothing.
+	 * @param isClockRunning - Whether its monotonic clock continues meanwhile.
 	 */
-	freeze(time: number, isCounted: boolean): void {
+	freeze(time: number, isClockRunning: boolean): void {
 		this.frozenUntil = performance.now() + time;
-		if (!isCounted) {
+		if (!isClockRunning) {
 			this.#clock.lost += time;
 		}
 	}
 
 	/**
-	 * @param host - Host that is linked anew.
+	 * @param host - Host that a new link leads to.
 	 */
-	joined(host: string): void {
+	handleJoined(host: string): void {
 		this.#gateway?.sharing.joined(host);
 	}
 
 	/**
 	 * @param from - Host that sent it.
-	 * @param message - What it sent.
+	 * @param message - Message.
 	 */
-	receive(from: string, message: Message): void {
+	handleMessage(from: string, message: Message): void {
 		const gateway = this.#gateway;
 		if (gateway === undefined) {
 			return;
@@ -150,17 +155,17 @@
 		}
 	}
 
-	/** The part of the links that sharing asks. */
-	#peers(): unknown {
+	/** Creates a fake of the gateway's links to its peers, with the members that the sharing of state uses. */
+	#createPeers(): unknown {
 		const network = this.#network;
 		const {host, name} = this;
 		return {
 			isLargeFleet: true,
 			get hosts() {
-				return network.visible(name);
+				return network.getVisibleHosts(name);
 			},
 			get relays() {
-				return relaysOf('a', [host, ...network.visible(name)]).map(each => each.name);
+				return relaysOf('a', [host, ...network.getVisibleHosts(name)]).map(each => each.name);
 			},
 			send(to: string, message: Message) {
 				network.send(name, to, message);
@@ -171,7 +176,7 @@
 				}
 			},
 			async [Symbol.asyncDispose]() {
-				// Nothing is open.
+				// No connections are open.
 			},
 		};
 	}
--- a/bench/beliefs/store.ts
+++ b/bench/beliefs/store.ts
@@ -1,19 +1,18 @@
-/** The platform's store in virtual time: upstreams that come, leave and write heartbeats, read by hosts that it may turn away. */
+/** The platform's store in virtual time: upstreams register, write heartbeats and leave; hosts read them unless it rejects their calls. */
 import {raise} from '../../src/core/index.js';
 import {type Change, type Page, type Watched} from '../../platform/store.js';
 
-/** Milliseconds. */
-const answerTime = 4;
-const historyTime = 20_000;
-const heartbeat = 1200;
+const answerTimeMs = 4;
+const historyTimeMs = 20_000;
+const heartbeatIntervalMs = 1200;
 
-type Registered = {
+type Registration = {
 	readonly key: string;
 	isDraining: boolean;
 	timer: NodeJS.Timeout;
 };
 
-type Dated = {readonly at: number; readonly change: Change};
+type HistoryEntry = {readonly at: number; readonly change: Change};
 
 async function wait(time: number): Promise<void> {
 	await new Promise(resolve => {
@@ -21,35 +20,35 @@
 	});
 }
 
-export class PlayedStore {
-	/** When the store acknowledged that an upstream leaves, and that one is ready, by id. */
+export class SimulatedStore {
+	/** When the store acknowledged that an upstream leaves, or that it is ready, by id. */
 	readonly left = new Map<string, number>();
 	readonly ready = new Map<string, number>();
 	readonly #items = new Map<string, Change>();
-	readonly #registered = new Map<string, Registered>();
-	#history: Dated[] = [];
+	readonly #registrations = new Map<string, Registration>();
+	#history: HistoryEntry[] = [];
 	#revision = 100;
 
 	/**
-	 * @param id - Upstream that registers itself and writes heartbeats from then on.
+	 * @param id - Upstream that registers and writes heartbeats from now on.
 	 */
 	register(id: string): void {
 		const key = `servers/${id}`;
 		const timer = setInterval(() => {
 			this.#write(id);
-		}, heartbeat);
-		this.#registered.set(id, {key, isDraining: false, timer});
+		}, heartbeatIntervalMs);
+		this.#registrations.set(id, {key, isDraining: false, timer});
 		this.#write(id);
 		this.ready.set(id, performance.now());
 	}
 
 	/**
-	 * @param id - Upstream that says that it leaves; it goes on writing.
+	 * @param id - Upstream that registers as draining and continues to write heartbeats.
 	 */
 	drain(id: string): void {
-		const registered = this.#registered.get(id);
-		if (registered !== undefined && !registered.isDraining) {
-			registered.isDraining = true;
+		const registration = this.#registrations.get(id);
+		if (registration !== undefined && !registration.isDraining) {
+			registration.isDraining = true;
 			this.#write(id);
 			this.left.set(id, performance.now());
 			this.ready.delete(id);
@@ -57,18 +56,18 @@
 	}
 
 	/**
-	 * @param id - Upstream whose registration goes.
+	 * @param id - Upstream whose registration is deleted.
 	 */
 	remove(id: string): void {
-		const registered = this.#registered.get(id);
-		if (registered === undefined) {
+		const registration = this.#registrations.get(id);
+		if (registration === undefined) {
 			return;
 		}
 
-		clearInterval(registered.timer);
-		this.#registered.delete(id);
-		this.#items.delete(registered.key);
-		this.#record({type: 'deleted', key: registered.key, revision: this.#next()});
+		clearInterval(registration.timer);
+		this.#registrations.delete(id);
+		this.#items.delete(registration.key);
+		this.#record({type: 'deleted', key: registration.key, revision: this.#incrementRevision()});
 		this.ready.delete(id);
 		if (!this.left.has(id)) {
 			this.left.set(id, performance.now());
@@ -76,112 +75,112 @@
 	}
 
 	/**
-	 * @param prefix - Keys wanted.
-	 * @returns All of them; one page is enough here.
+	 * @param prefix - Prefix of the keys to read.
+	 * @returns All of their items, in one page.
 	 */
 	async range(prefix: string): Promise<Page> {
-		await wait(answerTime / 2);
+		await wait(answerTimeMs / 2);
 		const page = {items: [...this.#items.values()].filter(item => item.key.startsWith(prefix)), hasMore: false, revision: this.#revision};
-		await wait(answerTime / 2);
+		await wait(answerTimeMs / 2);
 		return page;
 	}
 
 	/**
-	 * @param after - Revision from which on changes are wanted.
-	 * @param longest - Milliseconds to wait for the first one.
-	 * @returns What has changed.
+	 * @param after - Revision after which changes are returned.
+	 * @param maxWait - Milliseconds to wait for the first change.
+	 * @returns The changes.
 	 */
-	async watch(after: number, longest: number): Promise<Watched> {
-		await wait(answerTime / 2);
-		const oldest = performance.now() - historyTime;
-		const forgotten = this.#history.findLast(({at}) => at < oldest)?.change.revision ?? 0;
-		if (after < forgotten) {
+	async watch(after: number, maxWait: number): Promise<Watched> {
+		await wait(answerTimeMs / 2);
+		const oldest = performance.now() - historyTimeMs;
+		const compactedRevision = this.#history.findLast(({at}) => at < oldest)?.change.revision ?? 0;
+		if (after < compactedRevision) {
 			return {type: 'compacted'};
 		}
 
-		const end = performance.now() + longest;
+		const end = performance.now() + maxWait;
 		while (this.#revision <= after && performance.now() < end) {
 			await wait(10);
 		}
 
 		const changes = this.#history.map(({change}) => change).filter(change => change.revision > after);
 		const watched: Watched = {type: 'changes', changes, revision: this.#revision};
-		await wait(answerTime / 2);
+		await wait(answerTimeMs / 2);
 		return watched;
 	}
 
 	/** Stops the heartbeats. */
 	stop(): void {
-		for (const {timer} of this.#registered.values()) {
+		for (const {timer} of this.#registrations.values()) {
 			clearInterval(timer);
 		}
 	}
 
 	#write(id: string): void {
-		const registered = this.#registered.get(id);
-		if (registered === undefined) {
+		const registration = this.#registrations.get(id);
+		if (registration === undefined) {
 			return;
 		}
 
 		const value = JSON.stringify({
-			Service: 'model', Address: '127.0.0.1:9000', Zone: 'a', Slots: 8, State: registered.isDraining ? 'draining' : 'ready', born: 1, Sequence: this.#revision,
+			Service: 'model', Address: '127.0.0.1:9000', Zone: 'a', Slots: 8, State: registration.isDraining ? 'draining' : 'ready', born: 1, Sequence: this.#revision,
 		});
 		const change: Change = {
-			type: 'written', key: registered.key, value, revision: this.#next(),
+			type: 'written', key: registration.key, value, revision: this.#incrementRevision(),
 		};
-		this.#items.set(registered.key, change);
+		this.#items.set(registration.key, change);
 		this.#record(change);
 	}
 
-	#next(): number {
+	#incrementRevision(): number {
 		this.#revision++;
 		return this.#revision;
 	}
 
 	#record(change: Change): void {
 		this.#history.push({at: performance.now(), change});
-		const oldest = performance.now() - (2 * historyTime);
+		const oldest = performance.now() - (2 * historyTimeMs);
 		this.#history = this.#history.filter(({at}) => at > oldest);
 	}
 }
 
-/** A host's way to the store: it may be turned away, and answers wait while the host stands still. */
-export class StoreWay implements AsyncDisposable {
+/** A host's client of the store: its calls may be rejected, and their results wait while the host is frozen. */
+export class StoreClient implements AsyncDisposable {
 	/** Whether calls fail. */
-	isTurnedAway = false;
-	readonly #store: PlayedStore;
-	readonly #awake: () => Promise<void>;
+	isRejected = false;
+	readonly #store: SimulatedStore;
+	readonly #waitUntilRunning: () => Promise<void>;
 
 	/**
-	 * @param store - The store.
-	 * @param awake - Settles when the host runs.
+	 * @param store - Store that it calls.
+	 * @param waitUntilRunning - Resolves when the host is not frozen.
 	 */
-	constructor(store: PlayedStore, awake: () => Promise<void>) {
+	constructor(store: SimulatedStore, waitUntilRunning: () => Promise<void>) {
 		this.#store = store;
-		this.#awake = awake;
+		this.#waitUntilRunning = waitUntilRunning;
 	}
 
 	async range(prefix: string): Promise<Page> {
 		return this.#call(async () => this.#store.range(prefix));
 	}
 
-	async watch(_: string, after: number, longest: number): Promise<Watched> {
-		return this.#call(async () => this.#store.watch(after, longest));
+	async watch(_: string, after: number, maxWait: number): Promise<Watched> {
+		return this.#call(async () => this.#store.watch(after, maxWait));
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		// Calls of a world that has ended are never answered.
+		// Calls that are pending when the simulation ends are never answered.
 	}
 
-	async #call<T>(ask: () => Promise<T>): Promise<T> {
-		await this.#awake();
-		if (this.isTurnedAway) {
-			await wait(answerTime);
-			return raise('storeUnavailable', 'turned away');
+	async #call<T>(callStore: () => Promise<T>): Promise<T> {
+		await this.#waitUntilRunning();
+		if (this.isRejected) {
+			await wait(answerTimeMs);
+			return raise('storeUnavailable', 'call rejected');
 		}
 
-		const answer = await ask();
-		await this.#awake();
+		const answer = await callStore();
+		await this.#waitUntilRunning();
 		return answer;
 	}
 }
--- a/bench/beliefs/world.ts
+++ b/bench/beliefs/world.ts
@@ -1,111 +1,112 @@
 /**
- * Plays in virtual time what the hosts of a failure domain believe of upstreams that come and go, while some hosts stand still, are
- * killed, are slow, or are turned away by the store. Whoever is undisturbed must know within the bound.
+ * Simulates in virtual time how hosts of a failure domain follow upstreams that come and go, while some hosts are frozen, killed,
+ * slow, or rejected by the store. Undisturbed hosts must have the right view of every upstream within the bound.
  */
 import {assertNever, type Random} from '../../src/core/index.js';
 import {type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {relaysOf} from '../../src/gateway/peers/topology.js';
 import {seeded} from '../model/workload.js';
-import {Member, newsBound} from './member.js';
-import {PlayedStore} from './store.js';
-
-/** Milliseconds. */
-const step = 25;
-const settleTime = 4000;
-const silenceTime = 2000;
-const relinkTime = 300;
-const warmUp = 5000;
-const longestLatency = 20;
-const longestDelay = 500;
-const leaveInterval = 400;
-const troubleInterval = 2500;
-
-const hosts = 10;
-const upstreams = 12;
-
-/** What an undisturbed host believed wrongly for longer than the bound. */
-export type Breach = {
+import {Member, stalenessBoundMs} from './member.js';
+import {SimulatedStore} from './store.js';
+
+const stepMs = 25;
+const settleTimeMs = 4000;
+const silenceTimeoutMs = 2000;
+const relinkDelayMs = 300;
+const warmUpMs = 5000;
+const maxLatencyMs = 20;
+const maxSlowDelayMs = 500;
+const replacementIntervalMs = 400;
+const faultIntervalMs = 2500;
+
+const hostCount = 10;
+const upstreamCount = 12;
+
+/** A wrong view of an upstream at an undisturbed host. */
+export type StaleView = {
 	readonly at: number;
 	readonly host: string;
 	readonly upstream: string;
-	readonly belief: 'missing' | 'ready';
-	/** Milliseconds since the store acknowledged otherwise. */
+	/** What the host took the upstream for. */
+	readonly seenAs: 'missing' | 'ready';
+	/** Milliseconds since the store acknowledged the change. */
 	readonly age: number;
 };
 
-/** What befalls a host: `suspended` is frozen with a monotonic clock that does not count the time. */
+/** Faults of a host: `suspended` is frozen with a monotonic clock that stops meanwhile. */
 export type Trouble = 'frozen' | 'killed' | 'slow' | 'suspended' | 'turned-away';
 
 export type WorldOptions = {
 	readonly seed: number;
-	/** Kinds that may come. */
+	/** Faults that may occur. */
 	readonly troubles: readonly Trouble[];
-	/** Milliseconds played. */
+	/** Simulated time in milliseconds. */
 	readonly duration: number;
-	/** Moves virtual time on. */
+	/** Advances virtual time by some milliseconds. */
 	readonly advance: (time: number) => Promise<void>;
 };
 
 export class World {
 	readonly members: readonly Member[];
-	readonly breaches: Breach[] = [];
-	/** Longest time in milliseconds for which an undisturbed host believed wrongly. */
-	worst = 0;
+	/** Wrong views that lasted longer than the bound. */
+	readonly breaches: StaleView[] = [];
+	/** Longest time in milliseconds for which an undisturbed host had a wrong view. */
+	longestStaleTime = 0;
 	readonly #options: WorldOptions;
-	readonly #store = new PlayedStore();
+	readonly #store = new SimulatedStore();
 	readonly #random: Random;
-	/** Since when a host is out of reach of the others, and when it was linked again. */
-	readonly #silentSince = new Map<string, number>();
+	/** Since when a host has been unresponsive, and when it was linked again. */
+	readonly #unresponsiveSince = new Map<string, number>();
 	readonly #linkedAt = new Map<string, number>();
-	/** When the last message between two hosts arrives: links keep the order. */
-	readonly #lastArrival = new Map<string, number>();
-	#count = 0;
+	/** When the last message between two hosts arrives, since links keep the order of messages. */
+	readonly #lastArrivals = new Map<string, number>();
+	#upstreamCount = 0;
 
 	/**
-	 * @param options - Seed and time.
+	 * @param options - Seed, faults and duration.
 	 */
 	constructor(options: WorldOptions) {
 		this.#options = options;
 		this.#random = seeded(options.seed);
 		const network = {
-			visible: (name: string) => this.#visible(name),
+			getVisibleHosts: (name: string) => this.#getVisibleHosts(name),
 			send: (from: string, to: string, message: Message) => {
 				this.#send(from, to, message);
 			},
 		};
-		this.members = Array.from({length: hosts}, (_, index) => new Member({
+		this.members = Array.from({length: hostCount}, (_, index) => new Member({
 			name: `h${index}`, failureDomain: 'a', address: {host: '127.0.0.1', port: 1}, started: 1, capacity: index < 2 ? 2 : 1,
 		}, network, this.#store));
 	}
 
-	/** Plays it all. */
+	/** Runs the simulation to its end. */
 	async play(): Promise<void> {
-		for (let index = 0; index < upstreams; index++) {
-			this.#come();
+		for (let index = 0; index < upstreamCount; index++) {
+			this.#addUpstream();
 		}
 
 		for (const member of this.members) {
 			member.start();
 		}
 
-		await this.#options.advance(warmUp);
+		await this.#options.advance(warmUpMs);
 		const end = performance.now() + this.#options.duration;
-		let leaveAt = performance.now();
-		let troubleAt = performance.now();
+		let replaceAt = performance.now();
+		let faultAt = performance.now();
 		while (performance.now() < end) {
 			const now = performance.now();
-			if (now >= leaveAt) {
-				this.#leave();
-				leaveAt = now + this.#random.integer(0, 2 * leaveInterval);
+			if (now >= replaceAt) {
+				this.#replaceUpstream();
+				replaceAt = now + this.#random.integer(0, 2 * replacementIntervalMs);
 			}
 
-			if (now >= troubleAt) {
-				this.#trouble();
-				troubleAt = now + this.#random.integer(troubleInterval / 2, 2 * troubleInterval);
+			if (now >= faultAt) {
+				this.#injectFault();
+				faultAt = now + this.#random.integer(faultIntervalMs / 2, 2 * faultIntervalMs);
 			}
 
-			await this.#options.advance(step);
-			this.#look();
+			await this.#options.advance(stepMs);
+			this.#checkMembers();
 		}
 
 		for (const member of this.members) {
@@ -115,19 +116,19 @@
 		this.#store.stop();
 	}
 
-	#come(): void {
-		this.#count++;
-		this.#store.register(`u${this.#count}`);
+	#addUpstream(): void {
+		this.#upstreamCount++;
+		this.#store.register(`u${this.#upstreamCount}`);
 	}
 
-	/** The oldest upstream leaves, and a new one comes in its place. */
-	#leave(): void {
+	/** Adds an upstream in place of the oldest one, which drains first or is removed at once. */
+	#replaceUpstream(): void {
 		const [id] = this.#store.ready.keys();
 		if (id === undefined) {
 			return;
 		}
 
-		this.#come();
+		this.#addUpstream();
 		if (this.#random.integer(0, 3) === 0) {
 			this.#store.remove(id);
 			return;
@@ -136,34 +137,34 @@
 		this.#store.drain(id);
 		setTimeout(() => {
 			this.#store.remove(id);
-		}, this.#random.integer(newsBound, 3 * newsBound));
+		}, this.#random.integer(stalenessBoundMs, 3 * stalenessBoundMs));
 	}
 
-	/** One or two hosts, more often those that others ask, are in trouble for a while. */
-	#trouble(): void {
-		const {troubles} = this.#options;
-		if (troubles.length === 0) {
+	/** Injects a fault into one or two hosts, more often into those that others read through. */
+	#injectFault(): void {
+		const {troubles: faults} = this.#options;
+		if (faults.length === 0) {
 			return;
 		}
 
-		const trouble = troubles[this.#random.integer(0, troubles.length - 1)]!;
+		const fault = faults[this.#random.integer(0, faults.length - 1)]!;
 		const time = this.#random.integer(500, 4500);
-		const first = this.#random.integer(0, 2) === 0 ? this.#random.integer(0, hosts - 1) : this.#random.integer(0, 1);
-		const both = this.#random.integer(0, 1) === 0 ? [first] : [first, (first + 1) % hosts];
-		for (const member of both.map(index => this.members[index]!)) {
-			if (member.isAlive && !member.isFrozen && !member.way.isTurnedAway) {
-				this.#disturb(member, trouble, time);
+		const first = this.#random.integer(0, 2) === 0 ? this.#random.integer(0, hostCount - 1) : this.#random.integer(0, 1);
+		const indexes = this.#random.integer(0, 1) === 0 ? [first] : [first, (first + 1) % hostCount];
+		for (const member of indexes.map(index => this.members[index]!)) {
+			if (member.isAlive && !member.isFrozen && !member.storeClient.isRejected) {
+				this.#applyFault(member, fault, time);
 			}
 		}
 	}
 
-	#disturb(member: Member, trouble: Trouble, time: number): void {
+	#applyFault(member: Member, fault: Trouble, time: number): void {
 		const until = performance.now() + time;
-		member.disturbed = until;
-		switch (trouble) {
+		member.disturbedUntil = until;
+		switch (fault) {
 			case 'killed': {
 				member.kill();
-				this.#silentSince.set(member.name, performance.now() - silenceTime);
+				this.#unresponsiveSince.set(member.name, performance.now() - silenceTimeoutMs);
 				setTimeout(() => {
 					member.start();
 					this.#relink(member);
@@ -177,17 +178,17 @@
 			}
 
 			case 'turned-away': {
-				member.way.isTurnedAway = true;
+				member.storeClient.isRejected = true;
 				setTimeout(() => {
-					member.way.isTurnedAway = false;
+					member.storeClient.isRejected = false;
 				}, time);
 				return;
 			}
 
 			case 'frozen':
 			case 'suspended': {
-				member.freeze(time, trouble === 'frozen');
-				this.#silentSince.set(member.name, performance.now());
+				member.freeze(time, fault === 'frozen');
+				this.#unresponsiveSince.set(member.name, performance.now());
 				setTimeout(() => {
 					this.#relink(member);
 				}, time);
@@ -195,101 +196,101 @@
 			}
 
 			default: {
-				assertNever(trouble);
+				assertNever(fault);
 			}
 		}
 	}
 
-	/** A host that others had given up is linked anew. */
+	/** Links a host to the others again if they have taken it for failed. */
 	#relink(member: Member): void {
-		const since = this.#silentSince.get(member.name);
-		this.#silentSince.delete(member.name);
-		if (since === undefined || performance.now() - since < silenceTime) {
+		const since = this.#unresponsiveSince.get(member.name);
+		this.#unresponsiveSince.delete(member.name);
+		if (since === undefined || performance.now() - since < silenceTimeoutMs) {
 			return;
 		}
 
-		this.#linkedAt.set(member.name, performance.now() + relinkTime);
+		this.#linkedAt.set(member.name, performance.now() + relinkDelayMs);
 		setTimeout(() => {
 			for (const other of this.members) {
-				other.joined(member.name);
-				member.joined(other.name);
+				other.handleJoined(member.name);
+				member.handleJoined(other.name);
 			}
-		}, relinkTime);
+		}, relinkDelayMs);
 	}
 
-	#isUp(member: Member): boolean {
-		const since = this.#silentSince.get(member.name);
-		const isGivenUp = since !== undefined && performance.now() - since >= silenceTime;
-		return member.isAlive && !isGivenUp && performance.now() >= (this.#linkedAt.get(member.name) ?? 0);
+	#isReachable(member: Member): boolean {
+		const since = this.#unresponsiveSince.get(member.name);
+		const isTakenForFailed = since !== undefined && performance.now() - since >= silenceTimeoutMs;
+		return member.isAlive && !isTakenForFailed && performance.now() >= (this.#linkedAt.get(member.name) ?? 0);
 	}
 
-	/** Relays are linked with all hosts, others with the relays. */
-	#visible(name: string): readonly Host[] {
-		const up = this.members.filter(member => this.#isUp(member)).map(member => member.host);
-		const relays = relaysOf('a', up);
+	/** Relays have links to all hosts, other hosts only to the relays. */
+	#getVisibleHosts(name: string): readonly Host[] {
+		const reachable = this.members.filter(member => this.#isReachable(member)).map(member => member.host);
+		const relays = relaysOf('a', reachable);
 		const isRelay = relays.some(host => host.name === name);
-		return (isRelay ? up : relays).filter(host => host.name !== name);
+		return (isRelay ? reachable : relays).filter(host => host.name !== name);
 	}
 
 	#send(from: string, to: string, message: Message): void {
-		if (!this.#visible(from).some(host => host.name === to)) {
+		if (!this.#getVisibleHosts(from).some(host => host.name === to)) {
 			return;
 		}
 
-		const sender = this.#member(from);
-		const receiver = this.#member(to);
+		const sender = this.#findMember(from);
+		const receiver = this.#findMember(to);
 		const key = `${from} ${to}`;
-		const late = performance.now() < receiver.slowUntil ? this.#random.integer(0, longestDelay) : 0;
-		const arrival = Math.max(performance.now() + this.#random.integer(1, longestLatency) + late, this.#lastArrival.get(key) ?? 0);
-		this.#lastArrival.set(key, arrival);
+		const extraDelay = performance.now() < receiver.slowUntil ? this.#random.integer(0, maxSlowDelayMs) : 0;
+		const arrival = Math.max(performance.now() + this.#random.integer(1, maxLatencyMs) + extraDelay, this.#lastArrivals.get(key) ?? 0);
+		this.#lastArrivals.set(key, arrival);
 		void (async () => {
-			await sender.awake();
+			await sender.waitUntilRunning();
 			await new Promise(resolve => {
 				setTimeout(resolve, arrival - performance.now());
 			});
-			await receiver.awake();
-			if (this.#isUp(sender) && this.#isUp(receiver)) {
-				receiver.receive(from, message);
+			await receiver.waitUntilRunning();
+			if (this.#isReachable(sender) && this.#isReachable(receiver)) {
+				receiver.handleMessage(from, message);
 			}
 		})();
 	}
 
-	#member(name: string): Member {
+	#findMember(name: string): Member {
 		return this.members.find(member => member.name === name)!;
 	}
 
-	#look(): void {
+	#checkMembers(): void {
 		const now = performance.now();
 		for (const member of this.members) {
-			if (member.isAlive && !member.isFrozen && now - member.disturbed > settleTime) {
-				this.#check(member, now);
+			if (member.isAlive && !member.isFrozen && now - member.disturbedUntil > settleTimeMs) {
+				this.#checkMember(member, now);
 			}
 		}
 	}
 
-	#check(member: Member, now: number): void {
+	#checkMember(member: Member, now: number): void {
 		const known = new Map(member.upstreams.map(upstream => [upstream.id, upstream]));
 		for (const [id, at] of this.#store.left) {
 			if (known.get(id)?.isDraining === false) {
-				this.#note({
-					at: now, host: member.name, upstream: id, belief: 'ready', age: now - at,
+				this.#recordStaleView({
+					at: now, host: member.name, upstream: id, seenAs: 'ready', age: now - at,
 				});
 			}
 		}
 
 		for (const [id, at] of this.#store.ready) {
 			if (known.get(id)?.isDraining !== false) {
-				this.#note({
-					at: now, host: member.name, upstream: id, belief: 'missing', age: now - at,
+				this.#recordStaleView({
+					at: now, host: member.name, upstream: id, seenAs: 'missing', age: now - at,
 				});
 			}
 		}
 	}
 
-	#note(breach: Breach): void {
-		this.worst = Math.max(this.worst, breach.age);
-		if (breach.age > newsBound) {
-			this.breaches.push(breach);
+	#recordStaleView(view: StaleView): void {
+		this.longestStaleTime = Math.max(this.longestStaleTime, view.age);
+		if (view.age > stalenessBoundMs) {
+			this.breaches.push(view);
 		}
 	}
 }
--- a/bench/fuzz/callers.ts
+++ b/bench/fuzz/callers.ts
@@ -1,26 +1,27 @@
-/** Callers that send operations through any host and follow docs/OUTCOMES.md. */
+/** Simulated callers that send operations through any host and follow docs/OUTCOMES.md. */
 import {
 	type Outcome, type Proof, type Request, type Ticket,
 } from '../../src/core/index.js';
-import {openCodes} from './open-codes.js';
+import {retryableKeyCodes} from './retryable-key-codes.js';
 import {organisationId, serviceId} from './configuration.js';
 import {epoch, type Answer, type Host} from './hosts.js';
-import {type World} from './world.js';
+import {type Simulation} from './simulation.js';
 
-const mostSendings = 6;
-const patience = 2500;
+const maxSends = 6;
+const answerTimeoutMs = 2500;
 
 /**
- * @param minted - Milliseconds since 1970.
- * @param rest - A number that no other key has.
+ * @param mintedAt - Milliseconds since 1970.
+ * @param suffix - A number that no other key has.
  * @returns A UUID of version 7.
  */
-export function keyOf(minted: number, rest: number): string {
-	const time = minted.toString(16).padStart(12, '0');
-	return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${rest.toString(16).padStart(12, '0')}`;
+export function keyOf(mintedAt: number, suffix: number): string {
+	const time = mintedAt.toString(16).padStart(12, '0');
+	return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${suffix.toString(16).padStart(12, '0')}`;
 }
 
-function rightOf(proof: Proof): string {
+/** Identifies the right that an operation is sent under. */
+function getRight(proof: Proof): string {
 	switch (proof.type) {
 		case 'ticket': {
 			const {keeper, sequence} = proof.ticket;
@@ -38,38 +39,37 @@
 	}
 }
 
-/** How a caller behaves. */
-export type Manner = {
+export type CallerOptions = {
 	/** Whether what it sends crashes upstreams. */
-	readonly kills?: boolean;
-	/** The one host it sends to; any host if absent. */
+	readonly isPoison?: boolean;
+	/** Host that receives all its requests; any host for each request if absent. */
 	readonly at?: string;
 };
 
-/** One operation of one caller, until it is done or given up. */
+/** Sends one operation until it is done or given up. */
 export class Caller {
-	readonly #world: World;
+	readonly #simulation: Simulation;
 	readonly #id: string;
 	readonly #at: string | undefined;
 	readonly #startsWithTicket: boolean;
 	#proof: Proof;
-	#sendings = 0;
-	#isOver = false;
-	/** Waits for a ticket: what was sent before never runs, and nothing is sent until it is there. */
-	#isFetching = false;
+	#sendCount = 0;
+	#isDone = false;
+	/** Whether it waits for a ticket: nothing is sent meanwhile, and what was sent before never runs. */
+	#isFetchingTicket = false;
 
-	constructor(world: World, kind: Proof['type'], {kills = false, at}: Manner = {}) {
-		this.#world = world;
+	constructor(simulation: Simulation, kind: Proof['type'], {isPoison = false, at}: CallerOptions = {}) {
+		this.#simulation = simulation;
 		this.#at = at;
-		this.#id = world.name('o');
+		this.#id = simulation.createId('o');
 		this.#proof = kind === 'key'
-			? {type: 'key', key: keyOf(epoch + world.now + world.dice.integer(-300, 300), Number(this.#id.slice(1)))}
+			? {type: 'key', key: keyOf(epoch + simulation.now + simulation.random.integer(-300, 300), Number(this.#id.slice(1)))}
 			: {type: kind === 'idempotent' ? 'idempotent' : 'none'};
-		world.ledger.operations.set(this.#id, {id: this.#id, idempotent: kind === 'idempotent', kills});
+		simulation.ledger.operations.set(this.#id, {id: this.#id, idempotent: kind === 'idempotent', isPoison});
 		this.#startsWithTicket = kind === 'ticket';
 	}
 
-	/** Sends for the first time; some callers send twice at once. */
+	/** Sends the operation; some callers send it twice at once. */
 	start(): void {
 		if (this.#startsWithTicket) {
 			this.#fetchTicket();
@@ -77,145 +77,145 @@
 		}
 
 		this.#send();
-		if (this.#world.dice.chance(15)) {
+		if (this.#simulation.random.chance(15)) {
 			this.#send();
 		}
 	}
 
-	#later(delay: number, run: () => void): void {
-		this.#world.agenda.after(delay, run);
+	#schedule(delay: number, run: () => void): void {
+		this.#simulation.scheduler.after(delay, run);
 	}
 
-	#host(): Host | undefined {
-		const {living, hosts} = this.#world;
+	#chooseHost(): Host | undefined {
+		const {aliveHosts, hosts} = this.#simulation;
 		if (this.#at !== undefined) {
 			return hosts.get(this.#at);
 		}
 
-		return living.length > 0 ? this.#world.dice.pick(living) : undefined;
+		return aliveHosts.length > 0 ? this.#simulation.random.pick(aliveHosts) : undefined;
 	}
 
-	/** Takes a fresh ticket; some are made to expire soon. */
 	#fetchTicket(): void {
-		this.#isFetching = true;
-		const host = this.#host();
-		const id = this.#world.name('w');
-		host?.tickets.set(id, ticket => {
-			this.#use(ticket);
+		this.#isFetchingTicket = true;
+		const host = this.#chooseHost();
+		const id = this.#simulation.createId('w');
+		host?.ticketHandlers.set(id, ticket => {
+			this.#useTicket(ticket);
 		});
 		if (host !== undefined) {
-			this.#world.dispatch(host, {type: 'ticket-wanted', request: id, organisation: organisationId});
+			this.#simulation.dispatch(host, {type: 'ticket-wanted', request: id, organisation: organisationId});
 		}
 	}
 
-	#use(ticket: Ticket): void {
-		this.#isFetching = false;
-		const {dice, now, plan} = this.#world;
-		const expires = plan.faults && dice.chance(30) ? epoch + now + dice.integer(500, 2000) : ticket.expires;
+	/** Sends under a new ticket; with faults, some tickets are made to expire soon. */
+	#useTicket(ticket: Ticket): void {
+		this.#isFetchingTicket = false;
+		const {random, now, options} = this.#simulation;
+		const expires = options.hasFaults && random.chance(30) ? epoch + now + random.integer(500, 2000) : ticket.expires;
 		this.#proof = {type: 'ticket', ticket: {...ticket, expires}};
 		this.#send();
-		if (dice.chance(20)) {
+		if (random.chance(20)) {
 			this.#send();
 		}
 	}
 
 	#send(): void {
-		const host = this.#host();
-		if (host === undefined || this.#sendings >= mostSendings || this.#isOver || this.#isFetching) {
+		const host = this.#chooseHost();
+		if (host === undefined || this.#sendCount >= maxSends || this.#isDone || this.#isFetchingTicket) {
 			return;
 		}
 
-		this.#sendings++;
-		const {dice, ledger, now} = this.#world;
+		this.#sendCount++;
+		const {random, ledger, now} = this.#simulation;
 		const request: Request = {
-			id: this.#world.name('r'),
+			id: this.#simulation.createId('r'),
 			organisation: organisationId,
 			service: serviceId,
 			priority: 5,
 			arrival: now,
-			deadline: now + dice.integer(1000, 4000),
+			deadline: now + random.integer(1000, 4000),
 			promptTokens: 1,
 			blocks: [],
 			proof: this.#proof,
 			fingerprint: this.#id,
 		};
-		const right = rightOf(this.#proof);
+		const right = getRight(this.#proof);
 		let isAnswered = false;
-		this.#later(dice.integer(1, 10), () => {
+		this.#schedule(random.integer(1, 10), () => {
 			if (!host.isAlive) {
-				this.#again(false);
+				this.#resend(false);
 				return;
 			}
 
-			this.#world.arrive(host, request, {operation: this.#id, right}, answer => {
+			this.#simulation.deliverRequest(host, request, {operation: this.#id, right}, answer => {
 				isAnswered = true;
 				ledger.told.push({
-					operation: this.#id, right, outcome: answer.effect.outcome, payload: answer.payload, decidedAt: answer.decidedAt, at: this.#world.now,
+					operation: this.#id, right, outcome: answer.effect.outcome, payload: answer.payload, decidedAt: answer.decidedAt, at: this.#simulation.now,
 				});
-				this.#hear(answer, right);
+				this.#handleAnswer(answer, right);
 			});
 		});
-		this.#later(patience, () => {
-			if (!isAnswered && !this.#isOver) {
-				this.#leave(host, request.id);
-				this.#again(true);
+		this.#schedule(answerTimeoutMs, () => {
+			if (!isAnswered && !this.#isDone) {
+				this.#abandon(host, request.id);
+				this.#resend(true);
 			}
 		});
 	}
 
-	/** Half of the callers that wait no longer close their connection. */
-	#leave(host: Host, request: string): void {
-		if (this.#world.dice.chance(50)) {
+	/** Half of the callers that time out close their connection. */
+	#abandon(host: Host, request: string): void {
+		if (this.#simulation.random.chance(50)) {
 			const exchange = host.exchanges.get(request);
 			if (exchange !== undefined) {
-				exchange.visit.excused = true;
+				exchange.hostRequest.isExempt = true;
 			}
 
-			this.#world.dispatch(host, {type: 'request-abandoned', request});
+			this.#simulation.dispatch(host, {type: 'request-abandoned', request});
 		}
 	}
 
-	#again(isSlow: boolean): void {
-		this.#later(isSlow ? 1 : this.#world.dice.integer(50, 500), () => {
+	#resend(isAfterTimeout: boolean): void {
+		this.#schedule(isAfterTimeout ? 1 : this.#simulation.random.integer(50, 500), () => {
 			this.#send();
 		});
 	}
 
-	/** A stray answer under an older right changes nothing. */
-	#hear({effect}: Answer, right: string): void {
-		if (this.#isOver || this.#isFetching || right !== rightOf(this.#proof)) {
+	/** Ignores a late answer to a request under an earlier right. */
+	#handleAnswer({effect}: Answer, right: string): void {
+		if (this.#isDone || this.#isFetchingTicket || right !== getRight(this.#proof)) {
 			return;
 		}
 
 		const {outcome, ticket} = effect;
 		switch (outcome.type) {
 			case 'done': {
-				this.#isOver = !this.#world.dice.chance(20);
-				this.#again(false);
+				this.#isDone = !this.#simulation.random.chance(20);
+				this.#resend(false);
 				break;
 			}
 
 			case 'unknown':
 			case 'failed': {
-				this.#again(false);
+				this.#resend(false);
 				break;
 			}
 
 			case 'not-run': {
-				this.#afterNotRun(outcome, ticket);
+				this.#handleNotRun(outcome, ticket);
 				break;
 			}
 		}
 	}
 
-	/** Not run for good: the operation may be sent under another right. */
-	#afterNotRun({code}: Extract<Outcome, {readonly type: 'not-run'}>, ticket: Ticket | undefined): void {
+	/** Resends under the same right if that may still run; after a final refusal, under a new ticket. */
+	#handleNotRun({code}: Extract<Outcome, {readonly type: 'not-run'}>, ticket: Ticket | undefined): void {
 		if (ticket !== undefined) {
-			this.#use(ticket);
-		} else if (this.#proof.type === 'key' && openCodes.has(code)) {
-			this.#again(false);
+			this.#useTicket(ticket);
+		} else if (this.#proof.type === 'key' && retryableKeyCodes.has(code)) {
+			this.#resend(false);
 		} else if (this.#proof.type === 'idempotent') {
-			this.#again(false);
+			this.#resend(false);
 		} else {
 			this.#proof = {type: 'none'};
 			this.#fetchTicket();
--- a/bench/fuzz/configuration.ts
+++ b/bench/fuzz/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration of a fuzz world. */
+/** The configuration of a simulation. */
 import {configurationSchema, type Configuration} from '../../src/core/index.js';
 import {type FakeUpstream} from './upstreams.js';
 
@@ -6,11 +6,11 @@
 export const organisationId = 'paper';
 
 /**
- * @param failureDomains - Failure domains.
+ * @param failureDomains - Ids of the failure domains.
  * @param upstreams - Upstreams of the one service.
- * @returns A document that has them.
+ * @returns A configuration with these.
  */
-export function configurationOf(failureDomains: readonly string[], upstreams: readonly FakeUpstream[]): Configuration {
+export function createConfiguration(failureDomains: readonly string[], upstreams: readonly FakeUpstream[]): Configuration {
 	return configurationSchema.parse({
 		schema: 1,
 		revision: 1,
--- a/bench/fuzz/faults.ts
+++ b/bench/fuzz/faults.ts
@@ -1,110 +1,112 @@
-/** Faults at random times: partitions, kills, pauses, broken links, crashing upstreams and planned stops. */
+/** Injects faults at random times: partitions, process kills, pauses, broken links, upstream crashes and planned stops. */
 import {type Host} from './hosts.js';
-import {type World} from './world.js';
+import {type Simulation} from './simulation.js';
 
-function partition(world: World): void {
-	const {dice} = world;
-	for (const host of world.hosts.keys()) {
-		world.sides.set(host, dice.integer(0, 1));
+function startPartition(simulation: Simulation): void {
+	const {random} = simulation;
+	for (const host of simulation.hosts.keys()) {
+		simulation.partitionSides.set(host, random.integer(0, 1));
 	}
 
-	for (const domain of world.plan.failureDomains) {
-		const side = dice.integer(0, 1);
-		for (const upstream of world.upstreams.values()) {
+	for (const domain of simulation.options.failureDomains) {
+		const side = random.integer(0, 1);
+		for (const upstream of simulation.upstreams.values()) {
 			if (upstream.failureDomain === domain) {
-				world.sides.set(upstream.id, side);
+				simulation.partitionSides.set(upstream.id, side);
 			}
 		}
 	}
 
-	world.agenda.after(dice.integer(200, 4000), () => {
-		world.sides.clear();
+	simulation.scheduler.after(random.integer(200, 4000), () => {
+		simulation.partitionSides.clear();
 	});
 }
 
-function replace(world: World, host: Host): void {
-	world.agenda.after(world.dice.integer(50, 2000), () => {
-		if (world.hosts.get(host.name) === host && !host.isAlive) {
-			world.start(host.name, host.member.failureDomain);
+function scheduleRestart(simulation: Simulation, host: Host): void {
+	simulation.scheduler.after(simulation.random.integer(50, 2000), () => {
+		if (simulation.hosts.get(host.name) === host && !host.isAlive) {
+			simulation.startHost(host.name, host.member.failureDomain);
 		}
 	});
 }
 
-function pause(world: World, host: Host): void {
-	const length = world.dice.integer(600, 4000);
+function pauseHost(simulation: Simulation, host: Host): void {
+	const length = simulation.random.integer(600, 4000);
 	host.isPaused = true;
 	for (const exchange of host.exchanges.values()) {
-		exchange.visit.excused = true;
+		exchange.hostRequest.isExempt = true;
 	}
 
-	world.agenda.after(length, () => {
+	simulation.scheduler.after(length, () => {
 		if (host.isAlive) {
-			world.wake(host, length);
+			simulation.resume(host, length);
 		}
 	});
 }
 
-function stop(world: World, host: Host): void {
-	world.dispatch(host, {type: 'stop-asked', grace: 5000});
-	world.agenda.after(6000, () => {
+function stopHost(simulation: Simulation, host: Host): void {
+	simulation.dispatch(host, {type: 'stop-asked', grace: 5000});
+	simulation.scheduler.after(6000, () => {
 		if (host.isAlive) {
-			world.end(host);
+			simulation.terminate(host);
 		}
 
-		replace(world, host);
+		scheduleRestart(simulation, host);
 	});
 }
 
-/** A rack or a power line goes: nobody is left that remembers. */
-function endAll(world: World): void {
-	for (const host of world.living) {
-		world.end(host);
-		replace(world, host);
+/** Kills all hosts at once, as the loss of a rack or its power does, so that no host keeps its state. */
+function terminateAllHosts(simulation: Simulation): void {
+	for (const host of simulation.aliveHosts) {
+		simulation.terminate(host);
+		scheduleRestart(simulation, host);
 	}
 }
 
-function strike(world: World): void {
-	const {dice} = world;
-	const awake = world.living.filter(host => !host.isPaused);
-	if (awake.length === 0) {
+function injectFault(simulation: Simulation): void {
+	const {random} = simulation;
+	const runningHosts = simulation.aliveHosts.filter(host => !host.isPaused);
+	if (runningHosts.length === 0) {
 		return;
 	}
 
-	const host = dice.pick(awake);
-	if (dice.chance(4)) {
-		endAll(world);
+	const host = random.pick(runningHosts);
+	if (random.chance(4)) {
+		terminateAllHosts(simulation);
 		return;
 	}
 
-	const die = dice.integer(1, 100);
-	if (die <= 20) {
-		partition(world);
-	} else if (die <= 40) {
-		world.end(host);
-		replace(world, host);
-	} else if (die <= 60) {
-		pause(world, host);
-	} else if (die <= 75) {
-		const links = world.links.names();
+	const draw = random.integer(1, 100);
+	if (draw <= 20) {
+		startPartition(simulation);
+	} else if (draw <= 40) {
+		simulation.terminate(host);
+		scheduleRestart(simulation, host);
+	} else if (draw <= 60) {
+		pauseHost(simulation, host);
+	} else if (draw <= 75) {
+		const links = simulation.links.getNames();
 		if (links.length > 0) {
-			world.links.cut(dice.pick(links));
+			simulation.links.cut(random.pick(links));
 		}
-	} else if (die <= 90) {
-		world.crash(dice.pick([...world.upstreams.values()]));
+	} else if (draw <= 90) {
+		simulation.crash(random.pick([...simulation.upstreams.values()]));
 	} else {
-		stop(world, host);
+		stopHost(simulation, host);
 	}
 }
 
 /**
- * @param world - World that is to suffer.
+ * Injects faults at random intervals.
+ *
+ * @param simulation - Simulation that the faults hit.
  * @param until - Time of the last fault, in milliseconds.
  */
-export function strikeUntil(world: World, until: number): void {
-	world.agenda.after(world.dice.integer(100, 1500), () => {
-		if (world.now < until) {
-			strike(world);
-			strikeUntil(world, until);
+export function injectFaultsUntil(simulation: Simulation, until: number): void {
+	simulation.scheduler.after(simulation.random.integer(100, 1500), () => {
+		if (simulation.now < until) {
+			injectFault(simulation);
+			injectFaultsUntil(simulation, until);
 		}
 	});
 }
--- a/bench/fuzz/holds.ts
+++ b/bench/fuzz/holds.ts
@@ -1,53 +1,55 @@
-/** Holds of the fuzz world: taken, given back or forgotten by their owners, and listed to every host. */
+/** Holds of a simulation: created, released or forgotten by their owners, and reported to every host. */
 import {type Effect, type Hold} from '../../src/core/index.js';
 import {epoch, type Host} from './hosts.js';
 import {type FakeUpstream} from './upstreams.js';
-import {type World} from './world.js';
+import {type Simulation} from './simulation.js';
 
-const listInterval = 500;
+const reportIntervalMs = 500;
 
-/** The longest that a hold may outlive its deadline: the grace, a listing and the asks that are lost. */
-const longestLeft = 12_000;
+/** How long a hold may outlive its deadline: the grace period, a report interval and lost release requests. */
+const maxOverdueMs = 12_000;
 
-function isAlive(world: World, {owner}: Hold): boolean {
-	const host = world.hosts.get(owner.host);
+function isOwnerAlive(simulation: Simulation, {owner}: Hold): boolean {
+	const host = simulation.hosts.get(owner.host);
 	return host?.isAlive === true && host.member.incarnation.started === owner.started;
 }
 
 /**
- * A host takes a hold; it gives it back later, unless it forgets.
+ * Creates a hold that its owner releases later or forgets.
  *
- * @param world - World.
+ * @param simulation - Simulation that it belongs to.
  * @param host - Owner.
  */
-export function takeHold(world: World, host: Host): void {
-	const {dice} = world;
-	const upstream = dice.pick([...world.upstreams.values()]);
+export function createHold(simulation: Simulation, host: Host): void {
+	const {random} = simulation;
+	const upstream = random.pick([...simulation.upstreams.values()]);
 	const hold: Hold = {
-		id: world.name('h'),
+		id: simulation.createId('h'),
 		upstream: upstream.id,
 		owner: host.member.incarnation,
 		tokens: 1,
-		deadline: host.wall(world.now) + dice.integer(1000, 5000),
+		deadline: host.getWallTime(simulation.now) + random.integer(1000, 5000),
 	};
 	upstream.holds.set(hold.id, hold);
-	if (dice.chance(60)) {
-		world.agenda.after(dice.integer(100, 3000), () => {
-			world.dispatch(host, {type: 'release-wanted', hold: hold.id, upstream: upstream.id});
+	if (random.chance(60)) {
+		simulation.scheduler.after(random.integer(100, 3000), () => {
+			simulation.dispatch(host, {type: 'release-wanted', hold: hold.id, upstream: upstream.id});
 		});
 	}
 }
 
 /**
- * @param world - World.
- * @param host - Host that asks.
- * @param effect - What it asks back.
+ * Delivers a release request to the upstream; with faults, some requests are lost.
+ *
+ * @param simulation - Simulation that the host belongs to.
+ * @param host - Host that sends the request.
+ * @param effect - Hold and upstream.
  */
-export function releaseHold(world: World, host: Host, effect: Extract<Effect, {readonly type: 'release'}>): void {
-	const upstream = world.upstreams.get(effect.upstream)!;
-	const isLost = world.plan.faults && world.dice.chance(20);
-	world.agenda.after(world.dice.integer(1, 10), () => {
-		if (isLost || !upstream.isUp || world.isCut(host.name, upstream.id)) {
+export function releaseHold(simulation: Simulation, host: Host, effect: Extract<Effect, {readonly type: 'release'}>): void {
+	const upstream = simulation.upstreams.get(effect.upstream)!;
+	const isLost = simulation.options.hasFaults && simulation.random.chance(20);
+	simulation.scheduler.after(simulation.random.integer(1, 10), () => {
+		if (isLost || !upstream.isUp || simulation.isPartitioned(host.name, upstream.id)) {
 			return;
 		}
 
@@ -55,20 +57,20 @@
 		upstream.holds.delete(effect.hold);
 		if (hold !== undefined) {
 			const isOwn = hold.owner.host === host.name && hold.owner.started === host.member.incarnation.started;
-			world.ledger.holdEnds.push({
+			simulation.ledger.holdReleases.push({
 				hold: hold.id,
 				owner: hold.owner.host,
-				wasLive: !isOwn && isAlive(world, hold) && epoch + world.now <= hold.deadline,
-				at: world.now,
+				isPremature: !isOwn && isOwnerAlive(simulation, hold) && epoch + simulation.now <= hold.deadline,
+				at: simulation.now,
 			});
 		}
 
-		world.dispatch(host, {type: 'hold-released', hold: effect.hold, upstream: upstream.id});
+		simulation.dispatch(host, {type: 'hold-released', hold: effect.hold, upstream: upstream.id});
 	});
 }
 
-function report(world: World, host: Host, upstream: FakeUpstream): void {
-	world.dispatch(host, {
+function sendReport(simulation: Simulation, host: Host, upstream: FakeUpstream): void {
+	simulation.dispatch(host, {
 		type: 'report-received', report: {
 			upstream: upstream.id,
 			incarnation: `i${upstream.incarnation}`,
@@ -81,36 +83,38 @@
 			memory: 1,
 		},
 	});
-	world.dispatch(host, {type: 'holds-listed', upstream: upstream.id, holds: [...upstream.holds.values()]});
+	simulation.dispatch(host, {type: 'holds-listed', upstream: upstream.id, holds: [...upstream.holds.values()]});
 }
 
 /**
- * Lists all holds and reports to every host in reach, again and again.
+ * Sends the load report and the holds of each upstream to every reachable host, at regular intervals.
  *
- * @param world - World.
+ * @param simulation - Simulation that runs.
  */
-export function listHolds(world: World): void {
-	world.agenda.after(listInterval, () => {
-		for (const host of world.living) {
-			for (const upstream of world.upstreams.values()) {
-				if (!host.isPaused && upstream.isUp && !world.isCut(host.name, upstream.id)) {
-					report(world, host, upstream);
+export function scheduleReports(simulation: Simulation): void {
+	simulation.scheduler.after(reportIntervalMs, () => {
+		for (const host of simulation.aliveHosts) {
+			for (const upstream of simulation.upstreams.values()) {
+				if (!host.isPaused && upstream.isUp && !simulation.isPartitioned(host.name, upstream.id)) {
+					sendReport(simulation, host, upstream);
 				}
 			}
 		}
 
-		listHolds(world);
+		scheduleReports(simulation);
 	});
 }
 
 /**
- * @param world - World at its end.
+ * Records holds that are overdue at the end of a run.
+ *
+ * @param simulation - Simulation that has ended.
  */
-export function noteLeftHolds(world: World): void {
-	for (const upstream of world.upstreams.values()) {
+export function recordUnreleasedHolds(simulation: Simulation): void {
+	for (const upstream of simulation.upstreams.values()) {
 		for (const hold of upstream.holds.values()) {
-			if (epoch + world.now > hold.deadline + longestLeft) {
-				world.ledger.leftHolds.push(`${hold.id} of ${hold.owner.host} at ${upstream.id}`);
+			if (epoch + simulation.now > hold.deadline + maxOverdueMs) {
+				simulation.ledger.unreleasedHolds.push(`${hold.id} of ${hold.owner.host} at ${upstream.id}`);
 			}
 		}
 	}
--- a/bench/fuzz/hosts.ts
+++ b/bench/fuzz/hosts.ts
@@ -1,22 +1,22 @@
-/** A host of the fuzz world: a core state, and what an entry daemon would do with its effects. */
+/** A simulated host: runs the core on events, and returns the effects that an entry daemon would execute. */
 import {
 	initialState, step, type Context, type Effect, type Event, type Member, type Request, type State,
 } from '../../src/core/index.js';
-import {type Dice} from './random.js';
-import {type Ledger, type Visit} from './ledger.js';
+import {type SeededRandom} from './random.js';
+import {type Ledger, type HostRequest} from './ledger.js';
 import {type Mutation} from './mutations.js';
 
-/** Wall-clock time at the start of every run. */
+/** Wall-clock time at the start of every run, in milliseconds since 1970. */
 export const epoch = 1_800_000_000_000;
 
-/** Who waits for an answer: a caller, another host, or a request that repeats this one. */
-export type Receiver = (outcome: Answer) => void;
+/** Takes an answer for a caller, another host, or a request that repeats this one. */
+export type AnswerHandler = (answer: Answer) => void;
 
 export type Answer = {
 	readonly effect: Extract<Effect, {readonly type: 'answer'}>;
-	/** Operation whose result it carries. */
+	/** Operation whose result the answer carries. */
 	readonly payload?: string;
-	/** When it was decided, at whichever host. */
+	/** When it was decided, at this host or at the host that the request was forwarded to. */
 	readonly decidedAt: number;
 };
 
@@ -24,17 +24,17 @@
 	readonly request: Request;
 	readonly operation: string;
 	readonly right: string;
-	readonly receivers: Receiver[];
-	readonly visit: Visit;
+	readonly answerHandlers: AnswerHandler[];
+	readonly hostRequest: HostRequest;
 	payload?: string;
-	/** What the host that it was passed on to answered. */
-	passed?: Answer;
+	/** Answer of the host that the request was forwarded to. */
+	forwardedAnswer?: Answer;
 	answer?: Answer;
 };
 
-/** What all hosts of a world share. */
-export type Surroundings = {
-	readonly dice: Dice;
+/** Shared by all hosts of a simulation. */
+export type HostOptions = {
+	readonly random: SeededRandom;
 	readonly ledger: Ledger;
 	readonly mutation: Mutation | undefined;
 };
@@ -44,18 +44,19 @@
 	state: State;
 	isAlive = true;
 	isPaused = false;
-	readonly wanted = new Map<string, number>();
+	/** Peer ports of the hosts that this host wants links to, by name. */
+	readonly connectTargets = new Map<string, number>();
 	readonly exchanges = new Map<string, Exchange>();
-	readonly tickets = new Map<string, (ticket: Extract<Effect, {readonly type: 'issue-ticket'}>['ticket']) => void>();
+	readonly ticketHandlers = new Map<string, (ticket: Extract<Effect, {readonly type: 'issue-ticket'}>['ticket']) => void>();
 	readonly #backlog: Event[] = [];
-	readonly #surroundings: Surroundings;
-	readonly #skew: number;
+	readonly #options: HostOptions;
+	readonly #clockSkew: number;
 
-	constructor(member: Member, surroundings: Surroundings, skew: number) {
+	constructor(member: Member, options: HostOptions, clockSkew: number) {
 		this.member = member;
 		this.state = initialState(member);
-		this.#surroundings = surroundings;
-		this.#skew = skew;
+		this.#options = options;
+		this.#clockSkew = clockSkew;
 	}
 
 	get name(): string {
@@ -63,15 +64,15 @@
 	}
 
 	/**
-	 * @param now - Time of the world in milliseconds.
-	 * @returns This host's wall clock.
+	 * @param now - Simulation time in milliseconds.
+	 * @returns Wall-clock time of this host.
 	 */
-	wall(now: number): number {
-		return epoch + now + this.#skew;
+	getWallTime(now: number): number {
+		return epoch + now + this.#clockSkew;
 	}
 
-	/** Takes an event, or keeps it until this host wakes. */
-	take(event: Event, now: number): readonly Effect[] {
+	/** Handles an event; while this host is paused, queues it, or drops it if it is a tick. */
+	handle(event: Event, now: number): readonly Effect[] {
 		if (!this.isAlive) {
 			return [];
 		}
@@ -87,16 +88,16 @@
 		return this.#step(event, now);
 	}
 
-	/** Wakes: hears of the pause first, then of everything that came meanwhile. */
-	wake(pause: number, now: number): readonly Effect[] {
+	/** Ends a pause: handles an event about the pause first, then the queued events. */
+	resume(pause: number, now: number): readonly Effect[] {
 		this.isPaused = false;
 		const events: readonly Event[] = [{type: 'woken', pause}, ...this.#backlog.splice(0)];
-		return events.flatMap(event => this.take(event, now));
+		return events.flatMap(event => this.handle(event, now));
 	}
 
 	#step(event: Event, now: number): readonly Effect[] {
-		const {dice, ledger, mutation} = this.#surroundings;
-		const context: Context = {now, wall: this.wall(now), random: dice};
+		const {random, ledger, mutation} = this.#options;
+		const context: Context = {now, wall: this.getWallTime(now), random};
 		const changed = mutation?.event?.(event, this) ?? [event];
 		const effects: Effect[] = [];
 		for (const each of changed) {
--- a/bench/fuzz/main.ts
+++ b/bench/fuzz/main.ts
@@ -1,8 +1,8 @@
-/** `npm run fuzz -- --runs N --seed S`: runs the cores of several hosts under faults and checks the invariants. */
+/** `npm run fuzz -- --runs N --seed S`: simulates several hosts under faults and checks the invariants. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {run} from './run.js';
-import {type World} from './world.js';
+import {type Simulation} from './simulation.js';
 
 type Options = {
 	readonly runs: string;
@@ -10,9 +10,9 @@
 	readonly calm: boolean;
 };
 
-function outcomes(world: World): ReadonlyMap<string, number> {
+function countOutcomes(simulation: Simulation): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>();
-	for (const {outcome, right} of world.ledger.told) {
+	for (const {outcome, right} of simulation.ledger.told) {
 		const kind = right.split(' ')[0]!;
 		const label = `${kind} ${outcome.type}${'code' in outcome ? ` ${outcome.code}` : ''}`;
 		counts.set(label, (counts.get(label) ?? 0) + 1);
@@ -23,20 +23,20 @@
 
 function main(): void {
 	const program = new Command()
-		.option('--runs <number>', 'worlds to run', '20')
-		.option('--seed <number>', 'seed of the first world', '1')
+		.option('--runs <number>', 'simulations to run', '20')
+		.option('--seed <number>', 'seed of the first simulation', '1')
 		.option('--calm', 'without faults', false)
 		.parse();
 	const options = program.opts<Options>();
 	const totals = new Map<string, number>();
 	let steps = 0;
-	let breaches = 0;
+	let violationCount = 0;
 	for (let index = 0; index < Number(options.runs); index++) {
 		const seed = Number(options.seed) + index;
-		const {world, violations} = run({seed, faults: !options.calm});
-		steps += world.ledger.steps;
-		breaches += violations.length;
-		for (const [label, count] of outcomes(world)) {
+		const {world: simulation, violations} = run({seed, faults: !options.calm});
+		steps += simulation.ledger.steps;
+		violationCount += violations.length;
+		for (const [label, count] of countOutcomes(simulation)) {
 			totals.set(label, (totals.get(label) ?? 0) + count);
 		}
 
@@ -49,8 +49,8 @@
 		console.log(`${label}: ${count}`);
 	}
 
-	console.log(`${options.runs} runs from seed ${options.seed}, ${steps} steps, ${breaches} breaches`);
-	process.exitCode = breaches > 0 ? 1 : 0;
+	console.log(`${options.runs} runs from seed ${options.seed}, ${steps} steps, ${violationCount} breaches`);
+	process.exitCode = violationCount > 0 ? 1 : 0;
 }
 
 main();
--- a/bench/fuzz/mutants.ts
+++ b/bench/fuzz/mutants.ts
@@ -1,28 +1,28 @@
-/** `node dist/bench/fuzz/mutants.js`: turns each mechanism off and prints which checks turn red. */
+/** `node dist/bench/fuzz/mutants.js`: turns off one mechanism at a time and prints the checks that fail. */
 import {checks} from './invariants.js';
 import {mutations, type Mutation} from './mutations.js';
 import {run} from './run.js';
 
-const runs = 24;
+const runCount = 24;
 
-function redChecks(mutation: Mutation): ReadonlyMap<string, number> {
-	const red = new Map<string, number>();
-	for (let seed = 1; seed <= runs; seed++) {
+function countFailures(mutation: Mutation): ReadonlyMap<string, number> {
+	const counts = new Map<string, number>();
+	for (let seed = 1; seed <= runCount; seed++) {
 		const {violations} = run({
 			seed, mutation, length: 10_000, faults: seed % 3 !== 0,
 		});
 		for (const {check} of violations) {
-			red.set(check, (red.get(check) ?? 0) + 1);
+			counts.set(check, (counts.get(check) ?? 0) + 1);
 		}
 	}
 
-	return red;
+	return counts;
 }
 
-console.log(`| mechanism off | checks that turn red (breaches in ${runs} runs) |`);
+console.log(`| mechanism off | checks that turn red (breaches in ${runCount} runs) |`);
 console.log('| --- | --- |');
 for (const mutation of mutations) {
-	const red = redChecks(mutation);
-	const cells = checks.filter(check => red.has(check)).map(check => `${check} (${red.get(check)})`);
+	const counts = countFailures(mutation);
+	const cells = checks.filter(check => counts.has(check)).map(check => `${check} (${counts.get(check)})`);
 	console.log(`| ${mutation.name} | ${cells.length > 0 ? cells.join(', ') : 'none'} |`);
 }
--- a/bench/fuzz/mutations.ts
+++ b/bench/fuzz/mutations.ts
@@ -1,4 +1,7 @@
-/** Mechanisms turned off one at a time, to show that the invariants notice. Each acts on the stream of events, effects and states. */
+/**
+ * Mutations that each turn off one mechanism, to show that the invariants detect it. They replace events, effects or states of
+ * a host.
+ */
 import {
 	codes, type Effect, type Event, type State, type Ticket,
 } from '../../src/core/index.js';
@@ -7,20 +10,21 @@
 
 export type Mutation = {
 	readonly name: string;
-	/** Events that the host takes instead; undefined leaves the event as it is. */
+	/** Events that the host handles instead; undefined leaves the event as it is. */
 	readonly event?: (event: Event, host: Host) => readonly Event[] | undefined;
-	/** Effects that happen instead; undefined leaves the effect as it is. */
+	/** Effects that are executed instead; undefined leaves the effect as it is. */
 	readonly effect?: (effect: Effect, host: Host) => readonly Effect[] | undefined;
+	/** State that the host continues with. */
 	readonly state?: (state: State, host: Host) => State;
 };
 
-const distant = 1e15;
+const distantFuture = 1e15;
 
 function withKeys(state: State, keys: Partial<State['keys']>): State {
 	return {...state, keys: {...state.keys, ...keys}};
 }
 
-/** An arrived request with its ticket changed. */
+/** Returns the arrived request with a changed ticket; undefined for other events. */
 function changeTicket(event: Event, change: (ticket: Ticket) => Ticket): readonly Event[] | undefined {
 	if (event.type !== 'request-arrived' || event.request.proof.type !== 'ticket') {
 		return undefined;
@@ -30,8 +34,8 @@
 	return [{...event, request: {...request, proof: {type: 'ticket', ticket: change(event.request.proof.ticket)}}}];
 }
 
-/** An unfinished attempt of another request at the same host. */
-function otherAttempt(state: State, attempt: string): string {
+/** Returns an unfinished attempt of another request at the same host; the given attempt if there is none. */
+function findOtherAttempt(state: State, attempt: string): string {
 	return [...state.requests.attempts.keys()].find(each => each !== attempt) ?? attempt;
 }
 
@@ -46,7 +50,7 @@
 	},
 	{
 		name: 'expiry is not checked',
-		event: event => changeTicket(event, ticket => ({...ticket, expires: distant})),
+		event: event => changeTicket(event, ticket => ({...ticket, expires: distantFuture})),
 	},
 	{
 		name: 'a seal is promised but not kept',
@@ -78,7 +82,7 @@
 	},
 	{
 		name: 'answers are given to whoever waits',
-		event: (event, host) => event.type === 'attempt-ended' ? [{...event, attempt: otherAttempt(host.state, event.attempt)}] : undefined,
+		event: (event, host) => event.type === 'attempt-ended' ? [{...event, attempt: findOtherAttempt(host.state, event.attempt)}] : undefined,
 	},
 	{
 		name: 'time is not told',
--- a/bench/fuzz/random.ts
+++ b/bench/fuzz/random.ts
@@ -1,8 +1,8 @@
-/** A seeded random source for the fuzz runs. */
+/** A seeded source of random numbers for fuzz runs. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 
-export class Dice {
+export class SeededRandom {
 	readonly #generator;
 
 	constructor(seed: number) {
@@ -10,24 +10,24 @@
 	}
 
 	/**
-	 * @param least - Smallest number.
-	 * @param most - Largest number.
-	 * @returns A whole number from `least` to `most`, both included.
+	 * @param min - Smallest number.
+	 * @param max - Largest number.
+	 * @returns A whole number from `min` to `max`, both included.
 	 */
-	integer(least: number, most: number): number {
-		return uniformInt(this.#generator, least, most);
+	integer(min: number, max: number): number {
+		return uniformInt(this.#generator, min, max);
 	}
 
 	/**
-	 * @param percent - Chance in percent.
-	 * @returns Whether it came true.
+	 * @param percent - Probability in percent.
+	 * @returns True with this probability.
 	 */
 	chance(percent: number): boolean {
 		return this.integer(1, 100) <= percent;
 	}
 
 	/**
-	 * @param all - Things to choose from, at least one.
+	 * @param all - Values to choose from, at least one.
 	 * @returns One of them.
 	 */
 	pick<T>(all: readonly T[]): T {
--- a/bench/fuzz/run.ts
+++ b/bench/fuzz/run.ts
@@ -1,61 +1,61 @@
-/** One fuzz run: callers and faults for a while, then quiet, then the invariants. */
+/** One fuzz run: callers and faults for a while, then a quiet period, then the check of the invariants. */
 import {type Proof} from '../../src/core/index.js';
 import {Caller} from './callers.js';
-import {noteLeftHolds, takeHold} from './holds.js';
-import {strikeUntil} from './faults.js';
-import {violations, type Violation} from './invariants.js';
+import {recordUnreleasedHolds, createHold} from './holds.js';
+import {injectFaultsUntil} from './faults.js';
+import {findViolations, type Violation} from './invariants.js';
 import {type Mutation} from './mutations.js';
-import {World} from './world.js';
+import {Simulation} from './simulation.js';
 
-const quiet = 15_000;
-const warmUp = 4000;
+const quietPeriodMs = 15_000;
+const warmUpMs = 4000;
 
-/** Entries that tables may have at the end for each operation: rights, claims and promises. */
-const entriesPerOperation = 8;
+/** Entries for each operation that tables may hold at the end: rights, claims and promises. */
+const maxEntriesPerOperation = 8;
 
-export type Settings = {
+export type RunOptions = {
 	readonly seed: number;
 	readonly faults?: boolean;
 	/** Whether one operation in a hundred crashes the upstreams that run it. */
 	readonly killers?: boolean;
-	/** Time in which callers send and faults strike, in milliseconds. */
+	/** Time in which callers send and faults occur, in milliseconds. */
 	readonly length?: number;
 	readonly mutation?: Mutation;
 };
 
-export type Result = {
-	readonly world: World;
+export type RunResult = {
+	readonly world: Simulation;
 	readonly violations: readonly Violation[];
 };
 
-function kindOf(die: number): Proof['type'] {
-	if (die <= 40) {
+function chooseProofType(draw: number): Proof['type'] {
+	if (draw <= 40) {
 		return 'key';
 	}
 
-	if (die <= 70) {
+	if (draw <= 70) {
 		return 'ticket';
 	}
 
-	return die <= 85 ? 'none' : 'idempotent';
+	return draw <= 85 ? 'none' : 'idempotent';
 }
 
-function send(world: World, until: number, killers: boolean): void {
-	world.agenda.after(world.dice.integer(10, 200), () => {
-		if (world.now < until) {
-			const die = world.dice.integer(1, 100);
-			new Caller(world, kindOf(die), {kills: killers && die === 100}).start();
-			if (world.living.length > 0 && world.dice.chance(20)) {
-				takeHold(world, world.dice.pick(world.living));
+function scheduleCallers(simulation: Simulation, until: number, hasPoison: boolean): void {
+	simulation.scheduler.after(simulation.random.integer(10, 200), () => {
+		if (simulation.now < until) {
+			const draw = simulation.random.integer(1, 100);
+			new Caller(simulation, chooseProofType(draw), {isPoison: hasPoison && draw === 100}).start();
+			if (simulation.aliveHosts.length > 0 && simulation.random.chance(20)) {
+				createHold(simulation, simulation.random.pick(simulation.aliveHosts));
 			}
 
-			send(world, until, killers);
+			scheduleCallers(simulation, until, hasPoison);
 		}
 	});
 }
 
-function noteLeftovers(world: World): void {
-	for (const {name, state} of world.living) {
+function recordNonEmptyTables(simulation: Simulation): void {
+	for (const {name, state} of simulation.aliveHosts) {
 		const {
 			requests, tickets, keys, holds,
 		} = state;
@@ -70,41 +70,43 @@
 		};
 		for (const [table, size] of Object.entries(sizes)) {
 			if (size > 0) {
-				world.ledger.leftovers.push(`${size} in ${table} of ${name}`);
+				simulation.ledger.nonEmptyTables.push(`${size} in ${table} of ${name}`);
 			}
 		}
 
-		if (tickets.entries.size + keys.claims.size > entriesPerOperation * world.ledger.operations.size) {
-			world.ledger.leftovers.push(`rights of ${name}: ${tickets.entries.size} and ${keys.claims.size}`);
+		if (tickets.entries.size + keys.claims.size > maxEntriesPerOperation * simulation.ledger.operations.size) {
+			simulation.ledger.nonEmptyTables.push(`rights of ${name}: ${tickets.entries.size} and ${keys.claims.size}`);
 		}
 	}
 }
 
 /**
- * @param settings - Seed, length and mutation.
- * @returns The world at its end, and what was breached.
+ * Plays one simulation and checks the invariants.
+ *
+ * @param options - Seed, length and mutation.
+ * @returns The simulation at its end and the violations.
  */
-export function run(settings: Settings): Result {
+export function run(options: RunOptions): RunResult {
 	const {
-		seed, faults = true, killers = true, length = 15_000, mutation,
-	} = settings;
+		seed, faults: hasFaults = true, killers: hasPoison = true, length = 15_000, mutation,
+	} = options;
 	const domains = seed % 3 === 0 ? ['a'] : ['a', 'b'];
-	const world = new World({
-		seed, failureDomains: domains, hostsPerDomain: seed % 3 === 0 ? 3 : 2, upstreamsPerDomain: 4, faults, mutation,
+	const simulation = new Simulation({
+		seed, failureDomains: domains, hostsPerDomain: seed % 3 === 0 ? 3 : 2, upstreamsPerDomain: 4, hasFaults, mutation,
 	});
-	if (faults) {
-		// A host that restarts has forgotten, and one that is cut off has not heard: each may lose two upstreams.
-		world.ledger.crashLimit = 2 * world.plan.hostsPerDomain;
+	if (hasFaults) {
+		// A restarted host has lost its record of crashes and a partitioned host receives none: each may lose two upstreams.
+		simulation.ledger.crashLimit = 2 * simulation.options.hostsPerDomain;
 	}
 
-	world.agenda.runUntil(warmUp);
-	send(world, warmUp + length, killers);
-	if (faults) {
-		strikeUntil(world, warmUp + length);
+	simulation.scheduler.runUntil(warmUpMs);
+	scheduleCallers(simulation, warmUpMs + length, hasPoison);
+	if (hasFaults) {
+		injectFaultsUntil(simulation, warmUpMs + length);
 	}
 
-	world.agenda.runUntil(warmUp + length + quiet);
-	noteLeftovers(world);
-	noteLeftHolds(world);
-	return {world, violations: violations(world.ledger)};
+	simulation.scheduler.runUntil(warmUpMs + length + quietPeriodMs);
+	recordNonEmptyTables(simulation);
+	recordUnreleasedHolds(simulation);
+	return {world: simulation, violations: findViolations(simulation.ledger)};
 }
--- a/bench/fuzz/queue.ts
+++ b/bench/fuzz/scheduler.ts
@@ -1,18 +1,20 @@
-/** Things that happen later, in the order of their times. */
+/** Runs callbacks in virtual time, ordered by their times. */
 type Entry = {
 	readonly at: number;
 	readonly order: number;
 	readonly run: () => void;
 };
 
-export class Agenda {
+export class Scheduler {
 	now = 0;
 	readonly #entries: Entry[] = [];
 	#order = 0;
 
 	/**
+	 * Schedules a callback; callbacks of the same time run in the order of these calls.
+	 *
 	 * @param delay - Milliseconds from now.
-	 * @param run - What happens then.
+	 * @param run - Callback.
 	 */
 	after(delay: number, run: () => void): void {
 		const entry = {at: this.now + delay, order: this.#order++, run};
@@ -31,7 +33,7 @@
 	}
 
 	/**
-	 * @param end - Time up to which everything happens, in milliseconds.
+	 * @param end - Time in milliseconds up to which callbacks run, included.
 	 */
 	runUntil(end: number): void {
 		for (let next = this.#entries[0]; next !== undefined && next.at <= end; next = this.#entries[0]) {
--- a/bench/fuzz/upstreams.ts
+++ b/bench/fuzz/upstreams.ts
@@ -1,18 +1,18 @@
-/** A tiny upstream: runs what it is sent, once per attempt, and may be crashed by it. */
+/** A minimal upstream that runs each attempt once and may be crashed by it. */
 import {type Hold} from '../../src/core/index.js';
 
-export type Run = {
+export type RunningAttempt = {
 	readonly attempt: string;
 	readonly operation: string;
-	/** Tells the sender that the connection broke. */
-	readonly breakOff: () => void;
+	/** Notifies the sender that the connection broke. */
+	readonly breakConnection: () => void;
 };
 
 export class FakeUpstream {
 	incarnation = 1;
 	isUp = true;
 	readonly cancelled = new Set<string>();
-	readonly runs = new Map<string, Run>();
+	readonly runs = new Map<string, RunningAttempt>();
 	readonly holds = new Map<string, Hold>();
 
 	readonly id: string;
@@ -25,14 +25,14 @@
 		this.port = port;
 	}
 
-	/** Ends: connections break and memory is empty. */
+	/** Stops the upstream: its connections break and its holds are lost. */
 	crash(): void {
 		this.isUp = false;
 		const runs = [...this.runs.values()];
 		this.runs.clear();
 		this.holds.clear();
 		for (const run of runs) {
-			run.breakOff();
+			run.breakConnection();
 		}
 	}
 
--- a/bench/relay/main.ts
+++ b/bench/relay/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * What relaying costs: processor time for each streamed frame, and time added to the first one, of an entry daemon and of
- * a bare Node pipe, in alternation before the same engines.
+ * Measures the cost of relaying: processor time for each streamed frame and the delay added to the first frame. Compares the
+ * entry daemon with a plain Node pipe, which run alternately against the same engines.
  */
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -17,46 +17,47 @@
 type Relay = {
 	readonly name: string;
 	readonly address: Address;
+	/** URL of the processor time. */
 	readonly cost: string;
 };
 
-/** One round at one relay. */
+/** Measurements of one round at one relay. */
 type Round = {
 	readonly frames: number;
 	/** Processor microseconds for each frame. */
 	readonly processor: number;
-	/** Milliseconds. */
+	/** Times to the first frame in milliseconds. */
 	readonly firstFrames: readonly number[];
 };
 
 const costSchema = z.object({processor: z.object({user: z.number(), system: z.number()})});
-const pause = 200;
+const pauseMs = 200;
 
 async function readProcessor(url: string): Promise<number> {
 	const {processor} = costSchema.parse(await got(url).json());
 	return processor.user + processor.system;
 }
 
-async function measure(relay: Relay, load: (address: Address) => Promise<readonly Stream[]>): Promise<Round> {
+async function measureRound(relay: Relay, load: (address: Address) => Promise<readonly Stream[]>): Promise<Round> {
 	const before = await readProcessor(relay.cost);
 	const streams = await load(relay.address);
-	const spent = await readProcessor(relay.cost) - before;
+	const processorTime = await readProcessor(relay.cost) - before;
 	const frames = streams.reduce((sum, stream) => sum + stream.frames, 0);
-	return {frames, processor: spent / frames, firstFrames: streams.map(stream => stream.firstFrame)};
+	return {frames, processor: processorTime / frames, firstFrames: streams.map(stream => stream.firstFrame)};
 }
 
-function quantile(values: readonly number[], share: number): number {
+function getQuantile(values: readonly number[], share: number): number {
 	const sorted = values.toSorted((one, other) => one - other);
 	return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? Number.NaN;
 }
 
-async function manyStreams(address: Address, round: number, streams: number, tokens: number): Promise<readonly Stream[]> {
+async function openParallelStreams(address: Address, round: number, streams: number, tokens: number): Promise<readonly Stream[]> {
 	return Promise.all(Array.from({length: streams}, async (_, index) =>
 		openStream(address, `stream ${index} of round ${round}`, tokens, `${address.port}-${round}-${index}`)));
 }
 
-/** One request at a time, so that nothing but the relay adds to the first frame. */
-async function singleStreams(address: Address, round: number, count: number): Promise<readonly Stream[]> {
+/** Opens one stream at a time, so that only the relay delays the first frame. */
+async function openSequentialStreams(address: Address, round: number, count: number): Promise<readonly Stream[]> {
 	const results: Stream[] = [];
 	for (let index = 0; index < count; index++) {
 		results.push(await openStream(address, `single ${index} of ${round}`, 1, `s${address.port}-${round}-${index}`));
@@ -100,9 +101,9 @@
 	const results = new Map<string, Array<{readonly many: Round; readonly single: Round}>>();
 	for (let round = 0; round <= rounds; round++) {
 		for (const relay of relays) {
-			const single = await measure(relay, async address => singleStreams(address, round, 100));
-			const many = await measure(relay, async address => manyStreams(address, round, streams, tokens));
-			await sleep(pause);
+			const single = await measureRound(relay, async address => openSequentialStreams(address, round, 100));
+			const many = await measureRound(relay, async address => openParallelStreams(address, round, streams, tokens));
+			await sleep(pauseMs);
 			// The first round only warms up.
 			if (round > 0) {
 				results.set(relay.name, [...results.get(relay.name) ?? [], {many, single}]);
@@ -119,9 +120,9 @@
 		const first = rounds.flatMap(({single}) => single.firstFrames);
 		return [name, {
 			frames: rounds.map(({many}) => many.frames),
-			microsecondsPerFrame: {median: quantile(processor, 0.5), least: Math.min(...processor), most: Math.max(...processor)},
-			firstFrame: {p50: quantile(first, 0.5), p99: quantile(first, 0.99)},
-			microsecondsPerShortRequest: quantile(rounds.map(({single}) => single.processor), 0.5),
+			microsecondsPerFrame: {median: getQuantile(processor, 0.5), least: Math.min(...processor), most: Math.max(...processor)},
+			firstFrame: {p50: getQuantile(first, 0.5), p99: getQuantile(first, 0.99)},
+			microsecondsPerShortRequest: getQuantile(rounds.map(({single}) => single.processor), 0.5),
 		}];
 	}));
 	const {entry, pipe} = figures;
@@ -133,7 +134,7 @@
 }
 
 await new Command('relay')
-	.description('Compares the cost of relaying with that of a bare pipe.')
+	.description('Compares the cost of relaying with that of a plain pipe.')
 	.option('--rounds <count>', 'measured rounds', Number, 5)
 	.option('--streams <count>', 'streams at a time', Number, 200)
 	.option('--tokens <count>', 'tokens of each stream', Number, 220)
--- a/bench/relay/pipe.ts
+++ b/bench/relay/pipe.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The least that a relay can do: passes bytes between a caller and one engine. The baseline of the relay benchmark. */
+/** A minimal relay that passes bytes between a caller and an engine: the baseline of the relay benchmark. */
 import http from 'node:http';
 import process from 'node:process';
 import {Command} from 'commander';
@@ -7,35 +7,35 @@
 
 const settingsSchema = z.object({engines: z.array(z.object({host: z.string(), port: z.number()})).min(1)});
 
-/** Path at which the processor time is told. */
+/** Path that returns the processor time used so far. */
 const costPath = '/cost';
 
-function tellCost(response: http.ServerResponse): void {
+function sendCost(response: http.ServerResponse): void {
 	response.end(JSON.stringify({processor: process.cpuUsage()}));
 }
 
 function start(settings: z.infer<typeof settingsSchema>): void {
-	let turn = 0;
+	let requestCount = 0;
 	const agent = new http.Agent({keepAlive: false});
 	const server = http.createServer((request, response) => {
 		if (request.url === costPath) {
-			tellCost(response);
+			sendCost(response);
 			return;
 		}
 
-		const {host, port} = settings.engines[turn++ % settings.engines.length]!;
-		const onward = http.request({
+		const {host, port} = settings.engines[requestCount++ % settings.engines.length]!;
+		const engineRequest = http.request({
 			agent,
 			host,
 			port,
 			path: request.url,
 			method: request.method,
 			headers: request.headers,
-		}, answer => {
-			response.writeHead(answer.statusCode ?? 0, answer.headers);
-			answer.pipe(response);
+		}, engineResponse => {
+			response.writeHead(engineResponse.statusCode ?? 0, engineResponse.headers);
+			engineResponse.pipe(response);
 		});
-		request.pipe(onward);
+		request.pipe(engineRequest);
 	});
 	server.listen(0, '127.0.0.1', () => {
 		const address = server.address();
--- a/bench/relay/streams.ts
+++ b/bench/relay/streams.ts
@@ -1,10 +1,10 @@
-/** Streams that a relay is loaded with, and what they measure. */
+/** Opens streams through a relay and measures them. */
 import {Buffer} from 'node:buffer';
 import http from 'node:http';
 import {performance} from 'node:perf_hooks';
 import {type Address} from '../../src/core/index.js';
 
-/** One streamed answer as its caller saw it. */
+/** Measurements of one streamed answer at its caller. */
 export type Stream = {
 	/** Milliseconds from the request to the first frame. */
 	readonly firstFrame: number;
@@ -12,18 +12,20 @@
 };
 
 const agent = new http.Agent({keepAlive: false});
-const frameMark = '"content":';
+const frameMarker = '"content":';
 
-function countMarks(text: string): number {
-	return text.split(frameMark).length - 1;
+function countFrames(text: string): number {
+	return text.split(frameMarker).length - 1;
 }
 
 /**
- * @param address - Relay.
- * @param prompt - Prompt.
- * @param tokens - Tokens asked for.
- * @param attempt - Id of the attempt, for a relay that does not make its own.
- * @returns What the caller saw.
+ * Sends a streaming chat completion request and reads the answer to its end.
+ *
+ * @param address - Address of the relay.
+ * @param prompt - Text of the prompt.
+ * @param tokens - Maximum number of answer tokens.
+ * @param attempt - Id of the attempt, for a relay that does not create one.
+ * @returns Measurements.
  */
 export async function openStream(address: Address, prompt: string, tokens: number, attempt: string): Promise<Stream> {
 	const body = JSON.stringify({
@@ -33,7 +35,7 @@
 		messages: [{role: 'user', content: prompt}],
 	});
 	return new Promise((resolve, reject) => {
-		const began = performance.now();
+		const startedAt = performance.now();
 		const request = http.request({
 			agent,
 			...address,
@@ -51,8 +53,8 @@
 			let frames = 0;
 			response.setEncoding('utf8');
 			response.on('data', (text: string) => {
-				firstFrame ||= performance.now() - began;
-				frames += countMarks(text);
+				firstFrame ||= performance.now() - startedAt;
+				frames += countFrames(text);
 			});
 			response.once('end', () => {
 				resolve({firstFrame, frames});
