--- a/bench/beliefs/store.ts
+++ b/bench/beliefs/store.ts
@@ -21,8 +21,9 @@
 }
 
 export class SimulatedStore {
-	/** When the store acknowledged that an upstream leaves, or that it is ready, by id. */
+	/** When the store acknowledged that an upstream drains or is removed, by id. */
 	readonly left = new Map<string, number>();
+	/** When the store acknowledged that an upstream is ready, by id. */
 	readonly ready = new Map<string, number>();
 	readonly #items = new Map<string, Change>();
 	readonly #registrations = new Map<string, Registration>();
