--- a/bench/experiments/__tests__/figures.test.ts
+++ b/bench/experiments/__tests__/figures.test.ts
@@ -1,10 +1,10 @@
 import {describe, expect, it} from 'vitest';
-import {violations} from '../bounds.js';
+import {findViolations} from '../bounds.js';
 import {fitLine} from '../fit.js';
-import {spreadOf} from '../statistics.js';
+import {calculateSpread} from '../statistics.js';
 import {type Summary} from '../summary.js';
 
-const none = spreadOf([]);
+const none = calculateSpread([]);
 const summary: Summary = {
 	deployment: 'd',
 	seeds: 1,
@@ -18,14 +18,14 @@
 };
 
 describe('figures', () => {
-	it('takes medians and spread', () => {
-		expect(spreadOf([3, 1, 2])).toEqual({
+	it('calculates the median and the range', () => {
+		expect(calculateSpread([3, 1, 2])).toEqual({
 			median: 2, least: 1, most: 3, count: 3,
 		});
-		expect(spreadOf([4, 1, 2, 3]).median).toBe(2.5);
+		expect(calculateSpread([4, 1, 2, 3]).median).toBe(2.5);
 	});
 
-	it('fits a line and says how far the points are from it', () => {
+	it('fits a line and calculates the residual of the points', () => {
 		const exact = fitLine([1, 2, 5].map(x => ({x, y: 3 + (2 * x)})));
 		expect(exact.slope).toBeCloseTo(2);
 		expect(exact.intercept).toBeCloseTo(3);
@@ -33,9 +33,9 @@
 		expect(fitLine([{x: 0, y: 0}, {x: 1, y: 2}, {x: 2, y: 0}]).residual).toBeGreaterThan(0.9);
 	});
 
-	it('names a ratio that left its bounds or is missing', () => {
-		expect(violations(summary, {d: {slowdown: {most: 1.5}}})).toEqual([]);
-		expect(violations(summary, {d: {slowdown: {most: 1.2}, other: {least: 1}}})).toHaveLength(2);
-		expect(violations(summary, {e: {slowdown: {most: 1.2}}})).toEqual([]);
+	it('reports a ratio that is out of bounds or missing', () => {
+		expect(findViolations(summary, {d: {slowdown: {most: 1.5}}})).toEqual([]);
+		expect(findViolations(summary, {d: {slowdown: {most: 1.2}, other: {least: 1}}})).toHaveLength(2);
+		expect(findViolations(summary, {e: {slowdown: {most: 1.2}}})).toEqual([]);
 	});
 });
--- a/bench/experiments/bounds-main.ts
+++ b/bench/experiments/bounds-main.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
-/** `npm run bench:bounds`: fails when a ratio of the last results has left `bench/bounds.json`. */
+/** `npm run bench:bounds`: fails if a ratio of the last results is outside `bench/bounds.json`. */
 import {readFile} from 'node:fs/promises';
 import path from 'node:path';
 import process from 'node:process';
 import {Command} from 'commander';
-import {boundsSchema, violations} from './bounds.js';
+import {boundsSchema, findViolations} from './bounds.js';
 import {type Summary} from './summary.js';
 
 type Flags = {
@@ -19,7 +19,7 @@
 async function readSummary(directory: string, deployment: string): Promise<Summary> {
 	const value: unknown = JSON.parse(await readFile(path.join(directory, `${deployment}.json`), 'utf8'));
 	if (!isSummary(value)) {
-		throw new TypeError(`no summary of ${deployment}`);
+		throw new TypeError(`the results of ${deployment} have no summary`);
 	}
 
 	return value.summary;
@@ -32,8 +32,8 @@
 	.action(async (flags: Flags) => {
 		const bounds = boundsSchema.parse(JSON.parse(await readFile(flags.bounds, 'utf8')));
 		for (const deployment of Object.keys(bounds)) {
-			const found = violations(await readSummary(flags.results, deployment), bounds);
-			for (const line of found) {
+			const violations = findViolations(await readSummary(flags.results, deployment), bounds);
+			for (const line of violations) {
 				process.stdout.write(`${line}\n`);
 				process.exitCode = 1;
 			}
--- a/bench/experiments/bounds.ts
+++ b/bench/experiments/bounds.ts
@@ -1,4 +1,4 @@
-/** Bounds on ratios, which do not depend on how fast the machine is. */
+/** Checks bounds on ratios, which do not depend on the speed of the machine. */
 import {z} from 'zod';
 import {type Summary} from './summary.js';
 
@@ -12,9 +12,9 @@
 /**
  * @param summary - Measured ratios.
  * @param bounds - Bounds of all deployments.
- * @returns One line for each ratio that left its bounds or was not measured.
+ * @returns One line for each ratio that is out of bounds or was not measured.
  */
-export function violations(summary: Summary, bounds: Bounds): readonly string[] {
+export function findViolations(summary: Summary, bounds: Bounds): readonly string[] {
 	return Object.entries(bounds[summary.deployment] ?? {}).flatMap(([name, {least, most}]) => {
 		const value = summary.ratios[name];
 		const isWithin = value !== undefined
--- a/bench/experiments/cost.ts
+++ b/bench/experiments/cost.ts
@@ -1,10 +1,10 @@
-/** What a daemon spends, read from its own account. */
+/** Measures what a daemon costs in processor time, memory and traffic, from its own `/admin/cost` report. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import got from 'got';
 import {z} from 'zod';
 import {type Fleet} from '../fleet/fleet.js';
 
-const accountSchema = z.object({
+const costReportSchema = z.object({
 	core: z.record(z.string(), z.object({events: z.number(), milliseconds: z.number()})),
 	peerBytes: z.object({sent: z.number(), received: z.number()}),
 	platformCalls: z.number(),
@@ -13,15 +13,16 @@
 	memory: z.object({rss: z.number(), heapUsed: z.number()}),
 });
 
-type Account = z.infer<typeof accountSchema>;
+type CostReport = z.infer<typeof costReportSchema>;
 
 /** Mean cost of one daemon. */
 export type Cost = {
-	/** Milliseconds of processor time a second: of the whole process, and within the core. */
+	/** Milliseconds of processor time per second, of the whole process and of the core alone. */
 	readonly processor: number;
 	readonly core: number;
-	/** Bytes a second over peer links, both ways. */
+	/** Bytes per second over peer connections, in both directions. */
 	readonly peerBytes: number;
+	/** Calls per second. */
 	readonly platformCalls: number;
 	/** Megabytes. */
 	readonly resident: number;
@@ -31,15 +32,15 @@
 export type CostName = keyof Cost;
 export const costNames: readonly CostName[] = ['processor', 'core', 'peerBytes', 'platformCalls', 'resident', 'heap'];
 
-const million = 1_000_000;
+const bytesPerMegabyte = 1_000_000;
 const millisecondsPerSecond = 1000;
 
-async function read(fleet: Fleet): Promise<readonly Account[]> {
+async function fetchCostReports(fleet: Fleet): Promise<readonly CostReport[]> {
 	return Promise.all(fleet.hosts.alive.map(async ({admin}) =>
-		accountSchema.parse(await got(`http://${admin?.host}:${admin?.port}/admin/cost`).json())));
+		costReportSchema.parse(await got(`http://${admin?.host}:${admin?.port}/admin/cost`).json())));
 }
 
-function coreTime({core}: Account): number {
+function sumCoreTime({core}: CostReport): number {
 	let sum = 0;
 	for (const {milliseconds} of Object.values(core)) {
 		sum += milliseconds;
@@ -48,20 +49,20 @@
 	return sum;
 }
 
-function costBetween(before: Account, after: Account, seconds: number): Cost {
-	const processor = (account: Account) => (account.processor.user + account.processor.system) / millisecondsPerSecond;
-	const bytes = ({peerBytes}: Account) => peerBytes.sent + peerBytes.received;
+function calculateCost(before: CostReport, after: CostReport, seconds: number): Cost {
+	const sumProcessorTime = (report: CostReport) => (report.processor.user + report.processor.system) / millisecondsPerSecond;
+	const sumPeerBytes = ({peerBytes}: CostReport) => peerBytes.sent + peerBytes.received;
 	return {
-		processor: (processor(after) - processor(before)) / seconds,
-		core: (coreTime(after) - coreTime(before)) / seconds,
-		peerBytes: (bytes(after) - bytes(before)) / seconds,
+		processor: (sumProcessorTime(after) - sumProcessorTime(before)) / seconds,
+		core: (sumCoreTime(after) - sumCoreTime(before)) / seconds,
+		peerBytes: (sumPeerBytes(after) - sumPeerBytes(before)) / seconds,
 		platformCalls: (after.platformCalls - before.platformCalls) / seconds,
-		resident: after.memory.rss / million,
-		heap: after.memory.heapUsed / million,
+		resident: after.memory.rss / bytesPerMegabyte,
+		heap: after.memory.heapUsed / bytesPerMegabyte,
 	};
 }
 
-function mean(costs: readonly Cost[]): Cost {
+function averageCosts(costs: readonly Cost[]): Cost {
 	const total = {
 		processor: 0, core: 0, peerBytes: 0, platformCalls: 0, resident: 0, heap: 0,
 	};
@@ -75,13 +76,13 @@
 }
 
 /**
- * @param fleet - Fleet.
- * @param milliseconds - How long to measure.
- * @returns Mean cost of its daemons over that time.
+ * Measures the mean cost of the daemons of a fleet.
+ *
+ * @param milliseconds - Length of the measurement.
  */
 export async function measureCost(fleet: Fleet, milliseconds: number): Promise<Cost> {
-	const before = await read(fleet);
+	const before = await fetchCostReports(fleet);
 	await sleep(milliseconds);
-	const after = await read(fleet);
-	return mean(after.map((account, index) => costBetween(before[index]!, account, milliseconds / millisecondsPerSecond)));
+	const after = await fetchCostReports(fleet);
+	return averageCosts(after.map((report, index) => calculateCost(before[index]!, report, milliseconds / millisecondsPerSecond)));
 }
--- a/bench/experiments/experiment.ts
+++ b/bench/experiments/experiment.ts
@@ -1,12 +1,12 @@
-/** Compares routing policies on one fleet, run after run in alternation. */
+/** Compares routing policies on one fleet, in alternating runs. */
 import {type Policy} from '../../src/core/index.js';
 import {Fleet} from '../fleet/fleet.js';
 import {type Result} from '../load/recorder.js';
 import {scenarioSchema, type Scenario} from '../load/scenario.js';
 import {planTrace, reusableShare, type Planned} from '../load/trace.js';
-import {cacheUse, switchPolicy} from './control.js';
+import {readCacheUse, switchPolicy} from './control.js';
 import {runLoadProcess} from './load-process.js';
-import {scenarioFor, type Deployment, type Variation} from './scenarios.js';
+import {buildScenario, type Deployment, type Variation} from './scenarios.js';
 
 export const policies: readonly Policy[] = ['cost', 'round-robin', 'least-requests', 'random'];
 
@@ -18,14 +18,14 @@
 	readonly kind: RunKind;
 	readonly seed: number;
 	readonly result: Result;
-	/** Share of prompt tokens found cached, and the share that an all-knowing router would have found. */
+	/** Share of prompt tokens that was found cached, and the share that an ideal router would have found. */
 	readonly cached: number;
 	readonly reusable: number;
-	/** Prompt and answer tokens a second that were asked for. */
+	/** Requested prompt and answer tokens per second. */
 	readonly offered: number;
 };
 
-export type Plan = {
+export type ComparisonPlan = {
 	readonly seeds: readonly number[];
 	readonly policies: readonly Policy[];
 	/** Real milliseconds of each run. */
@@ -33,18 +33,19 @@
 };
 
 const millisecondsPerSecond = 1000;
-export const loads: Readonly<Record<RunKind, number>> = {mixed: 0.7, alone: 0.7, overload: 1.3};
+/** Load of each kind of run, as a share of the capacity. */
+export const loadFactors: Readonly<Record<RunKind, number>> = {mixed: 0.7, alone: 0.7, overload: 1.3};
 
-/** Length of each kind of run, as a share of the plan's duration. */
-const lengths: Readonly<Record<RunKind, number>> = {mixed: 1, alone: 0.5, overload: 2.5};
+/** Duration of each kind of run, as a share of the plan's duration. */
+const durationFactors: Readonly<Record<RunKind, number>> = {mixed: 1, alone: 0.5, overload: 2.5};
 
-/** Short enough, in real milliseconds, that the queue of an overload run cannot hold all that is too much. */
-const overloadTimeout = 5000;
+/** In real time; so short that the queue cannot absorb the whole excess load of an overload run. */
+const overloadTimeoutMs = 5000;
 
-/** Told of each run when it is over. */
-export type Progress = (run: Run) => void;
+/** Called after each run. */
+export type RunListener = (run: Run) => void;
 
-function offeredPerSecond(trace: readonly Planned[], {warmUp, duration}: Scenario): number {
+function calculateOfferedRate(trace: readonly Planned[], {warmUp, duration}: Scenario): number {
 	let tokens = 0;
 	for (const {at, promptTokens, output} of trace) {
 		tokens += at < warmUp ? 0 : promptTokens + output;
@@ -56,23 +57,23 @@
 class Experiment {
 	readonly #deployment: Deployment;
 	readonly #fleet: Fleet;
-	readonly #plan: Plan;
-	readonly #progress: Progress;
+	readonly #plan: ComparisonPlan;
+	readonly #onRun: RunListener;
 	readonly #runs: Run[] = [];
 
-	constructor(deployment: Deployment, fleet: Fleet, plan: Plan, progress: Progress) {
+	constructor(deployment: Deployment, fleet: Fleet, plan: ComparisonPlan, onRun: RunListener) {
 		this.#deployment = deployment;
 		this.#fleet = fleet;
 		this.#plan = plan;
-		this.#progress = progress;
+		this.#onRun = onRun;
 	}
 
-	/** Every policy for each seed, each time beginning with another one. */
+	/** Runs every policy for each seed, beginning with a different policy each time. */
 	async run(): Promise<readonly Run[]> {
 		const {seeds, policies: compared} = this.#plan;
-		for (const [place, seed] of seeds.entries()) {
-			const turn = place % compared.length;
-			for (const policy of [...compared.slice(turn), ...compared.slice(0, turn)]) {
+		for (const [seedIndex, seed] of seeds.entries()) {
+			const offset = seedIndex % compared.length;
+			for (const policy of [...compared.slice(offset), ...compared.slice(0, offset)]) {
 				await switchPolicy(this.#fleet, policy);
 				await this.#measure(policy, 'alone', seed);
 				await this.#measure(policy, 'mixed', seed);
@@ -89,16 +90,16 @@
 		const variation: Variation = {
 			seed,
 			textSeed: this.#runs.length,
-			load: loads[kind],
-			duration: this.#plan.duration * lengths[kind],
-			...(kind === 'alone' && {only: 'short'}),
-			...(kind === 'overload' && {timeout: overloadTimeout}),
+			load: loadFactors[kind],
+			duration: this.#plan.duration * durationFactors[kind],
+			...(kind === 'alone' && {onlyClass: 'short'}),
+			...(kind === 'overload' && {timeout: overloadTimeoutMs}),
 		};
-		const scenario = scenarioSchema.parse(scenarioFor(this.#deployment, this.#fleet.hosts.alive.map(host => host.caller), variation));
+		const scenario = scenarioSchema.parse(buildScenario(this.#deployment, this.#fleet.hosts.alive.map(host => host.caller), variation));
 		const trace = planTrace(scenario);
-		const before = await cacheUse(this.#fleet);
+		const before = await readCacheUse(this.#fleet);
 		const result = await runLoadProcess(scenario);
-		const after = await cacheUse(this.#fleet);
+		const after = await readCacheUse(this.#fleet);
 		const run: Run = {
 			policy,
 			kind,
@@ -106,22 +107,22 @@
 			result,
 			cached: (after.cached - before.cached) / Math.max(after.prompt - before.prompt, 1),
 			reusable: reusableShare(trace),
-			offered: offeredPerSecond(trace, scenario),
+			offered: calculateOfferedRate(trace, scenario),
 		};
 		this.#runs.push(run);
-		this.#progress(run);
+		this.#onRun(run);
 	}
 }
 
 /**
- * @param deployment - Deployment.
- * @param plan - Seeds and policies.
- * @param progress - Told of each run.
+ * Starts a fleet and compares policies on it.
+ *
+ * @param onRun - Called after each run.
  * @returns Every run.
  */
-export async function compare(deployment: Deployment, plan: Plan, progress: Progress): Promise<readonly Run[]> {
+export async function comparePolicies(deployment: Deployment, plan: ComparisonPlan, onRun: RunListener): Promise<readonly Run[]> {
 	await using fleet = await Fleet.start(deployment.shape);
-	const experiment = new Experiment(deployment, fleet, plan, progress);
+	const experiment = new Experiment(deployment, fleet, plan, onRun);
 	const runs = await experiment.run();
 	return runs;
 }
--- a/bench/experiments/fit.ts
+++ b/bench/experiments/fit.ts
@@ -1,15 +1,15 @@
-/** Straight lines through measured points. */
+/** Fits straight lines to measured points. */
 
 export type Point = {readonly x: number; readonly y: number};
 
-export type Line = {
+export type FittedLine = {
 	readonly intercept: number;
 	readonly slope: number;
 	/** Root mean square distance of the points from the line. */
 	readonly residual: number;
 };
 
-function meanOf(values: readonly number[]): number {
+function calculateMean(values: readonly number[]): number {
 	let sum = 0;
 	for (const value of values) {
 		sum += value;
@@ -19,16 +19,17 @@
 }
 
 /**
- * @param points - Measured points, at least two with different x.
- * @returns The line of least squares.
+ * Fits a line by least squares.
+ *
+ * @param points - Measured points, at least two of them with different x.
  */
-export function fitLine(points: readonly Point[]): Line {
-	const meanX = meanOf(points.map(({x}) => x));
-	const meanY = meanOf(points.map(({y}) => y));
-	const covariance = meanOf(points.map(({x, y}) => (x - meanX) * (y - meanY)));
-	const variance = meanOf(points.map(({x}) => (x - meanX) ** 2));
+export function fitLine(points: readonly Point[]): FittedLine {
+	const meanX = calculateMean(points.map(({x}) => x));
+	const meanY = calculateMean(points.map(({y}) => y));
+	const covariance = calculateMean(points.map(({x, y}) => (x - meanX) * (y - meanY)));
+	const variance = calculateMean(points.map(({x}) => (x - meanX) ** 2));
 	const slope = covariance / variance;
 	const intercept = meanY - (slope * meanX);
-	const residual = Math.sqrt(meanOf(points.map(({x, y}) => (y - intercept - (slope * x)) ** 2)));
+	const residual = Math.sqrt(calculateMean(points.map(({x, y}) => (y - intercept - (slope * x)) ** 2)));
 	return {intercept, slope, residual};
 }
--- a/bench/experiments/load-process.ts
+++ b/bench/experiments/load-process.ts
@@ -1,4 +1,4 @@
-/** Runs the load tool as a process of its own, so that measuring and serving do not share a loop. */
+/** Runs the load tool in a separate process, so that it does not share an event loop with this one. */
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
 import path from 'node:path';
@@ -7,18 +7,19 @@
 import {type Result} from '../load/recorder.js';
 import {type ScenarioInput} from '../load/scenario.js';
 
-const program = path.join(import.meta.dirname, '../load/main.js');
+const loadProgram = path.join(import.meta.dirname, '../load/main.js');
 
 function isResult(value: unknown): value is Result {
 	return typeof value === 'object' && value !== null && 'classes' in value && 'outcomes' in value;
 }
 
 /**
- * @param scenario - Scenario.
- * @returns What the load tool measured.
+ * Runs the load tool with a scenario and returns its measurements.
+ *
+ * @throws Error if it prints no result.
  */
 export async function runLoadProcess(scenario: ScenarioInput): Promise<Result> {
-	const child = spawn(process.execPath, ['--no-deprecation', program, '-'], {stdio: 'pipe'});
+	const child = spawn(process.execPath, ['--no-deprecation', loadProgram, '-'], {stdio: 'pipe'});
 	const exit = once(child, 'exit');
 	child.stdin.end(JSON.stringify(scenario));
 	const [output, errors] = await Promise.all([text(child.stdout), text(child.stderr), exit]);
--- a/bench/experiments/main.ts
+++ b/bench/experiments/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run bench -- qalamkar eau-saine`: compares routing policies and writes JSON and a markdown table. */
+/** `npm run bench -- qalamkar eau-saine`: compares routing policies and writes JSON and Markdown tables. */
 import {mkdir, writeFile} from 'node:fs/promises';
 import path from 'node:path';
 import process from 'node:process';
@@ -8,11 +8,11 @@
 import {policySchema, type Policy} from '../../src/core/index.js';
 import {endWithChildren} from '../fleet/child.js';
 import {measureCapacity} from './capacity.js';
-import {compare, policies, type Run} from './experiment.js';
+import {comparePolicies, policies, type Run} from './experiment.js';
 import {deployments, type Deployment} from './scenarios.js';
-import {axes, measureSlope, slopeTable} from './slopes.js';
+import {axes, measureSlope, formatSlope} from './slopes.js';
 import {summarise} from './summary.js';
-import {tableOf} from './table.js';
+import {formatSummary} from './table.js';
 
 type Flags = {
 	readonly seeds: number;
@@ -21,16 +21,16 @@
 	readonly policies: readonly Policy[];
 };
 
-function policyList(text: string): readonly Policy[] {
+function parsePolicies(text: string): readonly Policy[] {
 	const parsed = policySchema.array().min(1).safeParse(text.split(','));
 	if (!parsed.success) {
-		throw new InvalidArgumentError(`policies are ${policySchema.options.join(', ')}`);
+		throw new InvalidArgumentError(`expected one or more of ${policySchema.options.join(', ')}`);
 	}
 
 	return parsed.data;
 }
 
-function find(name: string): Deployment {
+function findDeployment(name: string): Deployment {
 	const found = deployments.find(each => each.name === name);
 	if (found === undefined) {
 		throw new InvalidArgumentError(`no deployment ${name}`);
@@ -39,39 +39,39 @@
 	return found;
 }
 
-function tell({policy, kind, seed, result}: Run): void {
+function printRun({policy, kind, seed, result}: Run): void {
 	const p95 = Object.entries(result.classes).map(([name, each]) => `${name} ${each.firstToken.p95.toFixed(0)} ms`).join(', ');
 	process.stderr.write(`seed ${seed} ${policy} ${kind}: ${result.sent} sent, ${JSON.stringify(result.outcomes)}, first token p95 ${p95}, sending lag p99 ${result.sendingLag.p99.toFixed(0)} ms\n`);
 }
 
-async function runOne(deployment: Deployment, {seeds, duration, out, policies: compared}: Flags): Promise<void> {
+async function runComparison(deployment: Deployment, {seeds, duration, out, policies: compared}: Flags): Promise<void> {
 	const plan = {seeds: Array.from({length: seeds}, (_, index) => index + 1), policies: compared, duration};
-	const runs = await compare(deployment, plan, tell);
+	const runs = await comparePolicies(deployment, plan, printRun);
 	const summary = summarise(deployment.name, runs);
-	const table = tableOf(summary);
+	const table = formatSummary(summary);
 	await mkdir(out, {recursive: true});
 	await writeFile(path.join(out, `${deployment.name}.json`), JSON.stringify({summary, runs}, undefined, '\t'));
 	await writeFile(path.join(out, `${deployment.name}.md`), table);
 	process.stdout.write(table);
 }
 
-const command = new Command('bench').description('Experiments on a whole fleet of this machine\'s processes.');
+const command = new Command('bench').description('Run experiments on a whole fleet of local processes.');
 command.command('compare', {isDefault: true})
 	.description('compare routing policies in alternation')
 	.argument('[deployments...]', 'qalamkar, eau-saine; both if absent')
 	.option('--seeds <count>', 'runs of each kind', wholeNumber, 5)
 	.option('--duration <ms>', 'real milliseconds of each run', wholeNumber, 12_000)
-	.option('--policies <list>', 'policies to compare, with commas', policyList, policies)
+	.option('--policies <list>', 'policies to compare, separated by commas', parsePolicies, policies)
 	.option('--out <directory>', 'where results go', 'bench/results')
 	.addHelpText('after', '\nExample:\n  npm run bench -- qalamkar --seeds 5')
 	.action(async (names: readonly string[], flags: Flags) => {
-		const chosen = names.length === 0 ? deployments : names.map(name => find(name));
+		const chosen = names.length === 0 ? deployments : names.map(name => findDeployment(name));
 		for (const deployment of chosen) {
-			await runOne(deployment, flags);
+			await runComparison(deployment, flags);
 		}
 	});
 command.command('capacity')
-	.description('measure the requests a second that a deployment\'s engines can just serve')
+	.description('measure how many requests a second a deployment\'s engines can serve')
 	.addHelpText('after', '\nExample:\n  npm run bench -- capacity')
 	.action(async () => {
 		for (const deployment of deployments) {
@@ -92,7 +92,7 @@
 				process.stderr.write(`${axis} ${size}: ${JSON.stringify(cost)}\n`);
 			});
 			await writeFile(path.join(out, `slope-${axis}.json`), JSON.stringify(slope, undefined, '\t'));
-			process.stdout.write(`${slopeTable(slope)}\n`);
+			process.stdout.write(`${formatSlope(slope)}\n`);
 		}
 	});
 endWithChildren();
--- a/bench/experiments/scenarios.ts
+++ b/bench/experiments/scenarios.ts
@@ -1,11 +1,11 @@
 /**
- * The two deployments at today's sizes. Engines run `timeScale` times as fast as real ones; entry hosts run in real
- * time, so their reports are that many times older, in engine time, than in production.
+ * The two deployments and their load. Engines run `timeScale` times as fast as real ones but entry hosts run in real time,
+ * so that load reports are that many times older, in engine time, than in production.
  */
 import {type ShapeInput} from '../fleet/shape.js';
 import {type PromptClass, type ScenarioInput} from '../load/scenario.js';
 
-/** One deployment, and the load that it gets. */
+/** A deployment and its load. */
 export type Deployment = {
 	readonly name: string;
 	readonly shape: ShapeInput;
@@ -13,8 +13,9 @@
 	readonly service: string;
 	readonly classes: readonly PromptClass[];
 	readonly organisations: ReadonlyArray<{readonly id: string; readonly weight: number}>;
-	/** Requests a real second that the engines can just serve, as `npm run bench -- capacity` measures it. */
+	/** Requests per real second that the engines can serve, as printed by `npm run bench -- capacity`. */
 	readonly capacity: number;
+	/** Timeout of each request in real milliseconds. */
 	readonly timeout: number;
 };
 
@@ -31,16 +32,17 @@
 	answer: {least: 512, most: 512},
 } as const;
 
-const few = {large: [8, 6, 4], small: 7} as const;
+/** Weights of the large organisations, and the number of small ones with weight 1. */
+const organisationMix = {large: [8, 6, 4], small: 7} as const;
 
-function organisations(): Deployment['organisations'] {
+function buildOrganisations(): Deployment['organisations'] {
 	return [
-		...few.large.map((weight, index) => ({id: `large-${index + 1}`, weight})),
-		...Array.from({length: few.small}, (_, index) => ({id: `small-${index + 1}`, weight: 1})),
+		...organisationMix.large.map((weight, index) => ({id: `large-${index + 1}`, weight})),
+		...Array.from({length: organisationMix.small}, (_, index) => ({id: `small-${index + 1}`, weight: 1})),
 	];
 }
 
-function classes(shortWeight: number, middleWeight: number): readonly PromptClass[] {
+function buildClasses(shortWeight: number, middleWeight: number): readonly PromptClass[] {
 	return [
 		{
 			name: 'short',
@@ -67,8 +69,8 @@
 export const qalamkar: Deployment = {
 	name: 'qalamkar',
 	service: 'style-check',
-	classes: classes(80, 18),
-	organisations: organisations(),
+	classes: buildClasses(80, 18),
+	organisations: buildOrganisations(),
 	capacity: 94,
 	timeout: 15_000,
 	shape: {
@@ -85,15 +87,15 @@
 				kind: 'plain', id: 'reference', idempotent: true, deadline,
 			},
 		],
-		organisations: organisations().map(({id}) => ({id})),
+		organisations: buildOrganisations().map(({id}) => ({id})),
 	},
 };
 
 export const eauSaine: Deployment = {
 	name: 'eau-saine',
 	service: 'cranberrytide',
-	classes: classes(70, 28),
-	organisations: organisations(),
+	classes: buildClasses(70, 28),
+	organisations: buildOrganisations(),
 	capacity: 75,
 	timeout: 15_000,
 	shape: {
@@ -110,37 +112,36 @@
 				kind: 'plain', id: 'portal', idempotent: false, deadline,
 			},
 		],
-		organisations: organisations().map(({id}) => ({id})),
+		organisations: buildOrganisations().map(({id}) => ({id})),
 	},
 };
 
 export const deployments: readonly Deployment[] = [qalamkar, eauSaine];
 
-/** How one run differs from others of a deployment. */
+/** What varies between runs of one deployment. */
 export type Variation = {
 	readonly seed: number;
 	readonly textSeed: number;
-	/** Share of the capacity that is asked for. */
+	/** Load as a share of the capacity. */
 	readonly load: number;
 	/** Real milliseconds. */
 	readonly duration: number;
-	/** Real milliseconds that each request is given; the deployment's own if absent. */
+	/** Timeout of each request in real milliseconds; that of the deployment if absent. */
 	readonly timeout?: number;
-	/** Only prompts of this class, at the rate that they have in the whole mix. */
-	readonly only?: string;
+	/** Sends only prompts of this class, at the rate that they have in the whole mix. */
+	readonly onlyClass?: string;
 };
 
 /**
- * @param deployment - Deployment.
- * @param entries - Its entry hosts.
- * @param variation - What is special about the run.
- * @returns The load scenario of the run.
+ * Builds the load scenario of a run.
+ *
+ * @param entries - Addresses that receive the requests.
  */
-export function scenarioFor(deployment: Deployment, entries: ScenarioInput['entries'], variation: Variation): ScenarioInput {
-	const chosen = deployment.classes.filter(each => variation.only === undefined || each.name === variation.only);
-	const weightOf = (of: readonly PromptClass[]) => {
+export function buildScenario(deployment: Deployment, entries: ScenarioInput['entries'], variation: Variation): ScenarioInput {
+	const chosen = deployment.classes.filter(each => variation.onlyClass === undefined || each.name === variation.onlyClass);
+	const sumWeights = (promptClasses: readonly PromptClass[]) => {
 		let sum = 0;
-		for (const {weight} of of) {
+		for (const {weight} of promptClasses) {
 			sum += weight;
 		}
 
@@ -152,7 +153,7 @@
 		textSeed: variation.textSeed,
 		entries,
 		service: deployment.service,
-		rate: deployment.capacity * variation.load * weightOf(chosen) / weightOf(deployment.classes),
+		rate: deployment.capacity * variation.load * sumWeights(chosen) / sumWeights(deployment.classes),
 		duration: variation.duration,
 		warmUp: variation.duration / 5,
 		timeout: variation.timeout ?? deployment.timeout,
--- a/bench/experiments/statistics.ts
+++ b/bench/experiments/statistics.ts
@@ -1,4 +1,4 @@
-/** Medians and spread over seeds. */
+/** Median and range of values over seeds. */
 
 export type Spread = {
 	readonly median: number;
@@ -8,10 +8,9 @@
 };
 
 /**
- * @param values - Measured values.
- * @returns Their median, least and most; all 0 where there are none.
+ * Calculates the median, the least and the greatest of some values; all are 0 if there are none.
  */
-export function spreadOf(values: readonly number[]): Spread {
+export function calculateSpread(values: readonly number[]): Spread {
 	const sorted = values.toSorted((first, second) => first - second);
 	const middle = sorted.length / 2;
 	const median = sorted.length % 2 === 1
--- a/bench/fleet/child.ts
+++ b/bench/fleet/child.ts
@@ -1,4 +1,4 @@
-/** One process of a fleet, addressed only by its own process id. */
+/** A child process of a fleet. Signals go to its process id only, never to a process group or a name. */
 import {spawn, type ChildProcessWithoutNullStreams} from 'node:child_process';
 import {once} from 'node:events';
 import {existsSync} from 'node:fs';
@@ -7,30 +7,31 @@
 import {createInterface} from 'node:readline';
 import {z} from 'zod';
 
-const lineSchema = z.record(z.string(), z.unknown());
+const logLineSchema = z.record(z.string(), z.unknown());
 
-/** A line of JSON that a process prints. */
-export type Line = Readonly<z.infer<typeof lineSchema>>;
+/** A line of JSON on the standard output of a process. */
+export type LogLine = Readonly<z.infer<typeof logLineSchema>>;
 
-export type Launch = {
+export type ChildOptions = {
 	readonly name: string;
-	/** Compiled program below `dist/`. */
+	/** Path of the compiled program below `dist/`. */
 	readonly program: string;
 	readonly settings: string;
-	/** Module loaded before the program, below `dist/`. */
+	/** Path below `dist/` of a module that is loaded before the program. */
 	readonly preload?: string;
 	readonly environment?: Readonly<Record<string, string>>;
-	/** The value of `event` in the line that says that it is up. */
+	/** Value of `event` in the line that the process prints once it is ready. */
 	readonly readyEvent: string;
+	/** Whether lines are also kept once the process is ready. */
 	readonly keepsLog: boolean;
 };
 
-const mostLines = 100_000;
-const startTimeout = 20_000;
-const stopTimeout = 5000;
+const maxLines = 100_000;
+const startTimeoutMs = 20_000;
+const stopTimeoutMs = 5000;
 
-/** The project's root, from sources as well as from compiled files. */
-function findRoot(): string {
+/** Finds the project's root, from the sources as well as from `dist/`. */
+function findProjectRoot(): string {
 	let directory = import.meta.dirname;
 	while (!existsSync(path.join(directory, 'package.json'))) {
 		directory = path.dirname(directory);
@@ -39,26 +40,26 @@
 	return directory;
 }
 
-const compiled = path.join(findRoot(), 'dist');
+const compiledDirectory = path.join(findProjectRoot(), 'dist');
 
-function parseLine(text: string): Line | undefined {
+function parseLine(text: string): LogLine | undefined {
 	try {
-		return lineSchema.safeParse(JSON.parse(text)).data;
+		return logLineSchema.safeParse(JSON.parse(text)).data;
 	} catch {
 		return undefined;
 	}
 }
 
-/** Processes that run, to be ended with this one. */
-const running = new Set<ChildProcessWithoutNullStreams>();
+/** Child processes to kill when this process exits. */
+const runningProcesses = new Set<ChildProcessWithoutNullStreams>();
 
 process.once('exit', () => {
-	for (const each of running) {
+	for (const each of runningProcesses) {
 		each.kill('SIGKILL');
 	}
 });
 
-/** Lets SIGTERM and SIGINT end this process in a way that ends its children too. */
+/** Exits on SIGTERM and SIGINT, so that the exit handler kills the child processes; the default handling of signals wouldn't run it. */
 export function endWithChildren(): void {
 	for (const [signal, code] of [['SIGTERM', 143], ['SIGINT', 130]] as const) {
 		process.once(signal, () => {
@@ -69,15 +70,14 @@
 
 export class Child implements AsyncDisposable {
 	/**
-	 * Starts a process and waits until it says that it is up.
+	 * Starts a process and waits until it is ready.
 	 *
-	 * @param launch - What to start.
-	 * @returns The process.
+	 * @throws Error if the process exits or doesn't become ready in time.
 	 */
-	static async start(launch: Launch): Promise<Child> {
-		const child = new Child(launch);
+	static async start(options: ChildOptions): Promise<Child> {
+		const child = new Child(options);
 		try {
-			await child.#awaitReady();
+			await child.#waitUntilReady();
 		} catch (error) {
 			await child[Symbol.asyncDispose]();
 			throw error;
@@ -86,36 +86,36 @@
 		return child;
 	}
 
-	readonly #launch: Launch;
+	readonly #options: ChildOptions;
 	readonly #process: ChildProcessWithoutNullStreams;
-	readonly #lines: Line[] = [];
+	readonly #lines: LogLine[] = [];
 	readonly #exit: Promise<unknown>;
-	#errors = '';
-	#ready: Line | undefined;
+	#errorOutput = '';
+	#readyLine: LogLine | undefined;
 
-	private constructor(launch: Launch) {
-		this.#launch = launch;
-		const preload = launch.preload === undefined ? [] : ['--import', path.join(compiled, launch.preload)];
+	private constructor(options: ChildOptions) {
+		this.#options = options;
+		const preload = options.preload === undefined ? [] : ['--import', path.join(compiledDirectory, options.preload)];
 		this.#process = spawn(
 			process.execPath,
-			['--no-deprecation', ...preload, path.join(compiled, launch.program), '--settings', launch.settings],
-			{stdio: 'pipe', env: {...process.env, ...launch.environment}},
+			['--no-deprecation', ...preload, path.join(compiledDirectory, options.program), '--settings', options.settings],
+			{stdio: 'pipe', env: {...process.env, ...options.environment}},
 		);
-		running.add(this.#process);
+		runningProcesses.add(this.#process);
 		this.#process.once('exit', () => {
-			running.delete(this.#process);
+			runningProcesses.delete(this.#process);
 		});
 		this.#exit = once(this.#process, 'exit');
 		this.#process.stderr.on('data', chunk => {
-			this.#errors = (this.#errors + String(chunk)).slice(-mostLines);
+			this.#errorOutput = (this.#errorOutput + String(chunk)).slice(-maxLines);
 		});
 		createInterface({input: this.#process.stdout}).on('line', text => {
-			this.#take(text);
+			this.#handleLine(text);
 		});
 	}
 
 	get name(): string {
-		return this.#launch.name;
+		return this.#options.name;
 	}
 
 	/** Process id. */
@@ -127,22 +127,22 @@
 		return this.#process.exitCode === null && this.#process.signalCode === null;
 	}
 
-	/** The line that said it was up. */
-	get ready(): Line {
-		return this.#ready ?? {};
+	/** The line that the process printed when it became ready. */
+	get ready(): LogLine {
+		return this.#readyLine ?? {};
 	}
 
-	/** Lines kept since the start, oldest first; the first ones are lost beyond a bound. */
-	get lines(): readonly Line[] {
+	/** Lines since the start, oldest first; the oldest are dropped beyond a limit. */
+	get lines(): readonly LogLine[] {
 		return this.#lines;
 	}
 
-	/** The end of what it wrote to its standard error. */
-	get errors(): string {
-		return this.#errors;
+	/** The last part of the standard error output. */
+	get errorOutput(): string {
+		return this.#errorOutput;
 	}
 
-	/** Ends it at once, as a crash does. */
+	/** Kills the process at once, as a crash would. */
 	async kill(): Promise<void> {
 		if (this.isAlive) {
 			this.#process.kill('SIGKILL');
@@ -150,7 +150,7 @@
 		}
 	}
 
-	/** Stops its clock until {@link resume}. */
+	/** Suspends the process until {@link resume}. */
 	pause(): void {
 		this.#process.kill('SIGSTOP');
 	}
@@ -159,7 +159,11 @@
 		this.#process.kill('SIGCONT');
 	}
 
-	/** Asks it to stop, and waits until it has. */
+	/**
+	 * Asks the process to stop and waits until it exits.
+	 *
+	 * @returns Its exit code; absent if a signal ended it.
+	 */
 	async stop(): Promise<number | undefined> {
 		if (this.isAlive) {
 			this.#process.kill('SIGTERM');
@@ -172,15 +176,15 @@
 	async [Symbol.asyncDispose](): Promise<void> {
 		const timer = setTimeout(() => {
 			this.#process.kill('SIGKILL');
-		}, stopTimeout);
+		}, stopTimeoutMs);
 		this.resume();
 		await this.stop();
 		clearTimeout(timer);
 	}
 
-	/** Lines are parsed until the process is up, and after that only where they are kept. */
-	#take(text: string): void {
-		if (this.#ready !== undefined && !this.#launch.keepsLog) {
+	/** Parses lines until the process is ready, and later lines only if they are kept. */
+	#handleLine(text: string): void {
+		if (this.#readyLine !== undefined && !this.#options.keepsLog) {
 			return;
 		}
 
@@ -189,22 +193,22 @@
 			return;
 		}
 
-		if (line.event === this.#launch.readyEvent && this.#ready === undefined) {
-			this.#ready = line;
+		if (line.event === this.#options.readyEvent && this.#readyLine === undefined) {
+			this.#readyLine = line;
 			this.#process.emit('ready');
 		}
 
 		this.#lines.push(line);
-		if (this.#lines.length > mostLines) {
-			this.#lines.splice(0, mostLines / 2);
+		if (this.#lines.length > maxLines) {
+			this.#lines.splice(0, maxLines / 2);
 		}
 	}
 
-	async #awaitReady(): Promise<void> {
-		const signal = AbortSignal.timeout(startTimeout);
+	async #waitUntilReady(): Promise<void> {
+		const signal = AbortSignal.timeout(startTimeoutMs);
 		await Promise.race([once(this.#process, 'ready', {signal}), this.#exit]);
-		if (this.#ready === undefined) {
-			throw new Error(`${this.name} did not start: ${this.#errors}${JSON.stringify(this.#lines.at(-1) ?? {})}`);
+		if (this.#readyLine === undefined) {
+			throw new Error(`${this.name} did not start: ${this.#errorOutput}${JSON.stringify(this.#lines.at(-1) ?? {})}`);
 		}
 	}
 }
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on one machine: stand-ins, fault proxy and entry hosts, for tests, the demo and benchmarks. */
+/** Runs a whole fleet on one machine (stand-ins, fault proxy and entry hosts), for tests, the demo and benchmarks. */
 import {
 	configurationSchema, type Address, type Configuration,
 } from '../../src/core/index.js';
@@ -6,35 +6,39 @@
 import {type Control as PlatformControl} from '../../stand-ins/platform/control.js';
 import {type Fault as ProxyFault} from '../../stand-ins/proxy/faults.js';
 import {FaultProxy, settingsSchema as proxySettings} from '../../stand-ins/proxy/service.js';
-import {settingsSchema as weightSettings, WeightStoreService} from '../../stand-ins/weights/service.js';
-import {documentOf, enginesOf, plainsOf} from './document.js';
+import {settingsSchema as weightStoreSettings, WeightStoreService} from '../../stand-ins/weights/service.js';
+import {buildDocument, listEngines, listPlainServices} from './document.js';
 import {HostGroup} from './hosts.js';
 import {
-	hostsOf, shapeSchema, type Shape, type ShapeInput,
+	listHosts, fleetShapeSchema, type FleetShape, type ShapeInput,
 } from './shape.js';
 import {Upstreams} from './upstreams.js';
 
-type Parts = {
+type FleetServices = {
 	readonly platform: PlatformService;
 	readonly weights: WeightStoreService | undefined;
 	readonly proxy: FaultProxy | undefined;
 	readonly upstreams: Upstreams;
 };
 
-/** Opens one proxied link for each upstream. */
-async function proxied(shape: Shape, proxy: FaultProxy, real: ReadonlyMap<string, Address>): Promise<ReadonlyMap<string, Address>> {
+/** Opens a link through the fault proxy to each upstream; returns the addresses of the links by upstream id. */
+async function openProxyLinks(
+	shape: FleetShape,
+	proxy: FaultProxy,
+	targets: ReadonlyMap<string, Address>,
+): Promise<ReadonlyMap<string, Address>> {
 	const addresses = new Map<string, Address>();
-	for (const {id, domain} of [...enginesOf(shape), ...plainsOf(shape)]) {
-		addresses.set(id, await proxy.open({name: id, domain, target: real.get(id)}));
+	for (const {id, domain} of [...listEngines(shape), ...listPlainServices(shape)]) {
+		addresses.set(id, await proxy.open({name: id, domain, target: targets.get(id)}));
 	}
 
 	return addresses;
 }
 
-async function startParts(shape: Shape): Promise<Parts> {
+async function startServices(shape: FleetShape): Promise<FleetServices> {
 	const weights = shape.loadsPerSecond === undefined
 		? undefined
-		: await WeightStoreService.start(weightSettings.parse({loadsPerSecond: shape.loadsPerSecond}));
+		: await WeightStoreService.start(weightStoreSettings.parse({loadsPerSecond: shape.loadsPerSecond}));
 	return {
 		weights,
 		platform: await PlatformService.start(platformSettings.parse({hostLag: shape.hostLag})),
@@ -45,15 +49,14 @@
 
 export class Fleet implements AsyncDisposable {
 	/**
-	 * Starts everything and waits until every host is ready.
+	 * Starts every process and waits until every host is ready.
 	 *
 	 * @param input - Description of the fleet.
-	 * @returns The fleet.
 	 */
 	static async start(input: ShapeInput): Promise<Fleet> {
-		const shape = shapeSchema.parse(input);
-		const parts = await startParts(shape);
-		const fleet = new Fleet(shape, parts);
+		const shape = fleetShapeSchema.parse(input);
+		const services = await startServices(shape);
+		const fleet = new Fleet(shape, services);
 		try {
 			await fleet.#startHosts();
 		} catch (error) {
@@ -64,14 +67,14 @@
 		return fleet;
 	}
 
-	readonly shape: Shape;
-	readonly #parts: Parts;
+	readonly shape: FleetShape;
+	readonly #services: FleetServices;
 	#hosts: HostGroup | undefined;
 	#configuration: Configuration | undefined;
 
-	private constructor(shape: Shape, parts: Parts) {
+	private constructor(shape: FleetShape, services: FleetServices) {
 		this.shape = shape;
-		this.#parts = parts;
+		this.#services = services;
 	}
 
 	get hosts(): HostGroup {
@@ -83,84 +86,84 @@
 	}
 
 	get upstreams(): Upstreams {
-		return this.#parts.upstreams;
+		return this.#services.upstreams;
 	}
 
-	/** The document published last. */
+	/** The document that was published last. */
 	get configuration(): Configuration {
 		if (this.#configuration === undefined) {
-			throw new TypeError('nothing was published');
+			throw new TypeError('no document was published');
 		}
 
 		return this.#configuration;
 	}
 
-	/** Calls that the platform counted. */
+	/** Numbers of calls that the platform received. */
 	get platformCalls() {
-		return this.#parts.platform.counts;
+		return this.#services.platform.counts;
 	}
 
-	/** The platform itself, past any proxy. */
+	/** Direct address of the platform, not through the fault proxy. */
 	get platformAddress(): Address {
-		return this.#parts.platform.addresses.address;
+		return this.#services.platform.addresses.address;
 	}
 
 	/**
 	 * Publishes a changed document under the next revision.
 	 *
-	 * @param change - Makes the next document from the present one.
-	 * @returns The revision.
+	 * @param change - Returns the next document for the current one.
+	 * @returns The new revision.
 	 */
 	async publish(change: (before: Configuration) => Configuration): Promise<number> {
 		const revision = this.configuration.revision + 1;
 		this.#configuration = configurationSchema.parse({...change(this.configuration), revision});
-		await this.#publishText(this.#configuration);
+		await this.#publishDocument(this.#configuration);
 		return revision;
 	}
 
-	/**
-	 * Does something to the platform.
-	 *
-	 * @param control - What to do.
-	 */
+	/** Applies a control command to the platform stand-in. */
 	async platform(control: PlatformControl): Promise<void> {
-		await this.#parts.platform.apply(control);
+		await this.#services.platform.apply(control);
 	}
 
 	/**
-	 * Switches a fault between processes on, or all off.
+	 * Switches a network fault on, or all of them off.
 	 *
-	 * @param fault - Fault; needs a proxied fleet.
+	 * @throws TypeError if the fleet has no fault proxy.
 	 */
 	fault(fault: ProxyFault): void {
-		if (this.#parts.proxy === undefined) {
+		if (this.#services.proxy === undefined) {
 			throw new TypeError('the fleet has no fault proxy');
 		}
 
-		this.#parts.proxy.apply(fault);
+		this.#services.proxy.apply(fault);
 	}
 
 	/**
-	 * Cuts groups of failure domains off from each other; the platform is a domain named `platform`.
+	 * Partitions the network between groups of failure domains; the platform is a domain named `platform`.
 	 *
-	 * @param groups - Failure domains that still reach each other.
+	 * @param groups - Failure domains that can still reach each other.
 	 */
 	partition(...groups: ReadonlyArray<readonly string[]>): void {
 		this.fault({type: 'partition', groups});
 	}
 
-	/** Ends every fault between processes. */
+	/** Ends every network fault. */
 	heal(): void {
 		this.fault({type: 'heal'});
 	}
 
-	/** Ends a host's process at once; the platform's list follows with its lag. */
+	/** Kills a host's process; the platform's host list follows after its lag. */
 	async killHost(id: string): Promise<void> {
 		await this.hosts.get(id).child.kill();
 		await this.publishHosts();
 	}
 
-	/** Asks a host to stop, as a planned stop does, and waits until it has. */
+	/**
+	 * Stops a host as in a planned stop and waits until it exits.
+	 *
+	 * @returns Its exit code; absent if a signal ended it.
+	 */
 	async stopHost(id: string): Promise<number | undefined> {
 		this.hosts.markLeaving(id);
 		await this.publishHosts();
@@ -169,38 +172,38 @@
 		return code;
 	}
 
-	/** Starts a host's process again after it ended. */
+	/** Starts a new process for a host, after killing the old one if it still runs. */
 	async replaceHost(id: string): Promise<void> {
 		await this.hosts.get(id).child.kill();
 		await this.hosts.launch(id);
 		await this.publishHosts();
 	}
 
-	/** Publishes the present hosts in the platform's list. */
+	/** Publishes the hosts that are alive in the platform's host list. */
 	async publishHosts(): Promise<void> {
-		await this.platform({type: 'hosts', hosts: this.hosts.list});
+		await this.platform({type: 'hosts', hosts: this.hosts.platformList});
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		const {proxy, platform, weights, upstreams} = this.#parts;
+		const {proxy, platform, weights, upstreams} = this.#services;
 		await this.#hosts?.[Symbol.asyncDispose]();
 		await Promise.all([proxy, platform, weights, upstreams].map(async each => each?.[Symbol.asyncDispose]()));
 	}
 
 	async #startHosts(): Promise<void> {
 		const {shape} = this;
-		const {platform, proxy, upstreams, weights} = this.#parts;
-		this.#configuration = documentOf(shape, {
-			upstreams: proxy === undefined ? upstreams.addresses : await proxied(shape, proxy, upstreams.addresses),
+		const {platform, proxy, upstreams, weights} = this.#services;
+		this.#configuration = buildDocument(shape, {
+			upstreams: proxy === undefined ? upstreams.addresses : await openProxyLinks(shape, proxy, upstreams.addresses),
 			weightStore: weights?.addresses.address,
 		}, 1);
-		await this.#publishText(this.#configuration);
+		await this.#publishDocument(this.#configuration);
 		this.#hosts = await HostGroup.start(shape, platform.addresses.address, proxy);
 		await this.publishHosts();
-		await this.hosts.ready(hostsOf(shape).map(host => host.id));
+		await this.hosts.ready(listHosts(shape).map(host => host.id));
 	}
 
-	async #publishText(document: Configuration): Promise<void> {
+	async #publishDocument(document: Configuration): Promise<void> {
 		await this.platform({type: 'publish', text: JSON.stringify(document), revision: document.revision});
 	}
 }
--- a/bench/fleet/hosts.ts
+++ b/bench/fleet/hosts.ts
@@ -9,8 +9,8 @@
 import {type Hosts as HostList} from '../../src/configuration-service/protocol.js';
 import {type FaultProxy} from '../../stand-ins/proxy/service.js';
 import {Child} from './child.js';
-import {freePorts, type Ports} from './ports.js';
-import {hostsOf, type Shape} from './shape.js';
+import {claimRandomPorts, type Ports} from './ports.js';
+import {listHosts, type FleetShape} from './shape.js';
 
 const addressSchema = z.object({host: z.string(), port: z.number()});
 const listeningSchema = z.object({
@@ -20,56 +20,55 @@
 	adminAddress: addressSchema.optional(),
 });
 
-/** An entry host that runs. */
+/** An entry host whose process was started. */
 export type Host = {
 	readonly id: string;
 	readonly domain: string;
 	readonly started: number;
 	readonly child: Child;
-	/** Where callers and operators reach it, past any proxy. */
+	/** Direct addresses for callers and operators, not through the fault proxy. */
 	readonly caller: Address;
 	readonly admin: Address | undefined;
-	/** What other hosts are told. */
+	/** Addresses that the host advertises to other hosts. */
 	readonly advertised: {readonly caller: Address; readonly peer: Address};
 	readonly isLeaving: boolean;
 };
 
-type Planned = ReturnType<typeof hostsOf>[number];
-type Links = {readonly caller: Address; readonly peer: Address; readonly platform: Address};
+type PlannedHost = ReturnType<typeof listHosts>[number];
+type HostLinks = {readonly caller: Address; readonly peer: Address; readonly platform: Address};
 
-const pollInterval = 20;
-const startTries = 5;
+const pollIntervalMs = 20;
+const maxStartAttempts = 5;
 const loopback = '127.0.0.1';
 
 export class HostGroup implements AsyncDisposable {
 	/**
-	 * @param shape - Fleet.
-	 * @param platform - Where the platform listens.
-	 * @param proxy - Fault proxy, if links lead through one.
-	 * @returns Its hosts, listening.
+	 * Starts the hosts of a fleet and waits until they listen.
+	 *
+	 * @param proxy - Fault proxy, if connections go through one.
 	 */
-	static async start(shape: Shape, platform: Address, proxy: FaultProxy | undefined): Promise<HostGroup> {
+	static async start(shape: FleetShape, platform: Address, proxy: FaultProxy | undefined): Promise<HostGroup> {
 		const directory = await mkdtemp(path.join(tmpdir(), 'fleet-'));
 		const group = new HostGroup(shape, platform, proxy, directory);
-		await Promise.all(hostsOf(shape).map(async planned => group.launch(planned.id)));
+		await Promise.all(listHosts(shape).map(async planned => group.launch(planned.id)));
 		return group;
 	}
 
-	readonly #shape: Shape;
+	readonly #shape: FleetShape;
 	readonly #platform: Address;
 	readonly #proxy: FaultProxy | undefined;
 	readonly #directory: string;
 	readonly #hosts = new Map<string, Host>();
-	readonly #links = new Map<string, Links>();
+	readonly #links = new Map<string, HostLinks>();
 
-	private constructor(shape: Shape, platform: Address, proxy: FaultProxy | undefined, directory: string) {
+	private constructor(shape: FleetShape, platform: Address, proxy: FaultProxy | undefined, directory: string) {
 		this.#shape = shape;
 		this.#platform = platform;
 		this.#proxy = proxy;
 		this.#directory = directory;
 	}
 
-	/** Hosts whose process was started and not replaced, also dead ones. */
+	/** The latest process of each host, dead ones included. */
 	get all(): readonly Host[] {
 		return [...this.#hosts.values()];
 	}
@@ -78,8 +77,8 @@
 		return this.all.filter(host => host.child.isAlive);
 	}
 
-	/** The list that the platform publishes. */
-	get list(): HostList['hosts'] {
+	/** The hosts that are alive, in the form of the platform's host list. */
+	get platformList(): HostList['hosts'] {
 		return this.alive.map(({id, domain, started, advertised, isLeaving}) => ({
 			id,
 			failureDomain: domain,
@@ -91,8 +90,9 @@
 	}
 
 	/**
-	 * @param id - Host.
-	 * @returns The host.
+	 * Returns a host by its id.
+	 *
+	 * @throws TypeError if no process was started for it.
 	 */
 	get(id: string): Host {
 		const host = this.#hosts.get(id);
@@ -104,33 +104,32 @@
 	}
 
 	/**
-	 * Starts a host's process, also again after it died.
+	 * Starts a host's process, for the first time or again after it died.
 	 *
-	 * @param id - Host.
-	 * @returns The host.
+	 * @throws TypeError if the fleet has no such host.
 	 */
 	async launch(id: string): Promise<Host> {
-		const planned = hostsOf(this.#shape).find(each => each.id === id);
+		const planned = listHosts(this.#shape).find(each => each.id === id);
 		if (planned === undefined) {
 			throw new TypeError(`no host ${id}`);
 		}
 
-		const links = await this.#linksOf(planned);
-		for (let tries = 1; ; tries++) {
-			const ports = await freePorts();
+		const links = await this.#openLinks(planned);
+		for (let attempt = 1; ; attempt++) {
+			const ports = await claimRandomPorts();
 			try {
 				const child = await this.#startProcess(planned, links, ports);
-				return this.#note(planned, child, ports);
+				return this.#addHost(planned, child, ports);
 			} catch (error) {
-				// Another process may have taken a port since it was found free.
-				if (tries === startTries || !String(error).includes(`"code":${codes.portInUse}`)) {
+				// Another process may have taken a port since it was found to be free.
+				if (attempt === maxStartAttempts || !String(error).includes(`"code":${codes.portInUse}`)) {
 					throw error;
 				}
 			}
 		}
 	}
 
-	/** Marks a host as leaving in the platform's list. */
+	/** Marks a host as leaving in the platform's host list. */
 	markLeaving(id: string): void {
 		this.#hosts.set(id, {...this.get(id), isLeaving: true});
 	}
@@ -139,16 +138,17 @@
 	 * Waits until hosts are ready for callers.
 	 *
 	 * @param ids - Hosts; all that are alive if absent.
+	 * @throws Error if one of them dies before it is ready.
 	 */
 	async ready(ids: readonly string[] = this.alive.map(host => host.id)): Promise<void> {
 		await Promise.all(ids.map(async id => {
 			const {caller, child} = this.get(id);
 			while (child.isAlive && !await isReady(caller)) {
-				await sleep(pollInterval);
+				await sleep(pollIntervalMs);
 			}
 
 			if (!child.isAlive) {
-				throw new Error(`${id} died: ${child.errors}`);
+				throw new Error(`${id} died: ${child.errorOutput}`);
 			}
 		}));
 	}
@@ -158,9 +158,9 @@
 		await rm(this.#directory, {recursive: true, force: true});
 	}
 
-	async #startProcess(planned: Planned, links: Links | undefined, ports: Ports): Promise<Child> {
+	async #startProcess(planned: PlannedHost, links: HostLinks | undefined, ports: Ports): Promise<Child> {
 		const file = path.join(this.#directory, `${planned.id}.json`);
-		await writeFile(file, JSON.stringify(this.#settingsOf(planned, links, ports)));
+		await writeFile(file, JSON.stringify(this.#buildSettings(planned, links, ports)));
 		return Child.start({
 			name: planned.id,
 			program: 'src/entry/main.js',
@@ -173,7 +173,7 @@
 		});
 	}
 
-	#settingsOf({id, domain}: Planned, links: Links | undefined, ports: Ports): unknown {
+	#buildSettings({id, domain}: PlannedHost, links: HostLinks | undefined, ports: Ports): unknown {
 		return {
 			statedPromptTokens: true,
 			drainGrace: 4000,
@@ -187,15 +187,15 @@
 		};
 	}
 
-	/** Links stay when a host is replaced, so that others reach the new process where the old one was. */
-	async #linksOf({id, domain, source}: Planned): Promise<Links | undefined> {
+	/** Returns the links of a host. They stay when it is replaced, so that others reach the new process at the old addresses. */
+	async #openLinks({id, domain, source}: PlannedHost): Promise<HostLinks | undefined> {
 		const proxy = this.#proxy;
 		if (proxy === undefined || this.#links.has(id)) {
 			return this.#links.get(id);
 		}
 
 		proxy.place(source, domain);
-		const links: Links = {
+		const links: HostLinks = {
 			caller: await proxy.open({name: `${id}-caller`, domain}),
 			peer: await proxy.open({name: `${id}-peer`, domain}),
 			platform: await proxy.open({name: `${id}-platform`, domain: 'platform', target: this.#platform}),
@@ -204,7 +204,7 @@
 		return links;
 	}
 
-	#note({id, domain}: Planned, child: Child, ports: Ports): Host {
+	#addHost({id, domain}: PlannedHost, child: Child, ports: Ports): Host {
 		const {started, callerAddress, peerAddress, adminAddress} = listeningSchema.parse(child.ready);
 		const caller = {host: loopback, port: ports.caller};
 		this.#proxy?.retarget(`${id}-caller`, caller);
--- a/bench/fleet/ports.ts
+++ b/bench/fleet/ports.ts
@@ -1,4 +1,4 @@
-/** Ports for processes that must be told theirs before they start. */
+/** Picks free ports for processes that need their port before they start. */
 import {randomInt} from 'node:crypto';
 import {once} from 'node:events';
 import {
@@ -14,12 +14,15 @@
 	readonly peer: number;
 };
 
-/** Below the ports that systems give to outgoing connections, which could take one before its process starts. */
-const least = 10_000;
-const most = 16_000;
+/**
+ * Range of random ports, the upper end excluded. It lies below the ephemeral port range: an outgoing connection could
+ * otherwise take a port before its process listens on it.
+ */
+const minPort = 10_000;
+const maxPort = 16_000;
 
-/** Files named by ports, each with the process that has taken it: test runs on one machine draw from the same ranges. */
-const claims = path.join(tmpdir(), 'cranberrytide-ports');
+/** Holds a file for each claimed port with the id of its process, since test runs on one machine use the same ranges. */
+const claimDirectory = path.join(tmpdir(), 'cranberrytide-ports');
 
 function isRunning(pid: number): boolean {
 	try {
@@ -30,33 +33,31 @@
 	}
 }
 
-/** The process that has claimed a port, if it runs. */
-function ownerOf(file: string): number | undefined {
+/** Returns the id of the process that claimed a port, if it still runs. */
+function findOwner(file: string): number | undefined {
 	try {
 		const owner = Number(readFileSync(file, 'utf8'));
 		return owner > 0 && isRunning(owner) ? owner : undefined;
 	} catch {
-		// Nobody has claimed it.
+		// The port is not claimed.
 		return undefined;
 	}
 }
 
 /**
- * Takes a port for a process, until it ends.
+ * Claims a port for a process until the process ends.
  *
- * @param port - Port.
- * @param pid - The process.
- * @returns Whether no other running process has it.
+ * @returns Whether the process has the port now; false if another running process claimed it.
  */
 export function claimPort(port: number, pid = process.pid): boolean {
-	mkdirSync(claims, {recursive: true});
-	const file = path.join(claims, String(port));
-	const owner = ownerOf(file);
+	mkdirSync(claimDirectory, {recursive: true});
+	const file = path.join(claimDirectory, String(port));
+	const owner = findOwner(file);
 	if (owner !== undefined) {
 		return owner === pid;
 	}
 
-	// The claim appears with its owner in it: an empty file would look like nobody's.
+	// The claim is linked into place with its content, as an empty file would look like a port without an owner.
 	const draft = `${file}.${process.pid}`;
 	writeFileSync(draft, String(pid));
 	rmSync(file, {force: true});
@@ -64,18 +65,15 @@
 		linkSync(draft, file);
 		return true;
 	} catch {
-		// Another process was quicker.
+		// Another process claimed the port at the same time.
 		return false;
 	} finally {
 		rmSync(draft);
 	}
 }
 
-/**
- * @param port - Port on loopback.
- * @returns Whether nothing listens there.
- */
-export async function isFree(port: number): Promise<boolean> {
+/** Returns whether nothing listens on a loopback port. */
+export async function isPortFree(port: number): Promise<boolean> {
 	const server = createServer();
 	try {
 		server.listen(port, '127.0.0.1');
@@ -90,39 +88,35 @@
 	return true;
 }
 
-async function freePort(): Promise<number> {
-	let port = randomInt(least, most);
-	while (!claimPort(port) || !await isFree(port)) {
-		port = randomInt(least, most);
+async function claimRandomPort(): Promise<number> {
+	let port = randomInt(minPort, maxPort);
+	while (!claimPort(port) || !await isPortFree(port)) {
+		port = randomInt(minPort, maxPort);
 	}
 
 	return port;
 }
 
-/**
- * @returns Two ports that were free just now.
- */
-export async function freePorts(): Promise<Ports> {
-	return {caller: await freePort(), peer: await freePort()};
+/** Claims two ports that are free at the moment. */
+export async function claimRandomPorts(): Promise<Ports> {
+	return {caller: await claimRandomPort(), peer: await claimRandomPort()};
 }
 
 /**
- * Ports of this worker of the test run, below those that connections take: two workers that draw from one range sometimes
- * draw the same port while neither of their processes listens yet.
+ * Start of the ranges of test workers, also below the ephemeral ports. Each worker has a range of its own: two workers that
+ * share one sometimes pick the same port while neither of their processes listens yet.
  */
-const firstPort = 16_000;
-const portsOfWorker = 1500;
-let nextPort = 0;
+const firstWorkerPort = 16_000;
+const portsPerWorker = 1500;
+let nextPortOffset = 0;
 
-/**
- * @returns A port that was free just now and that no other running process was given.
- */
+/** Claims a port of this test worker's range that is free at the moment. */
 export async function takePort(): Promise<number> {
 	const worker = Number(process.env.VITEST_POOL_ID ?? 0) % 10;
 	for (;;) {
-		const port = firstPort + (worker * portsOfWorker) + (nextPort % portsOfWorker);
-		nextPort++;
-		if (claimPort(port) && await isFree(port)) {
+		const port = firstWorkerPort + (worker * portsPerWorker) + (nextPortOffset % portsPerWorker);
+		nextPortOffset++;
+		if (claimPort(port) && await isPortFree(port)) {
 			return port;
 		}
 	}
--- a/bench/fleet/shape.ts
+++ b/bench/fleet/shape.ts
@@ -1,4 +1,4 @@
-/** A compact description of a fleet, from which its processes and its configuration document are made. */
+/** Compact description of a fleet, from which its processes and its configuration document are derived. */
 import {z} from 'zod';
 import {
 	modelServiceSchema, organisationSchema, plainServiceSchema, stopRuleSchema,
@@ -7,7 +7,7 @@
 
 const count = z.number().int().nonnegative();
 
-/** Engines of one service; their settings are those of the stand-in, in engine time. */
+/** Engines of one service, with the settings of the engine stand-in in engine time. */
 const engineGroupSchema = z.object({
 	service: z.string(),
 	perDomain: count,
@@ -15,31 +15,31 @@
 	version: z.string().default('1'),
 }).readonly();
 
-const plainGroupSchema = z.object({
+const plainServiceGroupSchema = z.object({
 	service: z.string(),
 	perDomain: count,
-	/** Real milliseconds that each call takes. */
+	/** Duration of each call in real milliseconds. */
 	duration: z.number().nonnegative().default(2),
 }).readonly();
 
-export const shapeSchema = z.object({
+export const fleetShapeSchema = z.object({
 	seed: z.number().int().default(1),
-	/** How many times faster than real time engines run. */
+	/** Engine time per real time: engines run this many times as fast as real ones. */
 	timeScale: z.number().positive().default(1),
-	/** Whether every link between failure domains and to the platform leads through the fault proxy. */
+	/** Whether every connection between failure domains and to the platform goes through the fault proxy. */
 	isProxied: z.boolean().default(false),
 	domains: z.array(z.string()).min(1).readonly(),
-	/** Entry hosts of each failure domain, in the order of `domains`; the last number stands for those that follow. */
+	/** Number of entry hosts in each failure domain, in the order of `domains`; the last one also applies to the remaining domains. */
 	hosts: z.array(count).min(1).readonly(),
 	engines: z.array(engineGroupSchema).readonly().default([]),
-	plains: z.array(plainGroupSchema).readonly().default([]),
+	plains: z.array(plainServiceGroupSchema).readonly().default([]),
 	services: z.array(z.discriminatedUnion('kind', [modelServiceSchema, plainServiceSchema])).readonly(),
-	/** The API key of each is `key-` and its id. */
+	/** The API key of an organisation is `key-` followed by its id. */
 	organisations: z.array(organisationSchema.unwrap().omit({keyHashes: true})).readonly(),
 	stopRule: stopRuleSchema.optional(),
-	/** Loads a second of the weight store; none if absent. */
+	/** Loads per second that the weight store allows; the fleet has no weight store if absent. */
 	loadsPerSecond: z.number().positive().optional(),
-	/** Settings of every entry daemon beside its addresses. */
+	/** Settings of every entry daemon in addition to its addresses. */
 	entry: z.record(z.string(), z.unknown()).readonly().default({}),
 	/** Lag of the platform's host list in real milliseconds. */
 	hostLag: z.number().nonnegative().default(500),
@@ -47,26 +47,20 @@
 	keepsLogs: z.boolean().default(false),
 }).readonly();
 
-export type Shape = z.infer<typeof shapeSchema>;
-export type ShapeInput = z.input<typeof shapeSchema>;
+export type FleetShape = z.infer<typeof fleetShapeSchema>;
+export type ShapeInput = z.input<typeof fleetShapeSchema>;
 
-/**
- * @param shape - Fleet.
- * @returns Every entry host with its failure domain, and the loopback address that it connects from.
- */
-export function hostsOf(shape: Shape): ReadonlyArray<{readonly id: string; readonly domain: string; readonly source: string}> {
-	return shape.domains.flatMap((domain, place) => {
-		const hosts = shape.hosts[Math.min(place, shape.hosts.length - 1)]!;
-		return Array.from({length: hosts}, (_, index) => ({
-			id: `${domain}-host-${index + 1}`, domain, source: `127.${place + 1}.${index + 1}.1`,
+/** Returns every entry host with its failure domain and the loopback address that it connects from. */
+export function listHosts(shape: FleetShape): ReadonlyArray<{readonly id: string; readonly domain: string; readonly source: string}> {
+	return shape.domains.flatMap((domain, domainIndex) => {
+		const hostCount = shape.hosts[Math.min(domainIndex, shape.hosts.length - 1)]!;
+		return Array.from({length: hostCount}, (_, index) => ({
+			id: `${domain}-host-${index + 1}`, domain, source: `127.${domainIndex + 1}.${index + 1}.1`,
 		}));
 	});
 }
 
-/**
- * @param organisation - Organisation id.
- * @returns Its API key.
- */
+/** Returns the API key of an organisation, given its id. */
 export function apiKey(organisation: string): string {
 	return `key-${organisation}`;
 }
--- a/bench/fleet/upstreams.ts
+++ b/bench/fleet/upstreams.ts
@@ -1,4 +1,4 @@
-/** The upstreams of a fleet: engine processes, one for each failure domain, and plain services in this process. */
+/** The upstreams of a fleet: one engine process for each failure domain, and plain services within this process. */
 import got from 'got';
 import {z} from 'zod';
 import {type Address} from '../../src/core/index.js';
@@ -7,21 +7,21 @@
 } from '../../stand-ins/engine/executions.js';
 import {type Fault as EngineFault} from '../../stand-ins/engine/faults.js';
 import {
-	PlainService, settingsSchema as plainSettings, type Counts,
+	PlainService, settingsSchema as plainServiceSettings, type Counts,
 } from '../../stand-ins/plain/service.js';
 import {type Fault as PlainFault} from '../../stand-ins/plain/faults.js';
 import {Child} from './child.js';
-import {enginesOf, modelOf, plainsOf} from './document.js';
-import {type Shape} from './shape.js';
+import {listEngines, findModel, listPlainServices} from './document.js';
+import {type FleetShape} from './shape.js';
 
 const addressSchema = z.object({host: z.string(), port: z.number()});
-const readySchema = z.object({
+const readyLineSchema = z.object({
 	control: addressSchema,
 	engines: z.array(addressSchema.extend({id: z.string()})),
 });
-const allExecutionsSchema = z.object({engines: z.array(executionsSchema)});
+const executionsAnswerSchema = z.object({engines: z.array(executionsSchema)});
 
-const allCountersSchema = z.object({engines: z.array(z.object({engine: z.string(), counters: countersSchema}))});
+const countersAnswerSchema = z.object({engines: z.array(z.object({engine: z.string(), counters: countersSchema}))});
 
 type EngineGroup = {
 	readonly domain: string;
@@ -30,9 +30,9 @@
 	readonly engines: ReadonlyMap<string, Address>;
 };
 
-async function startEngines(shape: Shape, domain: string, weightStore: Address | undefined): Promise<EngineGroup | undefined> {
-	const members = enginesOf(shape).filter(each => each.domain === domain);
-	if (members.length === 0) {
+async function startEngines(shape: FleetShape, domain: string, weightStore: Address | undefined): Promise<EngineGroup | undefined> {
+	const plannedEngines = listEngines(shape).filter(each => each.domain === domain);
+	if (plannedEngines.length === 0) {
 		return undefined;
 	}
 
@@ -45,21 +45,21 @@
 			timeScale: shape.timeScale,
 			seed: shape.seed,
 			weightStore,
-			engines: members.map(({id, service, group}) => ({
-				...group.settings, id, target: {model: modelOf(shape, service), version: group.version},
+			engines: plannedEngines.map(({id, service, group}) => ({
+				...group.settings, id, target: {model: findModel(shape, service), version: group.version},
 			})),
 		}),
 	});
-	const {control, engines} = readySchema.parse(child.ready);
+	const {control, engines} = readyLineSchema.parse(child.ready);
 	return {
 		domain, child, control, engines: new Map(engines.map(({id, host, port}) => [id, {host, port}])),
 	};
 }
 
-async function startPlains(shape: Shape): Promise<ReadonlyMap<string, PlainService>> {
+async function startPlainServices(shape: FleetShape): Promise<ReadonlyMap<string, PlainService>> {
 	const services = new Map<string, PlainService>();
-	for (const {id, duration} of plainsOf(shape)) {
-		services.set(id, await PlainService.start(plainSettings.parse({id, duration})));
+	for (const {id, duration} of listPlainServices(shape)) {
+		services.set(id, await PlainService.start(plainServiceSettings.parse({id, duration})));
 	}
 
 	return services;
@@ -67,40 +67,37 @@
 
 export class Upstreams implements AsyncDisposable {
 	/**
-	 * @param shape - Fleet.
-	 * @param weightStore - Where engines load weights.
-	 * @returns Its upstreams, listening.
+	 * Starts the upstreams of a fleet and waits until they listen.
+	 *
+	 * @param weightStore - Address that engines load weights from, if the fleet has a weight store.
 	 */
-	static async start(shape: Shape, weightStore: Address | undefined): Promise<Upstreams> {
+	static async start(shape: FleetShape, weightStore: Address | undefined): Promise<Upstreams> {
 		const groups = await Promise.all(shape.domains.map(async domain => startEngines(shape, domain, weightStore)));
-		return new Upstreams(groups.filter(each => each !== undefined), await startPlains(shape));
+		return new Upstreams(groups.filter(each => each !== undefined), await startPlainServices(shape));
 	}
 
 	readonly #groups: readonly EngineGroup[];
-	readonly #plains: ReadonlyMap<string, PlainService>;
+	readonly #plainServices: ReadonlyMap<string, PlainService>;
 
-	private constructor(groups: readonly EngineGroup[], plains: ReadonlyMap<string, PlainService>) {
+	private constructor(groups: readonly EngineGroup[], plainServices: ReadonlyMap<string, PlainService>) {
 		this.#groups = groups;
-		this.#plains = plains;
+		this.#plainServices = plainServices;
 	}
 
-	/** Real addresses by upstream id. */
+	/** Direct addresses by upstream id, not through the fault proxy. */
 	get addresses(): ReadonlyMap<string, Address> {
 		return new Map([
 			...this.#groups.flatMap(group => [...group.engines]),
-			...[...this.#plains].map(([id, service]) => [id, service.addresses.address] as const),
+			...[...this.#plainServices].map(([id, service]) => [id, service.addresses.address] as const),
 		]);
 	}
 
-	/** Processes with engines. */
+	/** The engine processes. */
 	get children(): readonly Child[] {
 		return this.#groups.map(group => group.child);
 	}
 
-	/**
-	 * @param engine - Engine id.
-	 * @param fault - Fault to switch on or off.
-	 */
+	/** Switches a fault on or off at an engine. */
 	async faultEngine(engine: string, fault: EngineFault): Promise<void> {
 		const group = this.#groups.find(each => each.engines.has(engine));
 		if (group === undefined) {
@@ -110,33 +107,28 @@
 		await got.post(`http://${group.control.host}:${group.control.port}/control`, {json: {engine, fault}});
 	}
 
-	/**
-	 * @param fault - Fault to switch on or off at every engine.
-	 */
+	/** Switches a fault on or off at every engine. */
 	async faultEngines(fault: EngineFault): Promise<void> {
 		await Promise.all(this.#groups.flatMap(group => [...group.engines.keys()].map(async id => this.faultEngine(id, fault))));
 	}
 
-	/** What every engine ran. */
+	/** Fetches what every engine executed. */
 	async executions(): Promise<readonly Executions[]> {
 		const answers = await Promise.all(this.#groups.map(async ({control}) =>
-			allExecutionsSchema.parse(await got(`http://${control.host}:${control.port}/control/executions`).json())));
+			executionsAnswerSchema.parse(await got(`http://${control.host}:${control.port}/control/executions`).json())));
 		return answers.flatMap(answer => answer.engines);
 	}
 
-	/** Counters of every engine, by engine id. */
+	/** Fetches the counters of every engine, by engine id. */
 	async counters(): Promise<ReadonlyMap<string, Counters>> {
 		const answers = await Promise.all(this.#groups.map(async ({control}) =>
-			allCountersSchema.parse(await got(`http://${control.host}:${control.port}/control/counters`).json())));
+			countersAnswerSchema.parse(await got(`http://${control.host}:${control.port}/control/counters`).json())));
 		return new Map(answers.flatMap(answer => answer.engines.map(({engine, counters}) => [engine, counters] as const)));
 	}
 
-	/**
-	 * @param service - Upstream id of a plain service.
-	 * @param fault - Fault to switch on or off.
-	 */
+	/** Switches a fault on or off at a plain service, given its upstream id. */
 	async faultPlain(service: string, fault: PlainFault): Promise<void> {
-		const address = this.#plains.get(service)?.addresses.control;
+		const address = this.#plainServices.get(service)?.addresses.control;
 		if (address === undefined) {
 			throw new TypeError(`no plain service ${service}`);
 		}
@@ -146,10 +138,10 @@
 
 	/** What every plain service executed. */
 	get plainCounts(): readonly Counts[] {
-		return [...this.#plains.values()].map(each => each.counts);
+		return [...this.#plainServices.values()].map(each => each.counts);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		await Promise.all([...this.#plains.values(), ...this.children].map(async each => each[Symbol.asyncDispose]()));
+		await Promise.all([...this.#plainServices.values(), ...this.children].map(async each => each[Symbol.asyncDispose]()));
 	}
 }
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -1,15 +1,15 @@
-/** Values of command-line options that several programs here take. */
+/** Parsers for values of command-line options. */
 import {InvalidArgumentError} from 'commander';
 
 /**
- * @param text - What was given.
- * @returns A whole number above 0.
- * @throws InvalidArgumentError for anything else.
+ * Parses an option that must be a positive integer.
+ *
+ * @throws InvalidArgumentError if it is anything else.
  */
 export function wholeNumber(text: string): number {
 	const value = Number(text);
 	if (!Number.isInteger(value) || value < 1) {
-		throw new InvalidArgumentError('a whole number above 0 is wanted');
+		throw new InvalidArgumentError('must be a positive integer');
 	}
 
 	return value;
--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -1,15 +1,15 @@
-/** Bundles the gateway and what starts it: `node deploy/bundle.js DIRECTORY`. */
+/** Bundles the gateway and its start script: `node deploy/bundle.js DIRECTORY`. */
 import {rmSync} from 'node:fs';
 import process from 'node:process';
 import {build} from 'esbuild';
 
 const directory = process.argv[2] ?? 'target';
 
-/** Texts of validation errors in forty languages are half of the library; English is part of its core. */
+/** Leaves out the validation messages of zod in forty languages, which are half of the library; English is part of its core. */
 const noLocales = {
 	name: 'no-locales',
 	setup(bundle) {
-		// The bundler is written in Go, which knows no v flag.
+		// The bundler is written in Go, whose regular expressions have no v flag.
 		// eslint-disable-next-line require-unicode-regexp
 		bundle.onLoad({filter: /zod.v4.locales.index\.js$/}, () => ({contents: 'export {};'}));
 	},
@@ -26,7 +26,7 @@
 	plugins: [noLocales],
 };
 
-// What was compiled of an earlier program does not fit this one.
+// Code compiled from an earlier program does not match this one.
 rmSync(`${directory}/program.bin`, {force: true});
 await build({...common, entryPoints: ['platform/gateway.ts'], outfile: `${directory}/program.cjs`});
 await build({...common, entryPoints: ['deploy/start.js'], outfile: `${directory}/gateway.cjs`});
--- a/deploy/start.js
+++ b/deploy/start.js
@@ -1,9 +1,10 @@
 /**
- * Starts the bundled gateway from code that V8 compiled at the build: `node gateway.cjs`. With `--compile` it compiles that code
- * and ends; V8 takes it only under the options of Node.js it was compiled with, and compiles anew otherwise.
+ * Starts the bundled gateway from code that V8 compiled during the build: `node gateway.cjs`. With `--compile` it writes the
+ * compiled code and exits. V8 accepts that code only under the Node.js options that it was compiled with, and otherwise compiles
+ * the program again.
  *
- * From the start to the first line of the log 262 ms pass in place of 333 ms (medians of three beside other work, of which a bare
- * Node.js takes 130 ms): after a loss of power callers wait for that.
+ * The compiled code shortens the time until the first log line from 333 ms to 262 ms, of which Node.js itself takes 130 ms.
+ * Callers wait for the start after a power failure.
  */
 import {existsSync, readFileSync, writeFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
--- a/xo.config.js
+++ b/xo.config.js
@@ -1,7 +1,7 @@
-// The one-way imports of docs/ARCHITECTURE.md, inner layer first: a layer may import only itself and those before it.
+// Layers of docs/ARCHITECTURE.md, innermost first. A layer may import only itself and the layers before it.
 const layers = ['core', 'protocol', 'upstream', 'configuration-service', 'entry'];
 
-function above(layer) {
+function layersAbove(layer) {
 	return layers.slice(layers.indexOf(layer) + 1).map(name => `**/${name}/**`);
 }
 
@@ -22,9 +22,9 @@
 	'servers.',
 ];
 
-const platformNamed = {
+const platformNameRule = {
 	selector: `Literal[value=/^(${platformNames.join('|')})/i]`,
-	message: 'The platform\'s names stay in platform/.',
+	message: 'Names of the platform\'s interfaces may only be used in platform/.',
 };
 
 /** @type {import('xo').FlatXoConfig} */
@@ -34,17 +34,17 @@
 	},
 	{
 		rules: {
-			// Effects and events are data for other runtimes too; `undefined` marks an absent value throughout.
+			// Effects and events are plain data that other runtimes can use too; `undefined` marks an absent value throughout.
 			'unicorn/no-null': 'off',
-			// Restify requires async two-argument handlers even where nothing is awaited.
+			// Restify requires two-argument handlers to be async, even if they await nothing.
 			'@typescript-eslint/require-await': 'off',
 			'require-await': 'off',
-			// Immutable's collections are called without `new`.
+			// Collections of Immutable are created without `new`.
 			'new-cap': ['error', {capIsNewExceptions: ['Table', 'List', 'Group']}],
-			// Requests and frames are handled in order on purpose.
+			// Requests and frames must be handled in order.
 			'no-await-in-loop': 'off',
 			'import-x/no-unassigned-import': ['error', {allow: ['reflect-metadata']}],
-			// A feature's switch names its own events; the default leaves the state as it is.
+			// The switch of a feature handles only the feature's own events; the default leaves the state unchanged.
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {
 				allowDefaultCaseForExhaustiveSwitch: true,
 				considerDefaultExhaustiveForUnions: true,
@@ -54,12 +54,12 @@
 		},
 	},
 	{
-		// Only the adapter speaks the platform's names.
+		// Only the adapter in platform/ uses the platform's names.
 		files: ['src/**/*.ts'],
 		rules: {
 			'no-restricted-syntax': [
 				'error',
-				platformNamed,
+				platformNameRule,
 			],
 		},
 	},
@@ -69,34 +69,34 @@
 		rules: {
 			'no-restricted-imports': ['error', {
 				patterns: [
-					{group: impure, message: 'The core is pure: no clock, socket, logger or library with effects.'},
-					{group: above('core'), message: 'The core imports nothing above it.'},
+					{group: impure, message: 'The core must stay pure: no clock, socket, logger or library with side effects.'},
+					{group: layersAbove('core'), message: 'The core must not import the layers above it.'},
 				],
 			}],
 			'no-restricted-globals': ['error', 'setTimeout', 'setInterval', 'setImmediate', 'performance', 'process', 'fetch', 'console', 'crypto'],
 			'no-restricted-syntax': [
 				'error',
-				platformNamed,
-				{selector: 'MemberExpression[object.name="Date"][property.name="now"]', message: 'Time is given to the core.'},
-				{selector: 'NewExpression[callee.name="Date"]', message: 'Time is given to the core.'},
-				{selector: 'MemberExpression[object.name="Math"][property.name="random"]', message: 'The random source is given to the core.'},
+				platformNameRule,
+				{selector: 'MemberExpression[object.name="Date"][property.name="now"]', message: 'Pass the time to the core as an argument.'},
+				{selector: 'NewExpression[callee.name="Date"]', message: 'Pass the time to the core as an argument.'},
+				{selector: 'MemberExpression[object.name="Math"][property.name="random"]', message: 'Pass the random source to the core as an argument.'},
 			],
 		},
 	},
 	{
 		files: ['src/gateway/**/*.ts'],
 		rules: {
-			// Node's streams and HTTP give and take Buffer.
+			// Streams and HTTP of Node.js use Buffer.
 			'@typescript-eslint/no-restricted-types': 'off',
 			'no-restricted-imports': ['error', {
 				patterns: [
-					{group: ['**/platform/**'], message: 'The gateway knows the platform by its adapter\'s interfaces only.'},
+					{group: ['**/platform/**'], message: 'The gateway may depend on the platform only through the interfaces of the adapter.'},
 				],
 			}],
 		},
 	},
 	{
-		// Field names of the callers' and engines' usual protocol, and of the platform.
+		// Field names of the protocols of callers, engines and the platform are not in camel case.
 		files: ['platform/**/*.ts', 'src/upstream/**/*.ts', 'src/entry/callers/**/*.ts', 'stand-ins/**/*.ts', 'bench/**/*.ts', '**/__tests__/**/*.ts', 'src/cli/**/*.ts'],
 		rules: {
 			'@typescript-eslint/naming-convention': 'off',
@@ -107,7 +107,7 @@
 		rules: {
 			'no-restricted-imports': ['error', {
 				patterns: [
-					{group: above(layer), message: 'Imports run one way; see docs/ARCHITECTURE.md.'},
+					{group: layersAbove(layer), message: 'A layer must not import a layer above it; see docs/ARCHITECTURE.md.'},
 				],
 			}],
 		},
@@ -118,7 +118,7 @@
 		rules: {
 			'no-restricted-imports': ['error', {
 				patterns: [
-					{group: ['**/entry/**', '**/configuration-service/**'], message: 'Operators\' tools know hosts by their protocol only.'},
+					{group: ['**/entry/**', '**/configuration-service/**'], message: 'Operator tools may depend on hosts only through their protocol.'},
 				],
 			}],
 		},
@@ -129,9 +129,9 @@
 		rules: {
 			'@typescript-eslint/no-restricted-imports': ['error', {
 				paths: [
-					{name: 'node:child_process', message: 'Product code starts no process.'},
-					{name: 'node:worker_threads', message: 'One loop on one thread.'},
-					{name: 'node:cluster', message: 'One loop on one thread.'},
+					{name: 'node:child_process', message: 'Product code must not start processes.'},
+					{name: 'node:worker_threads', message: 'Product code runs on one event loop and one thread.'},
+					{name: 'node:cluster', message: 'Product code runs on one event loop and one thread.'},
 				],
 			}],
 		},
