--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -185,9 +185,9 @@
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		const {proxy, platform, weights, upstreams} = this.#services;
+		const {proxy, platform: platformService, weights, upstreams} = this.#services;
 		await this.#hosts?.[Symbol.asyncDispose]();
-		await Promise.all([proxy, platform, weights, upstreams].map(async each => each?.[Symbol.asyncDispose]()));
+		await Promise.all([proxy, platformService, weights, upstreams].map(async each => each?.[Symbol.asyncDispose]()));
 	}
 
 	async #startHosts(): Promise<void> {
