--- a/__tests__/adoption.test.ts
+++ b/__tests__/adoption.test.ts
@@ -5,7 +5,7 @@
 import {countReversions} from '../bench/membership/reversions.js';
 import {inForce, linked, stateOf} from '../bench/membership/status.js';
 
-function shape(isProxied: boolean): ShapeInput {
+function buildShape(isProxied: boolean): ShapeInput {
 	return {
 		isProxied,
 		timeScale: 20,
@@ -22,7 +22,7 @@
 
 describe('adoption', () => {
 	it('brings a revision into force everywhere through one host that reads it, and one domain that links two', async () => {
-		await using fleet = await Fleet.start(shape(true));
+		await using fleet = await Fleet.start(buildShape(true));
 		await linked(fleet, hosts, 3);
 		for (const host of hosts.slice(1)) {
 			fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
@@ -39,7 +39,7 @@
 	});
 
 	it('refuses a stale, an invalid and another document of the same revision, and keeps serving', async () => {
-		await using fleet = await Fleet.start({...shape(false), hosts: [1]});
+		await using fleet = await Fleet.start({...buildShape(false), hosts: [1]});
 		const first = fleet.configuration;
 		await inForce(fleet, ['a-host-1'], await fleet.publish(before => before));
 		await fleet.platform({type: 'publish', text: '{"revision": 9}', revision: 9});
@@ -50,14 +50,14 @@
 	});
 
 	it('goes back on no host while the platform alternates fresh and stale and hosts restart', {timeout: 120_000}, async () => {
-		await using fleet = await Fleet.start({...shape(false), domains: ['a', 'b']});
+		await using fleet = await Fleet.start({...buildShape(false), domains: ['a', 'b']});
 		const seen = await countReversions(fleet, 60, 20);
 		expect(seen).toMatchObject({changes: 60, restarts: 3, reversions: 0});
 		expect(seen.readings).toBeGreaterThan(0);
 	});
 
 	it('gives a host that starts during an outage the document of its peers', async () => {
-		await using fleet = await Fleet.start({...shape(true), domains: ['a']});
+		await using fleet = await Fleet.start({...buildShape(true), domains: ['a']});
 		const revision = await fleet.publish(before => before);
 		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
 		await linked(fleet, ['a-host-1', 'a-host-2'], 1);
--- a/__tests__/docs.test.ts
+++ b/__tests__/docs.test.ts
@@ -7,51 +7,51 @@
 
 const root = path.join(import.meta.dirname, '..');
 
-function pages(directory: string): readonly string[] {
+function listPages(directory: string): readonly string[] {
 	return readdirSync(path.join(root, directory), {withFileTypes: true}).flatMap(entry => {
-		const place = path.join(directory, entry.name);
+		const file = path.join(directory, entry.name);
 		if (entry.isDirectory()) {
-			return pages(place);
+			return listPages(file);
 		}
 
-		return entry.name.endsWith('.md') ? [place] : [];
+		return entry.name.endsWith('.md') ? [file] : [];
 	});
 }
 
-const all = ['README.md', 'CONTRIBUTING.md', ...pages('docs')];
+const allPages = ['README.md', 'CONTRIBUTING.md', ...listPages('docs')];
 const {scripts} = z.object({scripts: z.record(z.string(), z.string())})
 	.parse(JSON.parse(readFileSync(path.join(root, 'package.json'), 'utf8')));
-const known = new Set<number>(Object.values(codes));
+const knownCodes = new Set<number>(Object.values(codes));
 
-function matches(text: string, pattern: RegExp): readonly string[] {
+function findMatches(text: string, pattern: RegExp): readonly string[] {
 	return [...text.matchAll(pattern)].map(match => match[1]!);
 }
 
-describe.each(all)('%s', page => {
+describe.each(allPages)('%s', page => {
 	const text = readFileSync(path.join(root, page), 'utf8');
 
 	it('names scripts that package.json has', () => {
-		const named = matches(text, /npm run (?:-s )?([\w:\-]+)/gv);
+		const named = findMatches(text, /npm run (?:-s )?([\w:\-]+)/gv);
 		expect(named.filter(script => !(script in scripts))).toEqual([]);
 	});
 
 	it('names files that are there', () => {
-		const named = matches(text, /`((?:src|stand-ins|bench|docs|__tests__|\.ci)\/[\w.\/\-]*[\w])`/gv);
+		const named = findMatches(text, /`((?:src|stand-ins|bench|docs|__tests__|\.ci)\/[\w.\/\-]*[\w])`/gv);
 		expect(named.filter(file => !existsSync(path.join(root, file)))).toEqual([]);
 	});
 
 	it('links to pages that are there', () => {
-		const linked = matches(text, /\]\((?!https?:|#|mailto:)([^\)#\s]+)/gv);
+		const linked = findMatches(text, /\]\((?!https?:|#|mailto:)([^\)#\s]+)/gv);
 		expect(linked.filter(link => !existsSync(path.join(root, path.dirname(page), link)))).toEqual([]);
 	});
 
 	it('names compiled programs whose sources are there', () => {
-		const named = matches(text, /node (?:--[\w\-]+ )*dist\/([\w.\/\-]+)\.js/gv);
+		const named = findMatches(text, /node (?:--[\w\-]+ )*dist\/([\w.\/\-]+)\.js/gv);
 		expect(named.filter(program => !existsSync(path.join(root, `${program}.ts`)))).toEqual([]);
 	});
 
 	it('names result codes that exist', () => {
-		const named = matches(text, /(?:code|codes|with|result code) `?([1-9]\d{3})`?(?![\d,.]\d)/gv).map(Number);
-		expect(named.filter(code => code >= 1000 && code < 10_000 && !known.has(code))).toEqual([]);
+		const named = findMatches(text, /(?:code|codes|with|result code) `?([1-9]\d{3})`?(?![\d,.]\d)/gv).map(Number);
+		expect(named.filter(code => code >= 1000 && code < 10_000 && !knownCodes.has(code))).toEqual([]);
 	});
 });
--- a/__tests__/examples.test.ts
+++ b/__tests__/examples.test.ts
@@ -10,12 +10,12 @@
 import {settingsSchema as platformSettings} from '../stand-ins/platform/service.js';
 
 const docs = path.join(import.meta.dirname, '../docs');
-const example = (name: string) => readFileSync(path.join(docs, 'examples', name), 'utf8');
-const page = (name: string) => readFileSync(path.join(docs, name), 'utf8');
+const readExample = (name: string) => readFileSync(path.join(docs, 'examples', name), 'utf8');
+const readPage = (name: string) => readFileSync(path.join(docs, name), 'utf8');
 
 describe('docs/examples', () => {
 	it('has a valid document without dangers', () => {
-		const parsed = parseConfiguration(example('configuration.json'));
+		const parsed = parseConfiguration(readExample('configuration.json'));
 		expect(parsed).toMatchObject({type: 'valid', unknownFields: []});
 		expect(parsed.type === 'valid' && warningsOf(parsed.configuration)).toEqual([]);
 	});
@@ -28,20 +28,20 @@
 		['portal.json', plainSettings.parse],
 		['old-portal.json', plainSettings.parse],
 	])('has valid settings in %s', (name, parse: (value: unknown) => unknown) => {
-		expect(() => parse(JSON.parse(example(name)))).not.toThrow();
+		expect(() => parse(JSON.parse(readExample(name)))).not.toThrow();
 	});
 });
 
 describe('pages', () => {
 	it('give the HTTP status of every code that callers can get', () => {
-		const rows = [...page('CODES.md').matchAll(/^\| (\d+) \| `\w+` \| [^\|]+ \| (\d{3}) \|/gmv)];
+		const rows = [...readPage('CODES.md').matchAll(/^\| (\d+) \| `\w+` \| [^\|]+ \| (\d{3}) \|/gmv)];
 		expect(rows.length).toBeGreaterThan(20);
 		expect(rows.filter(([, code, status]) => statusOf(Number(code)) !== Number(status))).toEqual([]);
 	});
 
 	it.each(['OPERATIONS.md', 'CODES.md', 'GLOSSARY.md'])('%s links to files and headings that exist', name => {
-		const anchors = new Set([...page(name).matchAll(/^#+ (.+)$/gmv)].map(([, heading]) => heading!.toLowerCase().replaceAll(/[^\w \-]/gv, '').replaceAll(' ', '-')));
-		for (const [, link] of page(name).matchAll(/\]\(([^\)]+)\)/gv)) {
+		const anchors = new Set([...readPage(name).matchAll(/^#+ (.+)$/gmv)].map(([, heading]) => heading!.toLowerCase().replaceAll(/[^\w \-]/gv, '').replaceAll(' ', '-')));
+		for (const [, link] of readPage(name).matchAll(/\]\(([^\)]+)\)/gv)) {
 			const [file, anchor] = link!.split('#');
 			expect(file === '' ? anchors.has(anchor!) : existsSync(path.join(docs, file!)), link).toBe(true);
 		}
--- a/__tests__/fleet.test.ts
+++ b/__tests__/fleet.test.ts
@@ -7,7 +7,7 @@
 
 const messages = [{role: 'user', content: 'one line'}];
 
-function shape(isProxied: boolean): ShapeInput {
+function buildShape(isProxied: boolean): ShapeInput {
 	return {
 		isProxied,
 		timeScale: 20,
@@ -27,7 +27,7 @@
 	};
 }
 
-async function ask(fleet: Fleet, host: string): Promise<string> {
+async function sendPrompt(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
 	const answer = await got.post(`http://${caller.host}:${caller.port}/v1/chat/completions`, {
 		json: {model: 'check', messages, max_tokens: 20},
@@ -37,19 +37,19 @@
 	return answer.choices[0]!.message.content;
 }
 
-function expected(): string {
+function getExpectedAnswer(): string {
 	const digest = promptDigest(renderPrompt(messages));
 	return answerText(digest, answerLength(digest, {least: 16, most: 256}, 20));
 }
 
-async function revisionAt(fleet: Fleet, host: string): Promise<number> {
+async function fetchRevision(fleet: Fleet, host: string): Promise<number> {
 	const {admin} = fleet.hosts.get(host);
 	const {revision} = await got(`http://${admin!.host}:${admin!.port}/admin/status`).json<{revision: number}>();
 	return revision;
 }
 
-async function adopted(fleet: Fleet, host: string, revision: number): Promise<void> {
-	while (await revisionAt(fleet, host) < revision) {
+async function waitForRevision(fleet: Fleet, host: string, revision: number): Promise<void> {
+	while (await fetchRevision(fleet, host) < revision) {
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
@@ -59,25 +59,25 @@
 describe('fleet', () => {
 	for (const isProxied of [false, true]) {
 		it(`serves through every host, ${isProxied ? 'with' : 'without'} fault proxies, and replaces one`, async () => {
-			await using fleet = await Fleet.start(shape(isProxied));
-			expect(await ask(fleet, 'a-host-1')).toBe(expected());
-			expect(await ask(fleet, 'b-host-1')).toBe(expected());
+			await using fleet = await Fleet.start(buildShape(isProxied));
+			expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
+			expect(await sendPrompt(fleet, 'b-host-1')).toBe(getExpectedAnswer());
 			await fleet.replaceHost('a-host-1');
 			await fleet.hosts.ready();
-			expect(await ask(fleet, 'a-host-1')).toBe(expected());
+			expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
 			const executions = await fleet.upstreams.executions();
 			expect(executions.reduce((sum, each) => sum + each.counters.finished, 0)).toBe(3);
 		});
 	}
 
 	it('cuts a failure domain off from the others and the platform, but not from callers', async () => {
-		await using fleet = await Fleet.start(shape(true));
+		await using fleet = await Fleet.start(buildShape(true));
 		fleet.partition(['a'], ['b', 'platform']);
 		const next = await fleet.publish(before => before);
-		await adopted(fleet, 'b-host-1', next);
-		expect(await revisionAt(fleet, 'a-host-1')).toBe(next - 1);
-		expect(await ask(fleet, 'a-host-1')).toBe(expected());
+		await waitForRevision(fleet, 'b-host-1', next);
+		expect(await fetchRevision(fleet, 'a-host-1')).toBe(next - 1);
+		expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
 		fleet.heal();
-		await adopted(fleet, 'a-host-1', next);
+		await waitForRevision(fleet, 'a-host-1', next);
 	});
 });
--- a/__tests__/gateway/explain.test.ts
+++ b/__tests__/gateway/explain.test.ts
@@ -24,15 +24,15 @@
 });
 
 /** Writes what the host logged so far, each line behind a prefix as collectors put it. */
-function logs(): string {
+function writeLogs(): string {
 	const file = path.join(directory, 'host.log');
 	writeFileSync(file, site.hosts[0]!.lines.map(line => `12.3 host-0 ${JSON.stringify(line)}`).join('\n'));
 	return file;
 }
 
-async function explain(id: string): Promise<string> {
+async function runExplain(id: string): Promise<string> {
 	await expect.poll(() => site.hosts[0]!.logged('ended', id).length, {timeout: 3000}).toBe(1);
-	const {code, out} = await command(['explain', id, '--logs', logs()]);
+	const {code, out} = await command(['explain', id, '--logs', writeLogs()]);
 	expect(code).toBe(0);
 	return out;
 }
@@ -45,7 +45,7 @@
 
 		const answer = await site.ask({path: '/ask/x', id: 'complaint-1', headers: prompt(1000, 3)});
 		expect(answer.status).toBe(503);
-		const out = await explain('complaint-1');
+		const out = await runExplain('complaint-1');
 		expect(out).toMatch(/Sent to engine-\d as attempt .+ of 1000 tokens/v);
 		expect(out.match(/was provably not run at engine-\d: refused with 503/gv)?.length).toBe(2);
 		expect(out).toMatch(/Ended as "refusedByUpstream" after \d+ ms on route ask: 2 attempts, no byte of an answer/v);
@@ -58,7 +58,7 @@
 
 		const answer = await site.ask({path: '/ask/x', id: 'complaint-2', headers: prompt(1000, 30)});
 		expect(answer.isWhole).toBe(false);
-		const out = await explain('complaint-2');
+		const out = await runExplain('complaint-2');
 		expect(out.match(/may have run at engine-\d, no whole answer came/gv)?.length).toBe(2);
 		expect(out).toMatch(/suspected/v);
 		expect(out).toMatch(/Ended as "broken off" after \d+ ms on route ask: 2 attempts, first byte after \d+ ms, longest pause \d+ ms/v);
@@ -71,13 +71,13 @@
 
 		const answer = await site.ask({path: '/once/x', id: 'complaint-3', body: 'b'});
 		expect(answer.status).toBe(502);
-		const out = await explain('complaint-3');
+		const out = await runExplain('complaint-3');
 		expect(out).toMatch(/Attempt .+ may have run at plain-\d, no whole answer came/v);
 		expect(out).toMatch(/Ended as "outcomeUnknown" after \d+ ms on route once: 1 attempts, no byte/v);
 	});
 
 	it('says so where the log has nothing of it', async () => {
-		const {code, complaints} = await command(['explain', 'complaint-0', '--logs', logs()]);
+		const {code, complaints} = await command(['explain', 'complaint-0', '--logs', writeLogs()]);
 		expect(code).toBe(70);
 		expect(complaints).toContain('7006');
 	});
@@ -88,19 +88,19 @@
 		await site.plains[0]!.crash();
 		site.store.remove('servers/plain-0');
 		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').length, {timeout: 4000}).toBe(1);
-		const {code, out} = await command(['incidents', '--logs', logs()]);
+		const {code, out} = await command(['incidents', '--logs', writeLogs()]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/Requests: .*refusedByUpstream 1/v);
 		expect(out).toMatch(/upstream-gone plain-0 \(host-0\)/v);
 		expect(out).toMatch(/Attempts without an answer at engine-\d: /v);
-		const json = await command(['incidents', '--logs', logs(), '--json']);
+		const json = await command(['incidents', '--logs', writeLogs(), '--json']);
 		expect(JSON.parse(json.out)).toMatchObject({outcomes: {outcomeUnknown: 1}});
 	});
 
 	it('refuses a window without lines and a time that is none', async () => {
-		const empty = await command(['incidents', '--logs', logs(), '--to', '2001-01-01T00:00:00Z']);
+		const empty = await command(['incidents', '--logs', writeLogs(), '--to', '2001-01-01T00:00:00Z']);
 		expect(empty.code).toBe(70);
-		const bad = await command(['incidents', '--logs', logs(), '--to', 'soon']);
+		const bad = await command(['incidents', '--logs', writeLogs(), '--to', 'soon']);
 		expect(bad).toMatchObject({code: 70});
 		expect(bad.complaints).toContain('7003');
 	});
--- a/__tests__/gateway/logs.test.ts
+++ b/__tests__/gateway/logs.test.ts
@@ -5,11 +5,11 @@
 import {expect, it} from 'vitest';
 import {z} from 'zod';
 
-const compiled = new URL('../../dist/src/entry/logs.js', import.meta.url).href;
+const logModule = new URL('../../dist/src/entry/logs.js', import.meta.url).href;
 
 /** Writes far more than a pipe holds, a bounded part of it a turn, and tells on standard error when it is done. */
-const program = `
-import {Log} from '${compiled}';
+const floodingProgram = `
+import {Log} from '${logModule}';
 const log = new Log('h');
 for (let turn = 0; turn < 200; turn++) {
 	for (let index = 0; index < 9; index++) {
@@ -22,8 +22,8 @@
 `;
 
 /** Writes a line a millisecond for a while, and ends by itself. */
-const patient = `
-import {Log} from '${compiled}';
+const steadyProgram = `
+import {Log} from '${logModule}';
 const log = new Log('h');
 for (let turn = 0; turn < 300; turn++) {
 	log.write({event: 'x', turn});
@@ -33,7 +33,7 @@
 `;
 
 it('a reader of standard output that goes away does not end the process', async () => {
-	const child = spawn(process.execPath, ['--input-type=module', '--eval', patient], {stdio: ['ignore', 'pipe', 'pipe']});
+	const child = spawn(process.execPath, ['--input-type=module', '--eval', steadyProgram], {stdio: ['ignore', 'pipe', 'pipe']});
 	let told = '';
 	child.stderr.on('data', chunk => {
 		told += String(chunk);
@@ -46,7 +46,7 @@
 });
 
 it('a standard output that nobody reads does not block, and what waits is bounded', async () => {
-	const child = spawn(process.execPath, ['--input-type=module', '--eval', program], {stdio: ['ignore', 'pipe', 'pipe']});
+	const child = spawn(process.execPath, ['--input-type=module', '--eval', floodingProgram], {stdio: ['ignore', 'pipe', 'pipe']});
 	child.stdout.pause();
 	let told = '';
 	child.stderr.on('data', chunk => {
--- a/__tests__/gateway/moves.test.ts
+++ b/__tests__/gateway/rerouting.test.ts
@@ -8,7 +8,7 @@
 import {type Message, type ToldJob} from '../../src/gateway/peers/messages.js';
 
 /** News from far away come late on a busy machine: a request is looked at again for 100 ms only. */
-const mostTries = 6;
+const maxAttempts = 6;
 
 it('a prompt whose engine a peer had chosen before goes to another one, whole and once', {timeout: 30_000}, async () => {
 	await using site = await Site.start({engines: 3});
@@ -40,7 +40,7 @@
 	await expect.poll(() => host.logged('peer-linked').length, {timeout: 3000}).toBe(1);
 
 	let moved: string | undefined;
-	for (let index = 0; index < mostTries && moved === undefined; index++) {
+	for (let index = 0; index < maxAttempts && moved === undefined; index++) {
 		const id = `met-${index}`;
 		const answer = await site.ask({path: '/ask/x', id, headers: prompt(40_000, 3)});
 		expect(eventsOf(answer)).toEqual([1, 2, 3]);
--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -16,7 +16,7 @@
 let site: Site;
 
 /** Milliseconds within which hosts have met, on a machine that does other things too. */
-const linkedWithin = 30_000;
+const linkTimeoutMs = 30_000;
 
 /** Connects first, and sends its request later. */
 class LateCaller {
@@ -46,14 +46,14 @@
 	}
 
 	/** Returns what came until the connection was closed. */
-	async ask(): Promise<string> {
+	async sendRequest(): Promise<string> {
 		this.#socket.write('GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: 1000\r\nConnection: close\r\n\r\n');
 		await this.#closed;
 		return this.#answer;
 	}
 }
 
-async function start(options: SiteOptions): Promise<void> {
+async function startSite(options: SiteOptions): Promise<void> {
 	site = await Site.start(options);
 }
 
@@ -63,7 +63,7 @@
 
 describe('a planned stop of a host', () => {
 	it('cuts nothing, is told to the balancer, and serves who still comes', async () => {
-		await start({settings: {grace: 6000}});
+		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const agent = new Agent({keepAlive: true});
 		const running = site.ask({path: '/ask/x', id: 'long-1', headers: prompt(2000, 120)});
@@ -86,7 +86,7 @@
 
 describe('a host that is about to stop', () => {
 	it('takes nothing that could be cut: late requests on kept connections are refused as not run', async () => {
-		await start({settings: {grace: 6000}});
+		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-2', headers: prompt(2000, 380)});
 		await sleep(100);
@@ -102,7 +102,7 @@
 
 describe('the end of a planned stop', () => {
 	it('cuts nobody who has just connected', async () => {
-		await start({settings: {grace: 8000}});
+		await startSite({settings: {grace: 8000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-3', headers: prompt(2000, 380)});
 		await sleep(100);
@@ -112,14 +112,14 @@
 		await running;
 		// By now nothing runs at the host, which would end at once.
 		await sleep(100);
-		const answers = await Promise.all(callers.map(async caller => caller.ask()));
+		const answers = await Promise.all(callers.map(async caller => caller.sendRequest()));
 		expect(answers.map(answer => answer.slice(0, 12))).toEqual(answers.map(() => 'HTTP/1.1 503'));
 	});
 });
 
 describe('an upstream that leaves', () => {
 	it.each(['draining', 'gone'] as const)('gets nothing new two seconds after it is %s', async how => {
-		await start({plains: 2});
+		await startSite({plains: 2});
 		const [leaving] = site.plains;
 		leaving!.drain();
 		if (how === 'draining') {
@@ -140,7 +140,7 @@
 
 describe('the store', () => {
 	it.each(['busy', 'silent', 'reset'] as const)('may be %s: public routes are served on, keys are not trusted for ever', async mode => {
-		await start({settings: {revocation: 2500}});
+		await startSite({settings: {revocation: 2500}});
 		site.store.mode = mode;
 		await sleep(1000);
 		const soon = await site.ask({path: '/read/x', id: 'away-1'});
@@ -158,7 +158,7 @@
 	});
 
 	it('may forget its history: what changed meanwhile is learnt all the same', async () => {
-		await start({});
+		await startSite({});
 		site.store.mode = 'busy';
 		await sleep(1300);
 		site.store.put('op/config', configuration(5, {Tenants: [{Name: 'acme', ApiKeys: ['fresh']}]}));
@@ -173,7 +173,7 @@
 	});
 
 	it('is read at most twice a second by a host, however often upstreams write', async () => {
-		await start({});
+		await startSite({});
 		const before = site.store.calls;
 		const timer = setInterval(() => {
 			site.register(site.plains[0]!);
@@ -186,10 +186,10 @@
 
 describe('a host that alone has lost the store', () => {
 	it('learns from its peers what changes, keys that are taken away included', async () => {
-		await start({hosts: 3, apart: 1, settings: {revocation: 2500}});
+		await startSite({hosts: 3, apart: 1, settings: {revocation: 2500}});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
-		await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 		site.store.sideMode = 'reset';
 		await sleep(3500);
 		const served = await site.ask({path: '/read/x', id: 'lost-1'}, second);
@@ -205,8 +205,8 @@
 
 describe('a failure domain of many hosts', () => {
 	it('reads the store with two of them, and all learn what changes in time', async () => {
-		await start({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkedWithin}).toBeGreaterThanOrEqual(5);
+		await startSite({hosts: 6});
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		await sleep(1500);
 		const before = site.store.calls;
 		await sleep(3000);
@@ -220,8 +220,8 @@
 	});
 
 	it('goes on reading when the hosts that read are gone', async () => {
-		await start({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkedWithin}).toBeGreaterThanOrEqual(5);
+		await startSite({hosts: 6});
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		const [kept, ...others] = site.hosts;
 		await Promise.all(others.map(async host => host.kill()));
 		await sleep(500);
@@ -234,9 +234,9 @@
 
 describe('hosts together', () => {
 	it('know what each other sent, and forget what a killed host sent', async () => {
-		await start({hosts: 3});
+		await startSite({hosts: 3});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 		const asked = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
 		await sleep(300);
 		await site.ask({path: '/read/x', id: 'seen-2'}, second);
@@ -250,17 +250,17 @@
 });
 
 it('takes a peer that has fallen silent for lost, though it is written to', async () => {
-	await start({hosts: 2});
+	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(1);
+	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(1);
 	second!.process.kill('SIGSTOP');
-	await expect.poll(() => first!.logged('peer-lost').map(line => line.reason), {timeout: linkedWithin}).toEqual(['silent']);
+	await expect.poll(() => first!.logged('peer-lost').map(line => line.reason), {timeout: linkTimeoutMs}).toEqual(['silent']);
 	second!.process.kill('SIGCONT');
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
+	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 });
 
 it('refuses settings that are not valid, with a code', async () => {
-	await start({});
+	await startSite({});
 	const [host] = site.hosts;
 	await host!.kill();
 	writeFileSync(host!.file, '{"host": 5}');
@@ -270,12 +270,12 @@
 });
 
 it('ends with a code when its port is taken', async () => {
-	await start({hosts: 2});
+	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
 	await second!.kill();
 	const settings = z.record(z.string(), z.unknown()).parse(JSON.parse(readFileSync(second!.file, 'utf8')));
 	writeFileSync(second!.file, JSON.stringify({...settings, ready: `${first!.ready.host}:${first!.ready.port}`}));
 	second!.start();
-	await expect.poll(() => second!.process.exitCode, {timeout: linkedWithin}).toBe(1);
+	await expect.poll(() => second!.process.exitCode, {timeout: linkTimeoutMs}).toBe(1);
 	expect(second!.logged('failed')[0]).toMatchObject({code: 6003});
 });
--- a/__tests__/gateway/upstreams.test.ts
+++ b/__tests__/gateway/upstreams.test.ts
@@ -19,9 +19,9 @@
 });
 
 /** The statuses that promise a caller that its request has not run. */
-const promises = new Set([408, 421, 429, 503]);
+const notRunStatuses = new Set([408, 421, 429, 503]);
 
-function setAll(upstreams: readonly UpstreamStandIn[], fault: Fault): void {
+function setFault(upstreams: readonly UpstreamStandIn[], fault: Fault): void {
 	for (const each of upstreams) {
 		each.fault = fault;
 	}
@@ -31,14 +31,14 @@
 
 describe.each(faults)('a plain service with fault %s', fault => {
 	it('never answers a wrong or partial success, nor promises "not run" falsely', async () => {
-		setAll(site.plains, fault);
+		setFault(site.plains, fault);
 		for (const [index, path] of ['/once/x', '/read/x', '/once/y', '/read/y'].entries()) {
 			const id = `${fault}-${index}`;
 			const answer = await site.ask({path, id, body: 'b'.repeat(index * 30_000)});
 			const runs = site.ledger.of(id);
 			expect(answer.status).toBeGreaterThanOrEqual(500);
 			expect(path.startsWith('/once') ? runs.length : 0).toBeLessThanOrEqual(1);
-			expect(promises.has(answer.status) && path.startsWith('/once') && runs.length > 0).toBe(false);
+			expect(notRunStatuses.has(answer.status) && path.startsWith('/once') && runs.length > 0).toBe(false);
 			expect(runs.length).toBeLessThanOrEqual(2);
 		}
 	});
@@ -53,7 +53,7 @@
 });
 
 it('tells of an unfounded promise once, as an unknown outcome', async () => {
-	setAll(site.plains, 'promise');
+	setFault(site.plains, 'promise');
 	const answer = await site.ask({path: '/once/x', id: 'promise-once'});
 	expect(answer.status).toBe(502);
 	const host = site.hosts[0]!;
@@ -73,13 +73,13 @@
 });
 
 it('takes an answer without a length whose connection ends properly', async () => {
-	setAll(site.plains, 'unframed');
+	setFault(site.plains, 'unframed');
 	const answer = await site.ask({path: '/once/x', id: 'unframed-1', body: 'b'});
 	expect(answer).toMatchObject({status: 200, isWhole: true, body: 'answer to unframed-1: b'});
 });
 
 it('gives no caller an answer that nobody asked for', async () => {
-	setAll(site.plains, 'extra');
+	setFault(site.plains, 'extra');
 	let own = 0;
 	for (let index = 0; index < 8; index++) {
 		const id = `extra-${index}`;
@@ -115,7 +115,7 @@
 	});
 
 	it('never looks complete when every engine breaks it off', async () => {
-		setAll(site.engines, 'cut');
+		setFault(site.engines, 'cut');
 		const answer = await site.ask({path: '/ask/x', id: 'cut-1', headers: prompt(1000, 20)});
 		expect(answer.isWhole).toBe(false);
 		expect(site.ledger.of('cut-1').length).toBe(2);
@@ -159,14 +159,14 @@
 });
 
 it('sends a crashing request to no more than a few engines', async () => {
-	setAll(site.engines, 'lost');
+	setFault(site.engines, 'lost');
 	for (let index = 0; index < 5; index++) {
 		await site.ask({
 			path: '/ask/x', id: `crash-${index}`, headers: prompt(1000, 3), body: 'the same',
 		});
 	}
 
-	setAll(site.engines, 'none');
+	setFault(site.engines, 'none');
 	const answer = await site.ask({
 		path: '/ask/x', id: 'crash-9', headers: prompt(1000, 3), body: 'the same',
 	});
@@ -180,16 +180,16 @@
 
 it('goes on serving what many ask for, though answers to it are lost now and then', async () => {
 	const asked = {path: '/read/popular', method: 'GET'};
-	setAll(site.plains, 'lost');
+	setFault(site.plains, 'lost');
 	await site.ask({...asked, id: 'popular-1'});
-	setAll(site.plains, 'none');
+	setFault(site.plains, 'none');
 	const between = await site.ask({...asked, id: 'popular-2'});
 	expect(between.status).toBe(200);
 	// What breaks at an upstream within 1.5 s counts as one crash.
 	await sleep(1600);
-	setAll(site.plains, 'lost');
+	setFault(site.plains, 'lost');
 	await site.ask({...asked, id: 'popular-3'});
-	setAll(site.plains, 'none');
+	setFault(site.plains, 'none');
 	const after = await site.ask({...asked, id: 'popular-4'});
 	expect(after.status).toBe(200);
 });
--- a/__tests__/truth.test.ts
+++ b/__tests__/guarantees.test.ts
@@ -10,11 +10,11 @@
 } from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
 import {
-	bodyOf,
-	expectedAnswer,
+	buildChatBody,
+	getExpectedAnswer,
 	sendOnce,
-	stream,
-	wantTicket,
+	streamChat,
+	requestTicket,
 } from './support/caller.js';
 import {Ledger} from './support/ledger.js';
 
@@ -57,7 +57,7 @@
 });
 
 async function pay(host: string, body: string, ticket: string, timeout = 5000) {
-	return ledger.note(body, await sendOnce(fleet, {
+	return ledger.record(body, await sendOnce(fleet, {
 		host,
 		path,
 		body,
@@ -66,7 +66,7 @@
 	}));
 }
 
-function upstreamOf(domain: string): string {
+function findPlainUpstream(domain: string): string {
 	return fleet.configuration.upstreams.find(each => each.kind === 'plain' && each.failureDomain === domain)!.id;
 }
 
@@ -87,8 +87,8 @@
 	it('never runs again when its upstream drops the connection before or after running it', async () => {
 		for (const fault of ['drop-before', 'drop-after'] as const) {
 			const body = fault;
-			const ticket = await wantTicket(fleet, 'a-host-1');
-			await fleet.upstreams.faultPlain(upstreamOf('a'), {type: fault, count: 1});
+			const ticket = await requestTicket(fleet, 'a-host-1');
+			await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: fault, count: 1});
 			expect(await pay('a-host-1', body, ticket)).toMatchObject({outcome: 'outcome unknown'});
 			expect(await pay('b-host-2', body, ticket)).toMatchObject({outcome: 'outcome unknown'});
 		}
@@ -97,21 +97,21 @@
 	});
 
 	it('is not run, and says so, when its upstream refuses connections', async () => {
-		const ticket = await wantTicket(fleet, 'a-host-1');
+		const ticket = await requestTicket(fleet, 'a-host-1');
 		for (const domain of ['a', 'b']) {
-			await fleet.upstreams.faultPlain(upstreamOf(domain), {type: 'crash'});
+			await fleet.upstreams.faultPlain(findPlainUpstream(domain), {type: 'crash'});
 		}
 
-		fleet.fault({type: 'refuse', where: {link: upstreamOf('a')}});
-		fleet.fault({type: 'refuse', where: {link: upstreamOf('b')}});
+		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('a')}});
+		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('b')}});
 		const told = await pay('a-host-1', 'refused', ticket);
 		expect(['not run', 'outcome unknown']).toContain(told.outcome);
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
 	it('does not run again after its keeper died, whether or not another took its place', async () => {
-		const used = await wantTicket(fleet, 'a-host-1');
-		const unused = await wantTicket(fleet, 'a-host-1');
+		const used = await requestTicket(fleet, 'a-host-1');
+		const unused = await requestTicket(fleet, 'a-host-1');
 		await pay('a-host-1', 'used', used);
 		await fleet.killHost('a-host-1');
 		expect(await pay('a-host-2', 'used', used)).toMatchObject({outcome: 'outcome unknown'});
@@ -123,7 +123,7 @@
 	});
 
 	it('runs on its own side of a partition and never on both', async () => {
-		const tickets = {a: await wantTicket(fleet, 'a-host-1'), b: await wantTicket(fleet, 'b-host-1')};
+		const tickets = {a: await requestTicket(fleet, 'a-host-1'), b: await requestTicket(fleet, 'b-host-1')};
 		fleet.partition(['a', 'platform'], ['b']);
 		const own = await Promise.all([pay('a-host-2', 'side a', tickets.a), pay('b-host-2', 'side b', tickets.b)]);
 		expect(own.map(({outcome}) => outcome)).toEqual(['done', 'done']);
@@ -140,9 +140,9 @@
 
 	it('runs at most once when its keeper is paused in the middle and wakes late', async () => {
 		const body = 'paused';
-		const ticket = await wantTicket(fleet, 'a-host-1');
+		const ticket = await requestTicket(fleet, 'a-host-1');
 		const {child} = fleet.hosts.get('a-host-1');
-		await fleet.upstreams.faultPlain(upstreamOf('a'), {type: 'late', delay: 500});
+		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'late', delay: 500});
 		const first = pay('a-host-1', body, ticket, 1500);
 		await sleep(100);
 		child.pause();
@@ -150,7 +150,7 @@
 		expect(other.outcome).toBe('outcome unknown');
 		child.resume();
 		await first;
-		await fleet.upstreams.faultPlain(upstreamOf('a'), {type: 'heal'});
+		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'heal'});
 		await pay('a-host-2', body, ticket);
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
@@ -163,9 +163,9 @@
 		['cuts the stream and goes on', 0, {type: 'cut', afterFrames: 20, count: 2}],
 		['cuts the stream before its last frame', 0, {type: 'cut', afterFrames: tokens - 1, count: 2}],
 	] as const)('runs at most once when its engine %s', async (stage, after, fault) => {
-		const body = JSON.stringify({...bodyOf(stage, tokens), messages: [{role: 'user', content: `${stage} `.repeat(6000)}]});
-		const ticket = await wantTicket(fleet, 'a-host-1');
-		const send = async (host: string) => ledger.note(body, await sendOnce(fleet, {
+		const body = JSON.stringify({...buildChatBody(stage, tokens), messages: [{role: 'user', content: `${stage} `.repeat(6000)}]});
+		const ticket = await requestTicket(fleet, 'a-host-1');
+		const send = async (host: string) => ledger.record(body, await sendOnce(fleet, {
 			host,
 			path: '/v1/chat/completions',
 			body,
@@ -189,8 +189,8 @@
 
 	it('survives two faults together: a partition, and the upstream dropping what it ran', async () => {
 		const tickets = await Promise.all(['a-host-1', 'a-host-2', 'b-host-1', 'b-host-2'].map(async host =>
-			({host, ticket: await wantTicket(fleet, host)})));
-		await fleet.upstreams.faultPlain(upstreamOf('a'), {type: 'drop-after', count: 1});
+			({host, ticket: await requestTicket(fleet, host)})));
+		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'drop-after', count: 1});
 		fleet.partition(['a'], ['b', 'platform']);
 		await Promise.all(tickets.map(async ({host, ticket}) => pay(host, `both ${host}`, ticket)));
 		fleet.heal();
@@ -203,7 +203,7 @@
 describe('a stream', () => {
 	it('resumes at another host when its own dies, without a gap or a repeat', async () => {
 		const prompt = 'resumed elsewhere';
-		const before = await stream(fleet, {
+		const before = await streamChat(fleet, {
 			host: 'a-host-1',
 			prompt,
 			tokens,
@@ -214,14 +214,14 @@
 			},
 		});
 		expect(before.isWhole).toBe(false);
-		const after = await stream(fleet, {
+		const after = await streamChat(fleet, {
 			host: 'b-host-1',
 			prompt,
 			tokens,
 			position: before.position!,
 		});
 		expect(after.isWhole).toBe(true);
-		expect(before.text + after.text).toBe(expectedAnswer(prompt, tokens));
+		expect(before.text + after.text).toBe(getExpectedAnswer(prompt, tokens));
 	});
 
 	it('is whole and its own when frames come crossed, twice, out of order or the connection is cut', async () => {
@@ -231,16 +231,16 @@
 		await fleet.upstreams.faultEngines({type: 'cut', afterFrames: 30, count: 2});
 		const prompts = Array.from({length: 12}, (_, index) => `mixed up ${index}`);
 		const seen = await Promise.all(prompts.map(async (prompt, index) =>
-			stream(fleet, {host: index % 2 === 0 ? 'a-host-1' : 'a-host-2', prompt, tokens})));
+			streamChat(fleet, {host: index % 2 === 0 ? 'a-host-1' : 'a-host-2', prompt, tokens})));
 		for (const [index, prompt] of prompts.entries()) {
-			expect(seen[index]).toMatchObject({isWhole: true, text: expectedAnswer(prompt, tokens)});
+			expect(seen[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
 		}
 	});
 
 	it('ends in an error, never in a silent cut, when its engine dies in the middle', async () => {
 		const prompt = 'engine dies';
 		let crashed = false;
-		const seen = await stream(fleet, {
+		const seen = await streamChat(fleet, {
 			host: 'a-host-1',
 			prompt,
 			tokens,
@@ -252,12 +252,12 @@
 			},
 		});
 		expect(seen.isWhole ? seen.text : seen.error).not.toBe('');
-		expect(seen.isWhole ? seen.text === expectedAnswer(prompt, tokens) : seen.error.includes('outcome unknown')).toBe(true);
+		expect(seen.isWhole ? seen.text === getExpectedAnswer(prompt, tokens) : seen.error.includes('outcome unknown')).toBe(true);
 	});
 
 	it('leaves no engine memory held', async () => {
 		await Promise.all(Array.from({length: 8}, async (_, index) =>
-			stream(fleet, {host: 'a-host-1', prompt: `held ${index}`, tokens})));
+			streamChat(fleet, {host: 'a-host-1', prompt: `held ${index}`, tokens})));
 		for (const {address} of fleet.configuration.upstreams.filter(each => each.kind === 'engine')) {
 			const url = `http://${address.host}:${address.port}`;
 			// Reports lag, so they are asked for until they tell of the end.
--- a/__tests__/input.test.ts
+++ b/__tests__/input.test.ts
@@ -14,7 +14,7 @@
 import {Fleet} from '../bench/fleet/fleet.js';
 import {apiKey} from '../bench/fleet/shape.js';
 import {codes} from '../src/core/index.js';
-import {bodyOf, expectedAnswer, stream} from './support/caller.js';
+import {buildChatBody, getExpectedAnswer, streamChat} from './support/caller.js';
 
 const bodyLimit = 20_000;
 const tokens = 5;
@@ -43,13 +43,13 @@
 	await fleet[Symbol.asyncDispose]();
 });
 
-type Bad = {
+type BadRequest = {
 	readonly path?: string;
 	readonly body?: string;
 	readonly headers?: Readonly<Record<string, string>>;
 };
 
-async function post({path: target = '/v1/chat/completions', body = JSON.stringify(bodyOf('hello', tokens)), headers}: Bad): Promise<Response<string>> {
+async function post({path: target = '/v1/chat/completions', body = JSON.stringify(buildChatBody('hello', tokens)), headers}: BadRequest): Promise<Response<string>> {
 	const {caller} = fleet.hosts.get('a-host-1');
 	return got.post(`http://${caller.host}:${caller.port}${target}`, {
 		body,
@@ -59,13 +59,13 @@
 	});
 }
 
-const cases: ReadonlyArray<readonly [name: string, bad: Bad, status: number, code: number]> = [
+const cases: ReadonlyArray<readonly [name: string, bad: BadRequest, status: number, code: number]> = [
 	['a body that is not JSON', {body: '{"model":'}, 400, codes.badBody],
 	['a body without messages', {body: '{"model":"check"}'}, 400, codes.badBody],
 	['an unknown API key', {headers: {authorization: 'Bearer nobody'}}, 401, codes.unknownKey],
 	['no API key', {headers: {authorization: ''}}, 401, codes.unknownKey],
-	['a body over the limit', {body: JSON.stringify(bodyOf('x'.repeat(bodyLimit), tokens))}, 413, codes.bodyTooLarge],
-	['an unknown model', {body: JSON.stringify({...bodyOf('hello', tokens), model: 'none'})}, 404, codes.unknownService],
+	['a body over the limit', {body: JSON.stringify(buildChatBody('x'.repeat(bodyLimit), tokens))}, 413, codes.bodyTooLarge],
+	['an unknown model', {body: JSON.stringify({...buildChatBody('hello', tokens), model: 'none'})}, 404, codes.unknownService],
 	['an unknown service', {path: '/v1/services/none/x'}, 404, codes.unknownService],
 	['an unknown path', {path: '/v2/other'}, 404, codes.unknownPath],
 	['a timeout that is not a number', {headers: {'x-timeout-ms': 'soon'}}, 400, codes.badHeader],
@@ -86,12 +86,12 @@
 	}
 
 	it('leave the host serving', async () => {
-		const seen = await stream(fleet, {host: 'a-host-1', prompt: 'hello', tokens});
-		expect(seen).toMatchObject({isWhole: true, text: expectedAnswer('hello', tokens)});
+		const seen = await streamChat(fleet, {host: 'a-host-1', prompt: 'hello', tokens});
+		expect(seen).toMatchObject({isWhole: true, text: getExpectedAnswer('hello', tokens)});
 	});
 });
 
-async function startWith(settings: unknown): Promise<string> {
+async function startDaemon(settings: unknown): Promise<string> {
 	const directory = await mkdtemp(path.join(tmpdir(), 'settings-'));
 	const file = path.join(directory, 'host.json');
 	await writeFile(file, JSON.stringify(settings));
@@ -113,7 +113,7 @@
 
 describe('bad settings', () => {
 	it('stop the daemon with a code that names each path', async () => {
-		const said = await startWith({
+		const said = await startDaemon({
 			host: 'a b', failureDomain: 'a', caller: {port: 99_999}, unknown: 1,
 		});
 		expect(said).toContain(`"code":${codes.badSettings}`);
@@ -126,7 +126,7 @@
 describe('a port in use', () => {
 	it('stops the daemon with a code', async () => {
 		const {caller} = fleet.hosts.get('a-host-1');
-		const said = await startWith({
+		const said = await startDaemon({
 			host: 'second',
 			failureDomain: 'a',
 			caller,
--- a/__tests__/keys.test.ts
+++ b/__tests__/keys.test.ts
@@ -5,26 +5,26 @@
 	afterEach, beforeEach, describe, expect, it,
 } from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {sendOnce, type Told} from './support/caller.js';
+import {sendOnce, type CallResult} from './support/caller.js';
 import {Ledger} from './support/ledger.js';
 
 const hosts = ['a-host-1', 'a-host-2', 'b-host-1', 'b-host-2'];
-const warmUps = 60;
+const maxWarmUps = 60;
 let fleet: Fleet;
 let ledger: Ledger;
 
-async function pay(host: string, body: string, key: string): Promise<Told> {
-	return ledger.note(body, await sendOnce(fleet, {
+async function pay(host: string, body: string, key: string): Promise<CallResult> {
+	return ledger.record(body, await sendOnce(fleet, {
 		host, path: '/v1/services/book/pay', body, key,
 	}));
 }
 
 /** Hosts serve keys once they have met each other and the key is younger than that. */
-async function untilServed(host: string): Promise<void> {
-	for (let turn = 0; turn < warmUps; turn++) {
+async function waitUntilKeysServed(host: string): Promise<void> {
+	for (let turn = 0; turn < maxWarmUps; turn++) {
 		const key = freshKey();
-		const told = await pay(host, `warm-up ${key}`, key);
-		if (told.outcome === 'done') {
+		const result = await pay(host, `warm-up ${key}`, key);
+		if (result.outcome === 'done') {
 			return;
 		}
 
@@ -49,7 +49,7 @@
 		organisations: [{id: 'one'}],
 	});
 	for (const host of hosts) {
-		await untilServed(host);
+		await waitUntilKeysServed(host);
 	}
 });
 
@@ -80,8 +80,8 @@
 		await fleet.replaceHost('a-host-1');
 		await fleet.hosts.ready(['a-host-1']);
 		expect(await pay('a-host-1', 'kept', kept)).toMatchObject({outcome: 'outcome unknown'});
-		await untilServed('a-host-1');
-		await untilServed('b-host-2');
+		await waitUntilKeysServed('a-host-1');
+		await waitUntilKeysServed('b-host-2');
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 });
--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -8,7 +8,7 @@
 import {inForce, linked, stateOf} from '../bench/membership/status.js';
 import {orderStateSchema} from '../src/upstream/protocol.js';
 
-function shape(fencing: boolean): ShapeInput {
+function buildShape(fencing: boolean): ShapeInput {
 	return {
 		timeScale: 20,
 		domains: ['a'],
@@ -24,13 +24,13 @@
 	};
 }
 
-async function until(holds: () => Promise<boolean> | boolean): Promise<void> {
-	while (!await holds()) {
+async function waitUntil(isTrue: () => Promise<boolean> | boolean): Promise<void> {
+	while (!await isTrue()) {
 		await sleep(20);
 	}
 }
 
-async function versionAt(fleet: Fleet): Promise<string | undefined> {
+async function fetchVersion(fleet: Fleet): Promise<string | undefined> {
 	const [engine] = fleet.configuration.upstreams;
 	const orders = orderStateSchema.parse(await got(`http://${engine!.address.host}:${engine!.address.port}/v1/orders`).json());
 	return (orders.loading ?? orders.current)?.version;
@@ -43,20 +43,20 @@
 	}));
 }
 
-const loadSchema = z.object({
+const loadOrderSchema = z.object({
 	event: z.literal('ordered'),
 	order: z.object({type: z.literal('load'), target: z.object({version: z.string()})}),
 });
 
 /** Hosts that ordered a version; others may have sealed the engine while they did not know each other yet. */
-function orderersOf(fleet: Fleet, version: string): readonly string[] {
-	const isLoad = (line: unknown) => loadSchema.safeParse(line).data?.order.target.version === version;
+function findOrderers(fleet: Fleet, version: string): readonly string[] {
+	const isLoad = (line: unknown) => loadOrderSchema.safeParse(line).data?.order.target.version === version;
 	return fleet.hosts.all.filter(({child}) => child.lines.some(line => isLoad(line))).map(host => host.id);
 }
 
 describe('hosts that are replaced', () => {
 	it('cut no stream and take nothing new 3 s after they announced leaving', {timeout: 180_000}, async () => {
-		await using fleet = await Fleet.start({...shape(true), engines: [{service: 'check', perDomain: 2}], keepsLogs: false});
+		await using fleet = await Fleet.start({...buildShape(true), engines: [{service: 'check', perDomain: 2}], keepsLogs: false});
 		const seen = await rollHosts(fleet, 4, 6);
 		expect(seen).toMatchObject({replacements: 4, cut: 0, late: 0});
 		expect(seen.streams).toBeGreaterThan(0);
@@ -65,7 +65,7 @@
 
 describe('planned stops of hosts', () => {
 	it('begin one after another, the second once the first is back', {timeout: 120_000}, async () => {
-		await using fleet = await Fleet.start({...shape(true), engines: []});
+		await using fleet = await Fleet.start({...buildShape(true), engines: []});
 		const hosts = fleet.hosts.all.map(host => host.id);
 		await linked(fleet, hosts, 2);
 		const notBefore = Date.now();
@@ -75,11 +75,11 @@
 				id: `stop-${index}`, target: {kind: 'host', id}, notBefore, grace: 5000,
 			} as const)),
 		}));
-		await until(() => !fleet.hosts.get('a-host-2').child.isAlive);
+		await waitUntil(() => !fleet.hosts.get('a-host-2').child.isAlive);
 		expect(fleet.hosts.get('a-host-1').child.isAlive).toBe(true);
 		expect(await stateOf(fleet, 'a-host-1')).toMatchObject({phase: 'serving'});
 		await fleet.replaceHost('a-host-2');
-		await until(() => !fleet.hosts.get('a-host-1').child.isAlive);
+		await waitUntil(() => !fleet.hosts.get('a-host-1').child.isAlive);
 		expect(await stateOf(fleet, 'a-host-2')).toMatchObject({phase: 'serving'});
 		expect(await stateOf(fleet, 'a-host-3')).toMatchObject({phase: 'serving'});
 	});
@@ -87,21 +87,21 @@
 
 describe('an orderer that is paused and wakes after a takeover', () => {
 	it.each([true, false])('leaves the engine with what the others ordered (numbers checked: %s)', {timeout: 120_000}, async fencing => {
-		await using fleet = await Fleet.start(shape(fencing));
+		await using fleet = await Fleet.start(buildShape(fencing));
 		// A host that does not know its peers yet is the orderer of every engine: two of them would order version 2.
 		await linked(fleet, fleet.hosts.all.map(host => host.id), 2);
 		await publishVersion(fleet, '2');
-		await until(async () => await versionAt(fleet) === '2');
-		const [paused, ...rest] = orderersOf(fleet, '2');
+		await waitUntil(async () => await fetchVersion(fleet) === '2');
+		const [paused, ...rest] = findOrderers(fleet, '2');
 		expect(rest).toEqual([]);
 		fleet.hosts.get(paused!).child.pause();
 		const others = fleet.hosts.all.map(host => host.id).filter(id => id !== paused);
 		await inForce(fleet, others, await publishVersion(fleet, '3'));
-		await until(async () => await versionAt(fleet) === '3');
+		await waitUntil(async () => await fetchVersion(fleet) === '3');
 		fleet.hosts.get(paused!).child.resume();
 		await inForce(fleet, [paused!], fleet.configuration.revision);
 		for (let look = 0; look < 40; look++) {
-			expect(await versionAt(fleet)).toBe('3');
+			expect(await fetchVersion(fleet)).toBe('3');
 			await sleep(100);
 		}
 
--- a/__tests__/memory.test.ts
+++ b/__tests__/memory.test.ts
@@ -9,13 +9,13 @@
 } from 'vitest';
 import {z} from 'zod';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {expectedAnswer, stream} from './support/caller.js';
+import {getExpectedAnswer, streamChat} from './support/caller.js';
 
 const tokens = 40;
-const memory = 20_000;
+const engineMemory = 20_000;
 const promptTokens = 45_000;
 /** Milliseconds after a fault within which no hold may be left. */
-const holdsGone = 30_000;
+const holdReleaseTimeoutMs = 30_000;
 const holdsSchema = z.object({holds: z.array(z.unknown())});
 let fleet: Fleet;
 
@@ -24,7 +24,7 @@
 		timeScale: 4,
 		domains: ['a'],
 		hosts: [2],
-		engines: [{service: 'check', perDomain: 4, settings: {memory, answer: {least: tokens, most: tokens}}}],
+		engines: [{service: 'check', perDomain: 4, settings: {memory: engineMemory, answer: {least: tokens, most: tokens}}}],
 		services: [{
 			kind: 'model',
 			id: 'check',
@@ -52,15 +52,15 @@
 
 const statusSchema = z.object({peers: z.array(z.object({connected: z.boolean()}))});
 
-async function linkedPeers(): Promise<readonly number[]> {
+async function countLinkedPeers(): Promise<readonly number[]> {
 	return Promise.all(fleet.hosts.alive.map(async ({admin}) => {
 		const {peers} = statusSchema.parse(await got(`http://${admin!.host}:${admin!.port}/admin/status`).json());
 		return peers.filter(peer => peer.connected).length;
 	}));
 }
 
-async function large(host: string, prompt: string, onFrame?: (count: number) => void) {
-	return stream(fleet, {
+async function streamLargePrompt(host: string, prompt: string, onFrame?: (count: number) => void) {
+	return streamChat(fleet, {
 		host,
 		prompt,
 		tokens,
@@ -72,27 +72,27 @@
 describe('a prompt larger than one engine', () => {
 	it('is answered whole by several, from two hosts at once, and leaves nothing held', async () => {
 		const prompts = ['first', 'second', 'third'];
-		const seen = await Promise.all(prompts.map(async (prompt, index) => large(`a-host-${(index % 2) + 1}`, prompt)));
+		const seen = await Promise.all(prompts.map(async (prompt, index) => streamLargePrompt(`a-host-${(index % 2) + 1}`, prompt)));
 		for (const [index, prompt] of prompts.entries()) {
-			expect(seen[index]).toMatchObject({isWhole: true, text: expectedAnswer(prompt, tokens)});
+			expect(seen[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
 		}
 
-		await expect.poll(countHolds, {timeout: holdsGone}).toBe(0);
+		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs}).toBe(0);
 	});
 
 	it('leaves nothing held when its host dies in the middle', async () => {
-		const seen = await large('a-host-1', 'host dies', count => {
+		const seen = await streamLargePrompt('a-host-1', 'host dies', count => {
 			if (count === 3) {
 				void fleet.killHost('a-host-1');
 			}
 		});
 		expect(seen.isWhole).toBe(false);
-		await expect.poll(countHolds, {timeout: holdsGone, interval: 500}).toBe(0);
+		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs, interval: 500}).toBe(0);
 	});
 
 	it('leaves nothing held when its host is paused in the middle and wakes late', async () => {
 		const {child} = fleet.hosts.get('a-host-1');
-		const running = large('a-host-1', 'host pauses', count => {
+		const running = streamLargePrompt('a-host-1', 'host pauses', count => {
 			if (count === 3) {
 				child.pause();
 				setTimeout(() => {
@@ -101,7 +101,7 @@
 			}
 		});
 		await running;
-		await expect.poll(countHolds, {timeout: holdsGone, interval: 500}).toBe(0);
+		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs, interval: 500}).toBe(0);
 	});
 
 	it('leaves nothing held when its caller leaves', async () => {
@@ -118,20 +118,20 @@
 		leaving.on('error', () => undefined);
 		await expect.poll(countHolds, {timeout: 10_000}).toBeGreaterThan(0);
 		leaving.destroy();
-		await expect.poll(countHolds, {timeout: holdsGone, interval: 500}).toBe(0);
+		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs, interval: 500}).toBe(0);
 	});
 });
 
 describe('a request that crashes engines', () => {
 	// Hosts that have no link yet know nothing of each other's crashes; docs/OUTCOMES.md gives the bound for that.
 	it('takes at most three with it though its caller sends it again everywhere, and others go on', async () => {
-		await expect.poll(linkedPeers, {timeout: 20_000}).toEqual([1, 1]);
+		await expect.poll(countLinkedPeers, {timeout: 20_000}).toEqual([1, 1]);
 		await fleet.upstreams.faultEngines({type: 'poison', marker: 'poison', returnAfter: 300});
 		for (let turn = 0; turn < 8; turn++) {
 			const host = `a-host-${(turn % 2) + 1}`;
 			const [seen] = await Promise.all([
-				stream(fleet, {host, prompt: 'poison pill', tokens}),
-				stream(fleet, {host, prompt: `neighbour ${turn}`, tokens}),
+				streamChat(fleet, {host, prompt: 'poison pill', tokens}),
+				streamChat(fleet, {host, prompt: `neighbour ${turn}`, tokens}),
 			]);
 			expect(seen.isWhole).toBe(false);
 		}
@@ -141,7 +141,7 @@
 		expect(crashes).toBeGreaterThan(0);
 		expect(crashes).toBeLessThanOrEqual(3);
 		await expect.poll(async () => {
-			const after = await stream(fleet, {host: 'a-host-1', prompt: 'afterwards', tokens});
+			const after = await streamChat(fleet, {host: 'a-host-1', prompt: 'afterwards', tokens});
 			return after.isWhole;
 		}, {timeout: 20_000}).toBe(true);
 	});
--- a/__tests__/operators.test.ts
+++ b/__tests__/operators.test.ts
@@ -9,12 +9,12 @@
 import {formatAddress} from '../src/protocol/address.js';
 import {decisionsSchema} from '../src/protocol/admin.js';
 
-const names = ['a-host-1', 'a-host-2'];
-const key = {CRANBERRYTIDE_KEY: apiKey('one')};
+const hostNames = ['a-host-1', 'a-host-2'];
+const environment = {CRANBERRYTIDE_KEY: apiKey('one')};
 let fleet: Fleet;
 
-function addresses(listener: 'admin' | 'caller'): string {
-	return names.map(name => formatAddress(fleet.hosts.get(name)[listener]!)).join(',');
+function formatAddresses(listener: 'admin' | 'caller'): string {
+	return hostNames.map(name => formatAddress(fleet.hosts.get(name)[listener]!)).join(',');
 }
 
 beforeAll(async () => {
@@ -42,39 +42,39 @@
 
 describe('operators\' tools', () => {
 	it('shows the document in force and the state of the fleet', async () => {
-		const shown = await command(['show', '--hosts', addresses('admin')]);
+		const shown = await command(['show', '--hosts', formatAddresses('admin')]);
 		expect(shown).toMatchObject({code: 0, complaints: ''});
 		expect(shown.out.trim().split('\n')).toHaveLength(3);
-		const document = await command(['show', '--document', '--hosts', addresses('admin')]);
+		const document = await command(['show', '--document', '--hosts', formatAddresses('admin')]);
 		const checked = await command(['check', '-'], document.out);
 		expect(checked.code).toBe(0);
-		const status = await command(['status', '--hosts', addresses('admin')]);
+		const status = await command(['status', '--hosts', formatAddresses('admin')]);
 		expect(status.code).toBe(0);
 		expect(status.out).toMatch(/^a-host-2 +a +serving/mv);
 		expect(status.out).toMatch(/^a-check-1 +engine +check/mv);
 	});
 
 	it('sends a prompt and explains what became of it', async () => {
-		const answer = await command(['send', '--service', 'check', '--max-tokens', '20', '--hosts', addresses('caller')], 'one line', key);
+		const answer = await command(['send', '--service', 'check', '--max-tokens', '20', '--hosts', formatAddresses('caller')], 'one line', environment);
 		expect(answer).toMatchObject({code: 0, complaints: ''});
 		expect(answer.out.length).toBeGreaterThan(1);
-		const {host, request} = await concludedRequest();
-		const explained = await command(['explain', request, '--hosts', addresses('admin')]);
+		const {host, request} = await findConcludedRequest();
+		const explained = await command(['explain', request, '--hosts', formatAddresses('admin')]);
 		expect(explained.code).toBe(0);
 		expect(explained.out).toContain(`${host}  Sent to a-check-1 as attempt ${request}`);
 		expect(explained.out).toContain('Answered in full');
 	});
 
 	it('runs a call that may run only once, with the ticket it is given', async () => {
-		const words = ['send', '--service', 'book', '--path', '/bookings', '--once', '--hosts', addresses('caller')];
-		expect(await command(words, '{"seat":1}', key)).toMatchObject({code: 0, complaints: ''});
-		const unknown = await command(['send', '--service', 'none', '--hosts', addresses('caller')], 'x', key);
+		const words = ['send', '--service', 'book', '--path', '/bookings', '--once', '--hosts', formatAddresses('caller')];
+		expect(await command(words, '{"seat":1}', environment)).toMatchObject({code: 0, complaints: ''});
+		const unknown = await command(['send', '--service', 'none', '--hosts', formatAddresses('caller')], 'x', environment);
 		expect(unknown.code).toBe(10);
 		expect(unknown.complaints).toContain('error 1004');
 	});
 
 	it('makes the next document from the one in force', async () => {
-		await using console = await openConsole({admin: addresses('admin').split(',')});
+		await using console = await openConsole({admin: formatAddresses('admin').split(',')});
 		const start = await console.start();
 		expect(start).not.toContain('class="notice');
 		const page = await console.next(start, 'go/entry/organisations/0');
@@ -83,16 +83,16 @@
 	});
 
 	it('drains a host', async () => {
-		const drained = await command(['drain', 'a-host-2', '--wait', '--hosts', addresses('admin')]);
+		const drained = await command(['drain', 'a-host-2', '--wait', '--hosts', formatAddresses('admin')]);
 		expect(drained.code).toBe(0);
 		expect(drained.out).toContain('a-host-2 is leaving');
-		expect(await command(['status', '--hosts', addresses('admin')])).toMatchObject({code: 70});
+		expect(await command(['status', '--hosts', formatAddresses('admin')])).toMatchObject({code: 70});
 	});
 });
 
 /** A request that some host still knows to have ended. */
-async function concludedRequest(): Promise<{readonly host: string; readonly request: string}> {
-	for (const name of names) {
+async function findConcludedRequest(): Promise<{readonly host: string; readonly request: string}> {
+	for (const name of hostNames) {
 		const response = await fetch(`http://${formatAddress(fleet.hosts.get(name).admin!)}/admin/decisions`);
 		const {decisions} = decisionsSchema.parse(await response.json());
 		const concluded = decisions.find(({decision}) => decision.type === 'concluded');
--- a/__tests__/support/caller.ts
+++ b/__tests__/support/caller.ts
@@ -9,7 +9,7 @@
 import {renderPrompt} from '../../src/protocol/blocks.js';
 
 /** What a caller was told at the end. */
-export type Told = {
+export type CallResult = {
 	readonly status: number;
 	readonly outcome: string;
 	readonly code: number;
@@ -18,14 +18,14 @@
 };
 
 /** A connection that broke before an answer. */
-const nothingTold: Told = {
+const connectionFailure: CallResult = {
 	status: 0,
 	outcome: 'outcome unknown',
 	code: -1,
 	body: '',
 };
 
-function told({statusCode, headers, trailers, body}: Response<string>): Told {
+function readResult({statusCode, headers, trailers, body}: Response<string>): CallResult {
 	const {ticket} = headers['x-ticket'] === undefined ? {} : {ticket: String(headers['x-ticket'])};
 	return {
 		status: statusCode,
@@ -33,14 +33,14 @@
 		code: Number(headers['x-result-code'] ?? trailers['x-result-code'] ?? -1),
 		body,
 		ticket,
-		...streamEnd(body),
+		...readStreamOutcome(body),
 	};
 }
 
 const errorSchema = z.object({error: z.object({type: z.string(), code: z.number()})});
 
 /** A stream tells its outcome in its terminal event. */
-function streamEnd(body: string): Partial<Told> {
+function readStreamOutcome(body: string): Partial<CallResult> {
 	const error = /^event: error\ndata: (.*)$/mv.exec(body)?.[1];
 	if (error !== undefined) {
 		const {type, code} = errorSchema.parse(JSON.parse(error)).error;
@@ -50,7 +50,7 @@
 	return body.includes('\ndata: [DONE]\n') ? {outcome: 'done', code: 0} : {};
 }
 
-export type Sending = {
+export type SendOptions = {
 	readonly host: string;
 	readonly path: string;
 	readonly body: string;
@@ -58,10 +58,10 @@
 	readonly key?: string;
 	readonly timeout?: number;
 	/** Milliseconds after which the caller itself gives up. */
-	readonly patience?: number;
+	readonly callerTimeout?: number;
 };
 
-function urlOf({host, port}: Address, path: string): string {
+function buildUrl({host, port}: Address, path: string): string {
 	return `http://${host}:${port}${path}`;
 }
 
@@ -69,28 +69,28 @@
  * Sends a request that may run only once.
  *
  * @param fleet - Fleet.
- * @param sending - Request.
+ * @param options - Request.
  * @returns What the caller was told.
  */
-export async function sendOnce(fleet: Fleet, sending: Sending): Promise<Told> {
-	const {caller} = fleet.hosts.get(sending.host);
+export async function sendOnce(fleet: Fleet, options: SendOptions): Promise<CallResult> {
+	const {caller} = fleet.hosts.get(options.host);
 	try {
-		return told(await got.post(urlOf(caller, sending.path), {
-			body: sending.body,
+		return readResult(await got.post(buildUrl(caller, options.path), {
+			body: options.body,
 			headers: {
 				authorization: `Bearer ${apiKey('one')}`,
 				'content-type': 'application/json',
 				'x-idempotent': 'false',
-				'x-timeout-ms': String(sending.timeout ?? 5000),
-				...(sending.ticket !== undefined && {'x-ticket': sending.ticket}),
-				...(sending.key !== undefined && {'idempotency-key': sending.key}),
+				'x-timeout-ms': String(options.timeout ?? 5000),
+				...(options.ticket !== undefined && {'x-ticket': options.ticket}),
+				...(options.key !== undefined && {'idempotency-key': options.key}),
 			},
 			throwHttpErrors: false,
 			retry: {limit: 0},
-			timeout: {request: sending.patience ?? 15_000},
+			timeout: {request: options.callerTimeout ?? 15_000},
 		}));
 	} catch {
-		return nothingTold;
+		return connectionFailure;
 	}
 }
 
@@ -99,9 +99,9 @@
  * @param host - Host that issues it.
  * @returns A ticket.
  */
-export async function wantTicket(fleet: Fleet, host: string): Promise<string> {
+export async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
-	const {ticket} = await got.post(urlOf(caller, '/v1/tickets'), {
+	const {ticket} = await got.post(buildUrl(caller, '/v1/tickets'), {
 		headers: {authorization: `Bearer ${apiKey('one')}`},
 		retry: {limit: 0},
 	}).json<{ticket: string}>();
@@ -109,7 +109,7 @@
 }
 
 /** A stream as far as its caller saw it. */
-export type Seen = {
+export type StreamResult = {
 	readonly text: string;
 	readonly position: string | undefined;
 	/** Whether the terminal event came. */
@@ -118,7 +118,7 @@
 	readonly error: string;
 };
 
-export type Streaming = {
+export type StreamOptions = {
 	readonly host: string;
 	readonly prompt: string;
 	readonly tokens: number;
@@ -134,7 +134,7 @@
 	choices: z.array(z.object({delta: z.object({content: z.string().optional()})})),
 });
 
-function contentOf(data: string): string {
+function readContent(data: string): string {
 	const {choices} = chunkSchema.parse(JSON.parse(data));
 	return choices[0]?.delta.content ?? '';
 }
@@ -143,11 +143,11 @@
  * Streams one answer until it ends or breaks.
  *
  * @param fleet - Fleet.
- * @param streaming - Request, or the position from which to resume.
+ * @param options - Request, or the position from which to resume.
  * @returns What the caller saw.
  */
-export async function stream(fleet: Fleet, streaming: Streaming): Promise<Seen> {
-	const {caller} = fleet.hosts.get(streaming.host);
+export async function streamChat(fleet: Fleet, options: StreamOptions): Promise<StreamResult> {
+	const {caller} = fleet.hosts.get(options.host);
 	let text = '';
 	let position: string | undefined;
 	let isWhole = false;
@@ -161,21 +161,21 @@
 			} else if (event.event === 'error') {
 				error = event.data;
 			} else {
-				const content = contentOf(event.data);
+				const content = readContent(event.data);
 				position = event.id ?? position;
 				text += content;
 				frames += content === '' ? 0 : 1;
-				streaming.onFrame?.(frames);
+				options.onFrame?.(frames);
 			}
 		},
 	});
-	const request = got.stream.post(urlOf(caller, '/v1/chat/completions'), {
-		json: bodyOf(streaming.prompt, streaming.tokens),
+	const request = got.stream.post(buildUrl(caller, '/v1/chat/completions'), {
+		json: buildChatBody(options.prompt, options.tokens),
 		headers: {
 			authorization: `Bearer ${apiKey('one')}`,
-			...(streaming.position !== undefined && {'last-event-id': streaming.position}),
-			...(streaming.promptTokens !== undefined && {'x-prompt-tokens': String(streaming.promptTokens)}),
-			...(streaming.ticket !== undefined && {'x-ticket': streaming.ticket, 'x-idempotent': 'false'}),
+			...(options.position !== undefined && {'last-event-id': options.position}),
+			...(options.promptTokens !== undefined && {'x-prompt-tokens': String(options.promptTokens)}),
+			...(options.ticket !== undefined && {'x-ticket': options.ticket, 'x-idempotent': 'false'}),
 		},
 		throwHttpErrors: false,
 		retry: {limit: 0},
@@ -209,7 +209,7 @@
  * @param tokens - The most tokens wanted.
  * @returns Body of a streamed chat.
  */
-export function bodyOf(prompt: string, tokens: number) {
+export function buildChatBody(prompt: string, tokens: number) {
 	return {
 		model: 'check',
 		stream: true,
@@ -223,7 +223,7 @@
  * @param tokens - Tokens of the answer; the fleet's engines answer with as many as are wanted.
  * @returns The whole answer.
  */
-export function expectedAnswer(prompt: string, tokens: number): string {
+export function getExpectedAnswer(prompt: string, tokens: number): string {
 	const digest = promptDigest(renderPrompt([{role: 'user', content: prompt}]));
 	return answerText(digest, answerLength(digest, {least: tokens, most: tokens}, tokens));
 }
--- a/__tests__/support/ledger.ts
+++ b/__tests__/support/ledger.ts
@@ -1,33 +1,33 @@
 /** The one checker of what must always hold for requests that may run only once; every scenario under faults uses it. */
 import {shortDigest} from '../../src/protocol/blocks.js';
 import {type Fleet} from '../../bench/fleet/fleet.js';
-import {type Told} from './caller.js';
+import {type CallResult} from './caller.js';
 
 /** A promise that did not hold. */
-export type Breach = {
+export type Violation = {
 	readonly body: string;
-	readonly promise: 'at most once' | 'not run is true' | 'done is true';
+	readonly guarantee: 'at most once' | 'not run is true' | 'done is true';
 	readonly executions: number;
-	readonly told: readonly string[];
+	readonly results: readonly string[];
 };
 
 export class Ledger {
-	readonly #told = new Map<string, Told[]>();
+	readonly #results = new Map<string, CallResult[]>();
 
 	/**
 	 * @param body - Body of the request; each logical request has its own.
-	 * @param told - What its caller was told.
+	 * @param result - What its caller was told.
 	 * @returns The same.
 	 */
-	note(body: string, told: Told): Told {
-		this.#told.set(body, [...this.#told.get(body) ?? [], told]);
-		return told;
+	record(body: string, result: CallResult): CallResult {
+		this.#results.set(body, [...this.#results.get(body) ?? [], result]);
+		return result;
 	}
 
 	/** Answers by outcome. */
 	get outcomes(): Readonly<Record<string, number>> {
 		const counts: Record<string, number> = {};
-		for (const {outcome} of [...this.#told.values()].flat()) {
+		for (const {outcome} of [...this.#results.values()].flat()) {
 			counts[outcome] = (counts[outcome] ?? 0) + 1;
 		}
 
@@ -38,13 +38,13 @@
 	 * @param fleet - Fleet that ran the requests.
 	 * @returns Every promise that did not hold.
 	 */
-	async check(fleet: Fleet): Promise<readonly Breach[]> {
-		const ran = await countRuns(fleet);
-		return [...this.#told].flatMap(([body, answers]) => breaches(body, answers, ran.get(shortDigest(body)) ?? 0));
+	async check(fleet: Fleet): Promise<readonly Violation[]> {
+		const executions = await countExecutions(fleet);
+		return [...this.#results].flatMap(([body, answers]) => findViolations(body, answers, executions.get(shortDigest(body)) ?? 0));
 	}
 }
 
-async function countRuns(fleet: Fleet): Promise<ReadonlyMap<string, number>> {
+async function countExecutions(fleet: Fleet): Promise<ReadonlyMap<string, number>> {
 	const counts = new Map<string, number>();
 	const add = (body: string, count: number) => {
 		counts.set(body, (counts.get(body) ?? 0) + count);
@@ -66,40 +66,40 @@
 }
 
 /** A refusal that brings a ticket says of itself only that this sending did not run. */
-function isFinal({code}: Told): boolean {
+function isFinal({code}: CallResult): boolean {
 	return code !== 1006;
 }
 
-function breaches(body: string, answers: readonly Told[], executions: number): readonly Breach[] {
-	const told = answers.map(({outcome, code}) => `${outcome} ${code}`);
-	const found: Breach[] = [];
+function findViolations(body: string, results: readonly CallResult[], executions: number): readonly Violation[] {
+	const summaries = results.map(({outcome, code}) => `${outcome} ${code}`);
+	const violations: Violation[] = [];
 	if (executions > 1) {
-		found.push({
+		violations.push({
 			body,
-			promise: 'at most once',
+			guarantee: 'at most once',
 			executions,
-			told,
+			results: summaries,
 		});
 	}
 
-	const last = answers.at(-1);
+	const last = results.at(-1);
 	if (last?.outcome === 'not run' && isFinal(last) && executions > 0) {
-		found.push({
+		violations.push({
 			body,
-			promise: 'not run is true',
+			guarantee: 'not run is true',
 			executions,
-			told,
+			results: summaries,
 		});
 	}
 
 	if (last?.outcome === 'done' && executions !== 1) {
-		found.push({
+		violations.push({
 			body,
-			promise: 'done is true',
+			guarantee: 'done is true',
 			executions,
-			told,
+			results: summaries,
 		});
 	}
 
-	return found;
+	return violations;
 }
--- a/__tests__/takeover.test.ts
+++ b/__tests__/takeover.test.ts
@@ -21,11 +21,11 @@
 };
 
 const hosts = ['a-host-1', 'a-host-2', 'b-host-1'];
-const bookings = 12;
+const bookingCount = 12;
 const ticketSchema = z.object({ticket: z.string()});
 
 /** The second upstream of each domain stands for the old scripts. */
-function withLegacy(before: Configuration): Configuration {
+function useLegacyUpstreams(before: Configuration): Configuration {
 	return {
 		...before,
 		upstreams: before.upstreams.map(upstream => upstream.kind === 'plain' && upstream.id.endsWith('-2') ? {...upstream, kind: 'legacy'} : upstream),
@@ -33,7 +33,7 @@
 	};
 }
 
-async function ticketFrom(fleet: Fleet, host: string): Promise<string> {
+async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
 	const answer = await got.post(`http://${caller.host}:${caller.port}/v1/tickets`, {
 		headers: {authorization: `Bearer ${apiKey('one')}`}, retry: {limit: 0},
@@ -41,7 +41,7 @@
 	return ticketSchema.parse(answer).ticket;
 }
 
-async function show(fleet: Fleet, host: string, ticket: string, body: string): Promise<number> {
+async function sendBooking(fleet: Fleet, host: string, ticket: string, body: string): Promise<number> {
 	const {caller} = fleet.hosts.get(host);
 	const {statusCode} = await got.post(`http://${caller.host}:${caller.port}/v1/services/book/seats`, {
 		headers: {authorization: `Bearer ${apiKey('one')}`, 'x-ticket': ticket}, body, retry: {limit: 0}, throwHttpErrors: false,
@@ -50,7 +50,7 @@
 }
 
 /** Executions by upstream. */
-function executed(fleet: Fleet): Readonly<Record<string, number>> {
+function countExecutions(fleet: Fleet): Readonly<Record<string, number>> {
 	return Object.fromEntries(fleet.upstreams.plainCounts.map(each => [each.service, each.executed]));
 }
 
@@ -58,9 +58,9 @@
 	it('runs each booking once, on one side', async () => {
 		await using fleet = await Fleet.start(shape);
 		await linked(fleet, hosts, 2);
-		await inForce(fleet, hosts, await fleet.publish(before => withLegacy(before)));
-		expect(await show(fleet, 'a-host-1', await ticketFrom(fleet, 'a-host-2'), 'first')).toBe(200);
-		expect(executed(fleet)).toMatchObject({'a-book-1': 0, 'a-book-2': 1});
+		await inForce(fleet, hosts, await fleet.publish(before => useLegacyUpstreams(before)));
+		expect(await sendBooking(fleet, 'a-host-1', await requestTicket(fleet, 'a-host-2'), 'first')).toBe(200);
+		expect(countExecutions(fleet)).toMatchObject({'a-book-1': 0, 'a-book-2': 1});
 		// Hosts of b still reach the callers' listeners of a, but neither its peer links nor the platform.
 		fleet.fault({type: 'refuse', where: {link: 'b-host-1-platform'}});
 		for (const host of hosts) {
@@ -71,9 +71,9 @@
 		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
 		expect(await stateOf(fleet, 'b-host-1')).toMatchObject({revision: revision - 1});
 		const codes = new Set<number>();
-		for (let booking = 0; booking < bookings; booking++) {
-			const ticket = await ticketFrom(fleet, hosts[booking % hosts.length]!);
-			const shown = await Promise.all(hosts.map(async host => show(fleet, host, ticket, `booking ${booking}`)));
+		for (let booking = 0; booking < bookingCount; booking++) {
+			const ticket = await requestTicket(fleet, hosts[booking % hosts.length]!);
+			const shown = await Promise.all(hosts.map(async host => sendBooking(fleet, host, ticket, `booking ${booking}`)));
 			for (const code of shown) {
 				codes.add(code);
 			}
@@ -81,13 +81,13 @@
 
 		expect(codes).toEqual(new Set([200]));
 		const counts = fleet.upstreams.plainCounts;
-		expect(counts.reduce((sum, each) => sum + each.executed, 0)).toBe(bookings + 1);
+		expect(counts.reduce((sum, each) => sum + each.executed, 0)).toBe(bookingCount + 1);
 		for (const {byBody} of counts) {
 			expect(new Set(Object.values(byBody))).toEqual(new Set(Object.keys(byBody).length === 0 ? [] : [1]));
 		}
 
 		// Of four bookings kept by b all went to the old scripts, of eight kept by a none.
-		expect(executed(fleet)).toMatchObject({'a-book-2': 1, 'b-book-1': 0, 'b-book-2': 4});
+		expect(countExecutions(fleet)).toMatchObject({'a-book-2': 1, 'b-book-1': 0, 'b-book-2': 4});
 		fleet.heal();
 		await inForce(fleet, hosts, revision);
 	});
