--- a/__tests__/adoption.test.ts
+++ b/__tests__/adoption.test.ts
@@ -1,3 +1,4 @@
+/** Propagation of configuration documents between the platform and hosts, with real processes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {describe, expect, it} from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
@@ -20,8 +21,8 @@
 
 const hosts = ['a-host-1', 'a-host-2', 'b-host-1', 'b-host-2', 'c-host-1', 'c-host-2'];
 
-describe('adoption', () => {
-	it('brings a revision into force everywhere through one host that reads it, and one domain that links two', async () => {
+describe('configuration adoption', () => {
+	it('applies a revision on every host when one host reads the platform and one domain connects the other two', async () => {
 		await using fleet = await Fleet.start(buildShape(true));
 		await linked(fleet, hosts, 3);
 		for (const host of hosts.slice(1)) {
@@ -38,7 +39,7 @@
 		expect(await stateOf(fleet, 'c-host-2')).toMatchObject({revision: 4});
 	});
 
-	it('refuses a stale, an invalid and another document of the same revision, and keeps serving', async () => {
+	it('rejects a stale document, an invalid one and a different one of the same revision, and keeps serving', async () => {
 		await using fleet = await Fleet.start({...buildShape(false), hosts: [1]});
 		const first = fleet.configuration;
 		await inForce(fleet, ['a-host-1'], await fleet.publish(before => before));
@@ -49,14 +50,14 @@
 		expect(await stateOf(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision: 2});
 	});
 
-	it('goes back on no host while the platform alternates fresh and stale and hosts restart', {timeout: 120_000}, async () => {
+	it('never reverts to an older revision while the platform alternates fresh and stale documents and hosts restart', {timeout: 120_000}, async () => {
 		await using fleet = await Fleet.start({...buildShape(false), domains: ['a', 'b']});
-		const seen = await countReversions(fleet, 60, 20);
-		expect(seen).toMatchObject({changes: 60, restarts: 3, reversions: 0});
-		expect(seen.readings).toBeGreaterThan(0);
+		const result = await countReversions(fleet, 60, 20);
+		expect(result).toMatchObject({changes: 60, restarts: 3, reversions: 0});
+		expect(result.readings).toBeGreaterThan(0);
 	});
 
-	it('gives a host that starts during an outage the document of its peers', async () => {
+	it('gives a host that starts during a platform outage the document of its peers', async () => {
 		await using fleet = await Fleet.start({...buildShape(true), domains: ['a']});
 		const revision = await fleet.publish(before => before);
 		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
--- a/__tests__/docs.test.ts
+++ b/__tests__/docs.test.ts
@@ -1,4 +1,4 @@
-/** Pages name only what exists. */
+/** Checks that the documentation refers only to scripts, files, links and result codes that exist. */
 import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
@@ -35,17 +35,17 @@
 		expect(named.filter(script => !(script in scripts))).toEqual([]);
 	});
 
-	it('names files that are there', () => {
+	it('names files that exist', () => {
 		const named = findMatches(text, /`((?:src|stand-ins|bench|docs|__tests__|\.ci)\/[\w.\/\-]*[\w])`/gv);
 		expect(named.filter(file => !existsSync(path.join(root, file)))).toEqual([]);
 	});
 
-	it('links to pages that are there', () => {
+	it('links to pages that exist', () => {
 		const linked = findMatches(text, /\]\((?!https?:|#|mailto:)([^\)#\s]+)/gv);
 		expect(linked.filter(link => !existsSync(path.join(root, path.dirname(page), link)))).toEqual([]);
 	});
 
-	it('names compiled programs whose sources are there', () => {
+	it('names compiled programs whose sources exist', () => {
 		const named = findMatches(text, /node (?:--[\w\-]+ )*dist\/([\w.\/\-]+)\.js/gv);
 		expect(named.filter(program => !existsSync(path.join(root, `${program}.ts`)))).toEqual([]);
 	});
--- a/__tests__/examples.test.ts
+++ b/__tests__/examples.test.ts
@@ -1,4 +1,4 @@
-/** The files of docs/examples, and the tables of the pages, against the code. */
+/** Checks the files in docs/examples and the tables in the documentation against the code. */
 import {existsSync, readFileSync} from 'node:fs';
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
@@ -14,7 +14,7 @@
 const readPage = (name: string) => readFileSync(path.join(docs, name), 'utf8');
 
 describe('docs/examples', () => {
-	it('has a valid document without dangers', () => {
+	it('has a valid configuration without warnings', () => {
 		const parsed = parseConfiguration(readExample('configuration.json'));
 		expect(parsed).toMatchObject({type: 'valid', unknownFields: []});
 		expect(parsed.type === 'valid' && warningsOf(parsed.configuration)).toEqual([]);
@@ -32,8 +32,8 @@
 	});
 });
 
-describe('pages', () => {
-	it('give the HTTP status of every code that callers can get', () => {
+describe('documentation pages', () => {
+	it('give the HTTP status of every result code that callers can receive', () => {
 		const rows = [...readPage('CODES.md').matchAll(/^\| (\d+) \| `\w+` \| [^\|]+ \| (\d{3}) \|/gmv)];
 		expect(rows.length).toBeGreaterThan(20);
 		expect(rows.filter(([, code, status]) => statusOf(Number(code)) !== Number(status))).toEqual([]);
--- a/__tests__/fleet.test.ts
+++ b/__tests__/fleet.test.ts
@@ -1,3 +1,4 @@
+/** The fleet harness itself: serving, replacing hosts and partitions, with real processes. */
 import got from 'got';
 import {describe, expect, it} from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
@@ -58,7 +59,7 @@
 
 describe('fleet', () => {
 	for (const isProxied of [false, true]) {
-		it(`serves through every host, ${isProxied ? 'with' : 'without'} fault proxies, and replaces one`, async () => {
+		it(`serves through every host ${isProxied ? 'with' : 'without'} fault proxies and replaces a host`, async () => {
 			await using fleet = await Fleet.start(buildShape(isProxied));
 			expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
 			expect(await sendPrompt(fleet, 'b-host-1')).toBe(getExpectedAnswer());
@@ -70,14 +71,14 @@
 		});
 	}
 
-	it('cuts a failure domain off from the others and the platform, but not from callers', async () => {
+	it('isolates a failure domain from the others and the platform, but not from callers', async () => {
 		await using fleet = await Fleet.start(buildShape(true));
 		fleet.partition(['a'], ['b', 'platform']);
-		const next = await fleet.publish(before => before);
-		await waitForRevision(fleet, 'b-host-1', next);
-		expect(await fetchRevision(fleet, 'a-host-1')).toBe(next - 1);
+		const revision = await fleet.publish(before => before);
+		await waitForRevision(fleet, 'b-host-1', revision);
+		expect(await fetchRevision(fleet, 'a-host-1')).toBe(revision - 1);
 		expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
 		fleet.heal();
-		await waitForRevision(fleet, 'a-host-1', next);
+		await waitForRevision(fleet, 'a-host-1', revision);
 	});
 });
--- a/__tests__/gateway/explain.test.ts
+++ b/__tests__/gateway/explain.test.ts
@@ -1,4 +1,4 @@
-/** The ways of docs/OPERATIONS.md from the id of a failed request to its cause, on lines that real processes wrote. */
+/** The procedures in docs/OPERATIONS.md that lead from the id of a failed request to its cause, on logs of real processes. */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
@@ -23,7 +23,7 @@
 	rmSync(directory, {recursive: true});
 });
 
-/** Writes what the host logged so far, each line behind a prefix as collectors put it. */
+/** Writes the host's log to a file, each line with a prefix as log collectors add it. */
 function writeLogs(): string {
 	const file = path.join(directory, 'host.log');
 	writeFileSync(file, site.hosts[0]!.lines.map(line => `12.3 host-0 ${JSON.stringify(line)}`).join('\n'));
@@ -37,8 +37,8 @@
 	return out;
 }
 
-describe('from the id of a request to its cause', () => {
-	it('refused: every engine refused it for load', async () => {
+describe('explaining a request by its id', () => {
+	it('refused: every engine rejected it as overloaded', async () => {
 		for (const engine of site.engines) {
 			engine.fault = 'shed';
 		}
@@ -51,7 +51,7 @@
 		expect(out).toMatch(/Ended as "refusedByUpstream" after \d+ ms on route ask: 2 attempts, no byte of an answer/v);
 	});
 
-	it('cut midway: both engines broke the stream off', async () => {
+	it('cut: both engines broke off the stream', async () => {
 		for (const engine of site.engines) {
 			engine.fault = 'cut';
 		}
@@ -64,7 +64,7 @@
 		expect(out).toMatch(/Ended as "broken off" after \d+ ms on route ask: 2 attempts, first byte after \d+ ms, longest pause \d+ ms/v);
 	});
 
-	it('outcome unknown: it may run only once and its answer was lost', async () => {
+	it('outcome unknown: the answer to a non-idempotent request was lost', async () => {
 		for (const plain of site.plains) {
 			plain.fault = 'lost';
 		}
@@ -76,7 +76,7 @@
 		expect(out).toMatch(/Ended as "outcomeUnknown" after \d+ ms on route once: 1 attempts, no byte/v);
 	});
 
-	it('says so where the log has nothing of it', async () => {
+	it('reports that the log does not contain the request', async () => {
 		const {code, complaints} = await command(['explain', 'complaint-0', '--logs', writeLogs()]);
 		expect(code).toBe(70);
 		expect(complaints).toContain('7006');
@@ -84,7 +84,7 @@
 });
 
 describe('incidents', () => {
-	it('sums up what was lost and what became of requests', async () => {
+	it('summarizes failed upstreams and the outcomes of requests', async () => {
 		await site.plains[0]!.crash();
 		site.store.remove('servers/plain-0');
 		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').length, {timeout: 4000}).toBe(1);
@@ -97,7 +97,7 @@
 		expect(JSON.parse(json.out)).toMatchObject({outcomes: {outcomeUnknown: 1}});
 	});
 
-	it('refuses a window without lines and a time that is none', async () => {
+	it('rejects a window without log lines and an invalid time', async () => {
 		const empty = await command(['incidents', '--logs', writeLogs(), '--to', '2001-01-01T00:00:00Z']);
 		expect(empty.code).toBe(70);
 		const bad = await command(['incidents', '--logs', writeLogs(), '--to', 'soon']);
@@ -106,7 +106,7 @@
 	});
 });
 
-it('metrics are text that tells what became of requests', async () => {
+it('metrics are in the Prometheus text format and count requests by outcome', async () => {
 	const answer = await call(site.hosts[0]!.metrics, {path: '/metrics', id: '', method: 'GET'});
 	expect(answer.status).toBe(200);
 	expect(answer.body).toMatch(/^cranberrytide_requests_total\{service="plain",kind="non-idempotent",length="none",outcome="outcomeUnknown"\} 1$/mv);
@@ -121,17 +121,17 @@
 	expect(Object.keys(families.get('cranberrytide_first_byte_milliseconds')?.metrics[0]?.buckets ?? {})).toContain('300');
 });
 
-it('a request that is not sent once more says that the retries are used up', async () => {
-	await using poor = await Site.start({engines: 2, settings: {retries: {ratio: 0, window: 1000, allowance: 0}}});
-	for (const engine of poor.engines) {
+it('explains that a request was not retried because the retry budget was used up', async () => {
+	await using limited = await Site.start({engines: 2, settings: {retries: {ratio: 0, window: 1000, allowance: 0}}});
+	for (const engine of limited.engines) {
 		engine.fault = 'shed';
 	}
 
-	const answer = await poor.ask({path: '/ask/x', id: 'denied-1', headers: prompt(1000, 3)});
+	const answer = await limited.ask({path: '/ask/x', id: 'denied-1', headers: prompt(1000, 3)});
 	expect(answer.status).toBe(503);
-	await expect.poll(() => poor.hosts[0]!.logged('ended', 'denied-1').length, {timeout: 3000}).toBe(1);
+	await expect.poll(() => limited.hosts[0]!.logged('ended', 'denied-1').length, {timeout: 3000}).toBe(1);
 	const file = path.join(directory, 'denied.log');
-	writeFileSync(file, poor.hosts[0]!.lines.map(line => JSON.stringify(line)).join('\n'));
+	writeFileSync(file, limited.hosts[0]!.lines.map(line => JSON.stringify(line)).join('\n'));
 	const {code, out} = await command(['explain', 'denied-1', '--logs', file]);
 	expect(code).toBe(0);
 	expect(out).toMatch(/Not sent once more: this host's part of the retries for model is used up \(hosts that share them: 1\)/v);
--- a/__tests__/gateway/forwarding.test.ts
+++ b/__tests__/gateway/forwarding.test.ts
@@ -1,4 +1,4 @@
-/** The whole path with real processes: what callers and upstreams see of a request. */
+/** Forwarding of requests with real processes: what callers and upstreams receive. */
 import {Agent} from 'node:http';
 import {
 	afterAll, beforeAll, describe, expect, it,
@@ -17,8 +17,8 @@
 	await site[Symbol.asyncDispose]();
 });
 
-describe('a request that is passed on', () => {
-	it('keeps its method, path, body and id, and gains the organisation in place of the key', async () => {
+describe('a forwarded request', () => {
+	it('keeps its method, path, body and id, and carries the organisation instead of the key', async () => {
 		const answer = await site.ask({
 			path: '/once/a%20b?x=1', id: 'pass-1', body: 'pay 10', headers: {'X-Custom': 'kept', 'X-Tenant': 'forged'},
 		});
@@ -30,12 +30,12 @@
 			host: 'api.example', 'x-custom': 'kept', 'x-tenant': 'acme', 'x-expect-instance': run!.upstream,
 		});
 		expect(run!.headers.authorization).toBeUndefined();
-		const left = Number(run!.headers['x-deadline-ms']);
-		expect(left).toBeGreaterThan(1000);
-		expect(left).toBeLessThanOrEqual(1500);
+		const remainingTime = Number(run!.headers['x-deadline-ms']);
+		expect(remainingTime).toBeGreaterThan(1000);
+		expect(remainingTime).toBeLessThanOrEqual(1500);
 	});
 
-	it('streams events as they come and in order', async () => {
+	it('streams events in order as they arrive', async () => {
 		const times: number[] = [];
 		const answer = await site.ask({
 			path: '/ask/x',
@@ -51,7 +51,7 @@
 		expect(times.length).toBeGreaterThan(5);
 	});
 
-	it('goes over connections that are kept, to both sides', async () => {
+	it('uses keep-alive connections to callers and upstreams', async () => {
 		const agent = new Agent({keepAlive: true, maxSockets: 1});
 		for (let index = 0; index < 5; index++) {
 			const answer = await site.ask({
@@ -64,21 +64,21 @@
 	});
 });
 
-describe('a request that is not', () => {
+describe('a request that is not forwarded', () => {
 	it.each([
 		['no route', {path: '/nothing/x', id: 'no-1'}, 404],
 		['an unknown key', {path: '/read/x', id: 'no-2', headers: {authorization: 'Bearer other'}}, 401],
 		['a body over the limit', {path: '/once/x', id: 'no-3', body: 'x'.repeat(100_001)}, 413],
 		['no id', {path: '/once/x', id: ''}, 400],
 		['the longest prefix leads to a service without upstreams', {path: '/read/deeper/x', id: 'no-4'}, 503],
-	])('is answered at once: %s', async (_name, asking, status) => {
+	])('is answered immediately: %s', async (_name, asking, status) => {
 		const answer = await site.ask(asking);
 		expect(answer.status).toBe(status);
 		expect(answer.took).toBeLessThan(700);
 		expect(site.ledger.of(asking.id)).toEqual([]);
 	});
 
-	it('says when to come back if it has not run', async () => {
+	it('has a Retry-After header if it has not run', async () => {
 		const answer = await site.ask({path: '/read/deeper/x', id: 'later-1'});
 		expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
 	});
@@ -90,8 +90,8 @@
 	});
 });
 
-describe('time', () => {
-	it('ends with the route, with an answer that does not promise "not run"', async () => {
+describe('request lifetime', () => {
+	it('ends at the route\'s deadline with a status that does not promise "not run"', async () => {
 		for (const plain of site.plains) {
 			plain.fault = 'dark';
 		}
@@ -106,9 +106,9 @@
 		expect(answer.took).toBeLessThan(1950);
 	});
 
-	it('stops the upstream\'s work when the caller leaves', async () => {
+	it('is cancelled when the caller disconnects', async () => {
 		const leaving = new AbortController();
-		const asked = site.ask({
+		const pendingAnswer = site.ask({
 			path: '/ask/x',
 			id: 'gone-1',
 			headers: prompt(2000, 400),
@@ -117,14 +117,14 @@
 				leaving.abort();
 			},
 		});
-		await expect(asked.then(answer => answer.isWhole)).resolves.toBe(false);
+		await expect(pendingAnswer.then(answer => answer.isWhole)).resolves.toBe(false);
 		await expect.poll(() => site.hosts[0]!.logged('ended', 'gone-1').length, {timeout: 2000}).toBe(1);
 		expect(site.hosts[0]!.logged('ended', 'gone-1')[0]).toMatchObject({outcome: 'caller left'});
 	});
 });
 
 describe('configuration', () => {
-	it('is in force soon after it was written, and never goes back', async () => {
+	it('is applied soon after it is written, and never reverts to an older version', async () => {
 		site.store.put('op/config', configuration(7, {Tenants: [{Name: 'acme', ApiKeys: ['key-of-acme', 'new-key']}]}));
 		await expect.poll(async () => {
 			const answer = await site.ask({path: '/read/x', id: 'new-1', headers: {authorization: 'Bearer new-key'}});
@@ -137,7 +137,7 @@
 		expect(answer.status).toBe(200);
 	});
 
-	it('skips a registration that cannot be read, and keeps the others', async () => {
+	it('skips an invalid registration and keeps the others', async () => {
 		site.store.put('servers/odd', {Service: 'plain', Address: 12});
 		site.store.put('servers/odder', 'text');
 		await expect.poll(() => site.hosts[0]!.logged('registration-refused').length, {timeout: 3000}).toBe(2);
--- a/__tests__/gateway/logs.test.ts
+++ b/__tests__/gateway/logs.test.ts
@@ -1,4 +1,4 @@
-/** Logs that nobody reads hold nothing up. */
+/** A log without a reader does not block the process. */
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
@@ -7,7 +7,7 @@
 
 const logModule = new URL('../../dist/src/entry/logs.js', import.meta.url).href;
 
-/** Writes far more than a pipe holds, a bounded part of it a turn, and tells on standard error when it is done. */
+/** Writes far more than a pipe buffers, a limited amount in each turn, then reports the counts on standard error. */
 const floodingProgram = `
 import {Log} from '${logModule}';
 const log = new Log('h');
@@ -21,7 +21,7 @@
 process.exit(0);
 `;
 
-/** Writes a line a millisecond for a while, and ends by itself. */
+/** Writes one line each millisecond, then reports the number of dropped lines on standard error. */
 const steadyProgram = `
 import {Log} from '${logModule}';
 const log = new Log('h');
@@ -32,28 +32,28 @@
 process.stderr.write(String(log.dropped));
 `;
 
-it('a reader of standard output that goes away does not end the process', async () => {
+it('the process keeps running when the reader of its standard output disconnects', async () => {
 	const child = spawn(process.execPath, ['--input-type=module', '--eval', steadyProgram], {stdio: ['ignore', 'pipe', 'pipe']});
-	let told = '';
+	let errorOutput = '';
 	child.stderr.on('data', chunk => {
-		told += String(chunk);
+		errorOutput += String(chunk);
 	});
 	await once(child.stdout, 'data');
 	child.stdout.destroy();
 	await once(child, 'close');
 	expect(child.exitCode).toBe(0);
-	expect(Number(told)).toBeGreaterThan(0);
+	expect(Number(errorOutput)).toBeGreaterThan(0);
 });
 
-it('a standard output that nobody reads does not block, and what waits is bounded', async () => {
+it('standard output without a reader does not block, and its backlog is bounded', async () => {
 	const child = spawn(process.execPath, ['--input-type=module', '--eval', floodingProgram], {stdio: ['ignore', 'pipe', 'pipe']});
 	child.stdout.pause();
-	let told = '';
+	let errorOutput = '';
 	child.stderr.on('data', chunk => {
-		told += String(chunk);
+		errorOutput += String(chunk);
 	});
 	await once(child, 'exit');
-	const {waits, dropped} = z.object({waits: z.number(), dropped: z.number()}).parse(JSON.parse(told));
+	const {waits, dropped} = z.object({waits: z.number(), dropped: z.number()}).parse(JSON.parse(errorOutput));
 	expect(waits).toBeLessThan(300_000);
 	expect(dropped).toBeGreaterThan(1000);
 });
--- a/__tests__/gateway/rerouting.test.ts
+++ b/__tests__/gateway/rerouting.test.ts
@@ -1,4 +1,4 @@
-/** Hosts that choose the same engine at the same moment: one of the requests goes elsewhere before anything is lost. */
+/** Hosts that choose the same engine at the same time: one of the requests is rerouted before it is delayed. */
 import {createConnection} from 'node:net';
 import {expect, it} from 'vitest';
 import {eventsOf, prompt} from '../../bench/gateway/asking.js';
@@ -7,13 +7,13 @@
 import {Link} from '../../src/gateway/peers/link.js';
 import {type Message, type ToldJob} from '../../src/gateway/peers/messages.js';
 
-/** News from far away come late on a busy machine: a request is looked at again for 100 ms only. */
+/** A request yields only to load updates from the first 100 ms after it was sent; on a busy machine they may come later. */
 const maxAttempts = 6;
 
-it('a prompt whose engine a peer had chosen before goes to another one, whole and once', {timeout: 30_000}, async () => {
+it('a prompt whose engine a peer chose first is rerouted once to another engine and answered completely', {timeout: 30_000}, async () => {
 	await using site = await Site.start({engines: 3});
 	const host = site.hosts[0]!;
-	const answerTo = (job: ToldJob): Message => ({
+	const createCompetingUpdate = (job: ToldJob): Message => ({
 		type: 'load',
 		began: [{
 			...job, id: `peer.${job.id}`, host: undefined, prompt: 1000, read: 4000, readPerPass: 4000, age: job.age + 50,
@@ -25,7 +25,7 @@
 		hello: ignore,
 		message(self, message) {
 			for (const job of message.type === 'load' ? message.began : []) {
-				self.send(answerTo(job));
+				self.send(createCompetingUpdate(job));
 			}
 		},
 		closed: ignore,
@@ -39,20 +39,20 @@
 	});
 	await expect.poll(() => host.logged('peer-linked').length, {timeout: 3000}).toBe(1);
 
-	let moved: string | undefined;
-	for (let index = 0; index < maxAttempts && moved === undefined; index++) {
+	let reroutedId: string | undefined;
+	for (let index = 0; index < maxAttempts && reroutedId === undefined; index++) {
 		const id = `met-${index}`;
 		const answer = await site.ask({path: '/ask/x', id, headers: prompt(40_000, 3)});
 		expect(eventsOf(answer)).toEqual([1, 2, 3]);
-		moved = host.logged('moving', id).length > 0 ? id : undefined;
+		reroutedId = host.logged('moving', id).length > 0 ? id : undefined;
 	}
 
-	expect(moved).toBeDefined();
-	const runs = site.ledger.of(moved ?? '').map(run => run.upstream);
+	expect(reroutedId).toBeDefined();
+	const runs = site.ledger.of(reroutedId ?? '').map(run => run.upstream);
 	expect(runs.length).toBeLessThanOrEqual(2);
-	await expect.poll(() => host.logged('ended', moved)).toMatchObject([{outcome: 'answered', attempts: 2}]);
-	const [first, second] = host.logged('placed', moved);
+	await expect.poll(() => host.logged('ended', reroutedId)).toMatchObject([{outcome: 'answered', attempts: 2}]);
+	const [first, second] = host.logged('placed', reroutedId);
 	expect(second!.upstream).not.toBe(first!.upstream);
-	expect(host.logged('moving', moved)).toHaveLength(1);
+	expect(host.logged('moving', reroutedId)).toHaveLength(1);
 	link.close('over');
 });
--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -1,4 +1,4 @@
-/** Hosts and upstreams that leave, stores that are away. */
+/** Hosts and upstreams that stop or fail, and outages of the store. */
 import {once} from 'node:events';
 import {readFileSync, writeFileSync} from 'node:fs';
 import {Agent} from 'node:http';
@@ -15,10 +15,10 @@
 
 let site: Site;
 
-/** Milliseconds within which hosts have met, on a machine that does other things too. */
+/** Generous, since hosts connect slowly on a busy machine. */
 const linkTimeoutMs = 30_000;
 
-/** Connects first, and sends its request later. */
+/** Opens a connection first and sends its request later. */
 class LateCaller {
 	static async connect({host, port}: Address): Promise<LateCaller> {
 		const socket = createConnection({host, port});
@@ -45,7 +45,7 @@
 		});
 	}
 
-	/** Returns what came until the connection was closed. */
+	/** Returns everything received until the connection closes. */
 	async sendRequest(): Promise<string> {
 		this.#socket.write('GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: 1000\r\nConnection: close\r\n\r\n');
 		await this.#closed;
@@ -62,7 +62,7 @@
 });
 
 describe('a planned stop of a host', () => {
-	it('cuts nothing, is told to the balancer, and serves who still comes', async () => {
+	it('cuts no request, fails the load balancer\'s readiness check and still serves new requests', async () => {
 		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const agent = new Agent({keepAlive: true});
@@ -85,7 +85,7 @@
 });
 
 describe('a host that is about to stop', () => {
-	it('takes nothing that could be cut: late requests on kept connections are refused as not run', async () => {
+	it('accepts no request that it would have to cut: late ones are refused as not run', async () => {
 		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-2', headers: prompt(2000, 380)});
@@ -101,7 +101,7 @@
 });
 
 describe('the end of a planned stop', () => {
-	it('cuts nobody who has just connected', async () => {
+	it('cuts no request on a connection that was just opened', async () => {
 		await startSite({settings: {grace: 8000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-3', headers: prompt(2000, 380)});
@@ -110,7 +110,7 @@
 		await sleep(3000);
 		const callers = await Promise.all(Array.from({length: 10}, async () => LateCaller.connect(host!.caller)));
 		await running;
-		// By now nothing runs at the host, which would end at once.
+		// Nothing runs on the host by now, so it would otherwise exit immediately.
 		await sleep(100);
 		const answers = await Promise.all(callers.map(async caller => caller.sendRequest()));
 		expect(answers.map(answer => answer.slice(0, 12))).toEqual(answers.map(() => 'HTTP/1.1 503'));
@@ -118,11 +118,11 @@
 });
 
 describe('an upstream that leaves', () => {
-	it.each(['draining', 'gone'] as const)('gets nothing new two seconds after it is %s', async how => {
+	it.each(['draining', 'unregistered'] as const)('receives no request two seconds after it is %s', async state => {
 		await startSite({plains: 2});
 		const [leaving] = site.plains;
 		leaving!.drain();
-		if (how === 'draining') {
+		if (state === 'draining') {
 			site.register(leaving!);
 		} else {
 			site.store.remove(`servers/${leaving!.id}`);
@@ -139,7 +139,7 @@
 });
 
 describe('the store', () => {
-	it.each(['busy', 'silent', 'reset'] as const)('may be %s: public routes are served on, keys are not trusted for ever', async mode => {
+	it.each(['busy', 'silent', 'reset'] as const)('may be %s: public routes are still served, keys only until the revocation bound', async mode => {
 		await startSite({settings: {revocation: 2500}});
 		site.store.mode = mode;
 		await sleep(1000);
@@ -157,7 +157,7 @@
 		}, {timeout: 6000}).toBe(200);
 	});
 
-	it('may forget its history: what changed meanwhile is learnt all the same', async () => {
+	it('may forget its history: changes during an outage are still read', async () => {
 		await startSite({});
 		site.store.mode = 'busy';
 		await sleep(1300);
@@ -172,7 +172,7 @@
 		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').map(line => line.upstream), {timeout: 4000}).toEqual(['plain-0']);
 	});
 
-	it('is read at most twice a second by a host, however often upstreams write', async () => {
+	it('is read at most twice a second by each host, no matter how often upstreams write', async () => {
 		await startSite({});
 		const before = site.store.calls;
 		const timer = setInterval(() => {
@@ -184,8 +184,8 @@
 	});
 });
 
-describe('a host that alone has lost the store', () => {
-	it('learns from its peers what changes, keys that are taken away included', async () => {
+describe('the only host that cannot reach the store', () => {
+	it('receives changes from its peers, including revoked keys', async () => {
 		await startSite({hosts: 3, apart: 1, settings: {revocation: 2500}});
 		const [first, second] = site.hosts;
 		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
@@ -204,7 +204,7 @@
 });
 
 describe('a failure domain of many hosts', () => {
-	it('reads the store with two of them, and all learn what changes in time', async () => {
+	it('has two hosts read the store, and all of them receive changes in time', async () => {
 		await startSite({hosts: 6});
 		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		await sleep(1500);
@@ -219,7 +219,7 @@
 		}
 	});
 
-	it('goes on reading when the hosts that read are gone', async () => {
+	it('keeps reading the store after the reading hosts fail', async () => {
 		await startSite({hosts: 6});
 		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		const [kept, ...others] = site.hosts;
@@ -233,7 +233,7 @@
 });
 
 describe('hosts together', () => {
-	it('know what each other sent, and forget what a killed host sent', async () => {
+	it('know what each other sent, and discard the jobs of a killed host', async () => {
 		await startSite({hosts: 3});
 		const [first, second] = site.hosts;
 		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
@@ -249,7 +249,7 @@
 	});
 });
 
-it('takes a peer that has fallen silent for lost, though it is written to', async () => {
+it('drops an unresponsive peer even though it is still sent messages', async () => {
 	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
 	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(1);
@@ -259,7 +259,7 @@
 	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 });
 
-it('refuses settings that are not valid, with a code', async () => {
+it('exits with a result code when its settings are invalid', async () => {
 	await startSite({});
 	const [host] = site.hosts;
 	await host!.kill();
@@ -269,7 +269,7 @@
 	expect(host!.logged('failed')[0]).toMatchObject({code: 6001});
 });
 
-it('ends with a code when its port is taken', async () => {
+it('exits with a result code when its port is in use', async () => {
 	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
 	await second!.kill();
--- a/__tests__/gateway/upstreams.test.ts
+++ b/__tests__/gateway/upstreams.test.ts
@@ -1,4 +1,7 @@
-/** Upstreams that fail in each way: whole answers or none, "not run" only where true, at most once where it must be. */
+/**
+ * Upstreams with each kind of fault: callers never receive a partial answer as complete, "not run" is reported only if it is
+ * true, and non-idempotent requests run at most once.
+ */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
 	afterEach, beforeEach, describe, expect, it,
@@ -18,7 +21,7 @@
 	await site[Symbol.asyncDispose]();
 });
 
-/** The statuses that promise a caller that its request has not run. */
+/** Statuses that promise the caller that its request has not run. */
 const notRunStatuses = new Set([408, 421, 429, 503]);
 
 function setFault(upstreams: readonly UpstreamStandIn[], fault: Fault): void {
@@ -30,7 +33,7 @@
 const faults: readonly Fault[] = ['shed', 'error', 'promise', 'lost', 'cut', 'unframed-reset', 'unframed-reset-at-once', 'other-id', 'unsigned', 'early'];
 
 describe.each(faults)('a plain service with fault %s', fault => {
-	it('never answers a wrong or partial success, nor promises "not run" falsely', async () => {
+	it('never causes a wrong or partial success or a false "not run"', async () => {
 		setFault(site.plains, fault);
 		for (const [index, path] of ['/once/x', '/read/x', '/once/y', '/read/y'].entries()) {
 			const id = `${fault}-${index}`;
@@ -43,7 +46,7 @@
 		}
 	});
 
-	it('is passed over by requests that may be repeated', async () => {
+	it('is avoided by idempotent requests', async () => {
 		site.plains[0]!.fault = fault;
 		for (let index = 0; index < 6; index++) {
 			const answer = await site.ask({path: '/read/x', id: `${fault}-over-${index}`});
@@ -52,7 +55,7 @@
 	});
 });
 
-it('tells of an unfounded promise once, as an unknown outcome', async () => {
+it('reports an unsigned "not run" promise once, as an unknown outcome', async () => {
 	setFault(site.plains, 'promise');
 	const answer = await site.ask({path: '/once/x', id: 'promise-once'});
 	expect(answer.status).toBe(502);
@@ -63,7 +66,7 @@
 	expect(host.logged('ended', 'promise-once')).toMatchObject([{outcome: 'outcomeUnknown', attempts: 1}]);
 });
 
-it('passes over an upstream without a connection, also where one upstream may be sent to', async () => {
+it('skips an upstream that refuses connections, even where only one attempt is allowed', async () => {
 	await site.plains[0]!.crash();
 	for (let index = 0; index < 4; index++) {
 		const answer = await site.ask({path: '/single/x', id: `single-${index}`});
@@ -72,29 +75,29 @@
 	}
 });
 
-it('takes an answer without a length whose connection ends properly', async () => {
+it('accepts an answer without a length if its connection ends cleanly', async () => {
 	setFault(site.plains, 'unframed');
 	const answer = await site.ask({path: '/once/x', id: 'unframed-1', body: 'b'});
 	expect(answer).toMatchObject({status: 200, isWhole: true, body: 'answer to unframed-1: b'});
 });
 
-it('gives no caller an answer that nobody asked for', async () => {
+it('never delivers an unsolicited answer', async () => {
 	setFault(site.plains, 'extra');
-	let own = 0;
+	let ownAnswers = 0;
 	for (let index = 0; index < 8; index++) {
 		const id = `extra-${index}`;
 		const answer = await site.ask({path: '/once/x', id});
-		own += answer.body === `answer to ${id}: ` ? 1 : 0;
-		// Where the stray answer came in place of the request's own, what became of it is not known.
+		ownAnswers += answer.body === `answer to ${id}: ` ? 1 : 0;
+		// If the unsolicited answer arrives in place of the request's own, the outcome is unknown.
 		expect([`200 answer to ${id}: `, '502 {"code":4001,"message":"The request may have run."}']).toContain(`${answer.status} ${answer.body}`);
 	}
 
-	expect(own).toBeGreaterThan(3);
+	expect(ownAnswers).toBeGreaterThan(3);
 });
 
 describe('a stream', () => {
-	it('goes on at another engine after a break, without a gap or a repeat', async () => {
-		// Which idle engine a host prefers is its own taste.
+	it('continues at another engine after it breaks off, without gaps or repeats', async () => {
+		// Each host has its own preference among idle engines, so find out which one it chooses.
 		await site.ask({path: '/ask/x', id: 'probe-1', headers: prompt(1000, 1)});
 		const first = site.engines.find(engine => engine.id === site.ledger.of('probe-1')[0]!.upstream)!;
 		first.fault = 'cut';
@@ -105,7 +108,7 @@
 		expect([ran[0], new Set(ran).size, ran.length]).toEqual([first.id, 2, 2]);
 	});
 
-	it('goes to another engine if the first stays silent', async () => {
+	it('is sent to another engine if the first one does not respond', async () => {
 		await site.ask({path: '/ask/x', id: 'probe-2', headers: prompt(1000, 1)});
 		site.engines.find(engine => engine.id === site.ledger.of('probe-2')[0]!.upstream)!.fault = 'dark';
 		for (let index = 0; index < 3; index++) {
@@ -123,7 +126,7 @@
 });
 
 describe('a prompt larger than an engine', () => {
-	it('is read by several, and their memory is free after it', async () => {
+	it('is prefilled by several engines, and their memory is released afterwards', async () => {
 		const answer = await site.ask({path: '/ask/x', id: 'large-1', headers: prompt(150_000, 5)});
 		expect(answer).toMatchObject({status: 200, isWhole: true});
 		expect(eventsOf(answer)).toEqual([1, 2, 3, 4, 5]);
@@ -131,9 +134,9 @@
 		await expect.poll(() => site.engines.flatMap(each => each.tickets), {timeout: 2000}).toEqual([]);
 	});
 
-	it('gives the memory back when its caller leaves and when its host dies', async () => {
+	it('has its memory released when its caller disconnects and when its host dies', async () => {
 		const leaving = new AbortController();
-		const asked = site.ask({
+		const pendingAnswer = site.ask({
 			path: '/ask/x',
 			id: 'large-2',
 			headers: prompt(150_000, 500),
@@ -142,7 +145,7 @@
 				leaving.abort();
 			},
 		});
-		await asked;
+		await pendingAnswer;
 		await expect.poll(() => site.engines.flatMap(each => each.tickets), {timeout: 2000}).toEqual([]);
 
 		const cut = site.ask({
@@ -158,7 +161,7 @@
 	});
 });
 
-it('sends a crashing request to no more than a few engines', async () => {
+it('limits the number of engines that receive a request that crashes them', async () => {
 	setFault(site.engines, 'lost');
 	for (let index = 0; index < 5; index++) {
 		await site.ask({
@@ -178,23 +181,23 @@
 	expect(other.status).toBe(200);
 });
 
-it('goes on serving what many ask for, though answers to it are lost now and then', async () => {
-	const asked = {path: '/read/popular', method: 'GET'};
+it('keeps serving a popular request although its answers are lost occasionally', async () => {
+	const popularRequest = {path: '/read/popular', method: 'GET'};
 	setFault(site.plains, 'lost');
-	await site.ask({...asked, id: 'popular-1'});
+	await site.ask({...popularRequest, id: 'popular-1'});
 	setFault(site.plains, 'none');
-	const between = await site.ask({...asked, id: 'popular-2'});
+	const between = await site.ask({...popularRequest, id: 'popular-2'});
 	expect(between.status).toBe(200);
-	// What breaks at an upstream within 1.5 s counts as one crash.
+	// Failures at one upstream within 1.5 s count as one crash.
 	await sleep(1600);
 	setFault(site.plains, 'lost');
-	await site.ask({...asked, id: 'popular-3'});
+	await site.ask({...popularRequest, id: 'popular-3'});
 	setFault(site.plains, 'none');
-	const after = await site.ask({...asked, id: 'popular-4'});
+	const after = await site.ask({...popularRequest, id: 'popular-4'});
 	expect(after.status).toBe(200);
 });
 
-it('reads a long prompt alone where no engine helps', async () => {
+it('prefills a long prompt on one engine when no other engine helps', async () => {
 	for (const engine of site.engines) {
 		engine.isAloof = true;
 	}
--- a/__tests__/guarantees.test.ts
+++ b/__tests__/guarantees.test.ts
@@ -1,4 +1,4 @@
-/** What must always hold, under faults, with real processes. */
+/** The guarantees for non-idempotent requests and for streams, under faults, with real processes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import got from 'got';
 import {
@@ -71,7 +71,7 @@
 }
 
 describe('a request that may run only once', () => {
-	it('asks for a ticket, runs once with it and replays its answer at any host', async () => {
+	it('is refused with a ticket, runs once with it, and any host replays its answer', async () => {
 		const body = 'amount=1';
 		const refused = await sendOnce(fleet, {host: 'a-host-1', path, body});
 		expect(refused).toMatchObject({status: 428, outcome: 'not run', code: 1006});
@@ -96,7 +96,7 @@
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('is not run, and says so, when its upstream refuses connections', async () => {
+	it('ends as not run or outcome unknown when its upstream refuses connections', async () => {
 		const ticket = await requestTicket(fleet, 'a-host-1');
 		for (const domain of ['a', 'b']) {
 			await fleet.upstreams.faultPlain(findPlainUpstream(domain), {type: 'crash'});
@@ -104,12 +104,12 @@
 
 		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('a')}});
 		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('b')}});
-		const told = await pay('a-host-1', 'refused', ticket);
-		expect(['not run', 'outcome unknown']).toContain(told.outcome);
+		const result = await pay('a-host-1', 'refused', ticket);
+		expect(['not run', 'outcome unknown']).toContain(result.outcome);
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('does not run again after its keeper died, whether or not another took its place', async () => {
+	it('does not run again after its keeper died, before and after the keeper is replaced', async () => {
 		const used = await requestTicket(fleet, 'a-host-1');
 		const unused = await requestTicket(fleet, 'a-host-1');
 		await pay('a-host-1', 'used', used);
@@ -122,7 +122,7 @@
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('runs on its own side of a partition and never on both', async () => {
+	it('runs only on the side of a partition that issued its ticket', async () => {
 		const tickets = {a: await requestTicket(fleet, 'a-host-1'), b: await requestTicket(fleet, 'b-host-1')};
 		fleet.partition(['a', 'platform'], ['b']);
 		const own = await Promise.all([pay('a-host-2', 'side a', tickets.a), pay('b-host-2', 'side b', tickets.b)]);
@@ -138,7 +138,7 @@
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('runs at most once when its keeper is paused in the middle and wakes late', async () => {
+	it('runs at most once when its keeper is paused while it runs and resumes late', async () => {
 		const body = 'paused';
 		const ticket = await requestTicket(fleet, 'a-host-1');
 		const {child} = fleet.hosts.get('a-host-1');
@@ -180,14 +180,14 @@
 			await fleet.upstreams.faultEngines(fault);
 		}
 
-		const told = await first;
-		expect(['done', 'failed', 'not run', 'outcome unknown']).toContain(told.outcome);
-		expect(told.code).toBeGreaterThanOrEqual(0);
+		const result = await first;
+		expect(['done', 'failed', 'not run', 'outcome unknown']).toContain(result.outcome);
+		expect(result.code).toBeGreaterThanOrEqual(0);
 		await send('b-host-1');
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('survives two faults together: a partition, and the upstream dropping what it ran', async () => {
+	it('runs at most once during a partition while its upstream drops a connection after running it', async () => {
 		const tickets = await Promise.all(['a-host-1', 'a-host-2', 'b-host-1', 'b-host-2'].map(async host =>
 			({host, ticket: await requestTicket(fleet, host)})));
 		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'drop-after', count: 1});
@@ -201,7 +201,7 @@
 });
 
 describe('a stream', () => {
-	it('resumes at another host when its own dies, without a gap or a repeat', async () => {
+	it('resumes at another host without gaps or repeats after its host dies', async () => {
 		const prompt = 'resumed elsewhere';
 		const before = await streamChat(fleet, {
 			host: 'a-host-1',
@@ -224,43 +224,43 @@
 		expect(before.text + after.text).toBe(getExpectedAnswer(prompt, tokens));
 	});
 
-	it('is whole and its own when frames come crossed, twice, out of order or the connection is cut', async () => {
+	it('is complete and correct when frames are mixed up between streams, repeated or reordered or the connection is cut', async () => {
 		await fleet.upstreams.faultEngines({type: 'cross', count: 20});
 		await fleet.upstreams.faultEngines({type: 'repeat', count: 20});
 		await fleet.upstreams.faultEngines({type: 'reorder', count: 20});
 		await fleet.upstreams.faultEngines({type: 'cut', afterFrames: 30, count: 2});
 		const prompts = Array.from({length: 12}, (_, index) => `mixed up ${index}`);
-		const seen = await Promise.all(prompts.map(async (prompt, index) =>
+		const results = await Promise.all(prompts.map(async (prompt, index) =>
 			streamChat(fleet, {host: index % 2 === 0 ? 'a-host-1' : 'a-host-2', prompt, tokens})));
 		for (const [index, prompt] of prompts.entries()) {
-			expect(seen[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
+			expect(results[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
 		}
 	});
 
-	it('ends in an error, never in a silent cut, when its engine dies in the middle', async () => {
+	it('is complete or ends with an error event when its engine dies during the answer', async () => {
 		const prompt = 'engine dies';
-		let crashed = false;
-		const seen = await streamChat(fleet, {
+		let isCrashed = false;
+		const result = await streamChat(fleet, {
 			host: 'a-host-1',
 			prompt,
 			tokens,
 			onFrame() {
-				if (!crashed) {
-					crashed = true;
+				if (!isCrashed) {
+					isCrashed = true;
 					void fleet.upstreams.faultEngines({type: 'crash', returnAfter: 200});
 				}
 			},
 		});
-		expect(seen.isWhole ? seen.text : seen.error).not.toBe('');
-		expect(seen.isWhole ? seen.text === getExpectedAnswer(prompt, tokens) : seen.error.includes('outcome unknown')).toBe(true);
+		expect(result.isWhole ? result.text : result.error).not.toBe('');
+		expect(result.isWhole ? result.text === getExpectedAnswer(prompt, tokens) : result.error.includes('outcome unknown')).toBe(true);
 	});
 
-	it('leaves no engine memory held', async () => {
+	it('has its engine memory released after it ends', async () => {
 		await Promise.all(Array.from({length: 8}, async (_, index) =>
 			streamChat(fleet, {host: 'a-host-1', prompt: `held ${index}`, tokens})));
 		for (const {address} of fleet.configuration.upstreams.filter(each => each.kind === 'engine')) {
 			const url = `http://${address.host}:${address.port}`;
-			// Reports lag, so they are asked for until they tell of the end.
+			// Load reports lag behind, so poll until they show the end.
 			await expect.poll(async () => got(`${url}/v1/load`).json(), {timeout: 10_000}).toMatchObject({running: 0, waiting: 0});
 			expect(await got(`${url}/v1/holds`).json()).toMatchObject({holds: []});
 		}
--- a/__tests__/input.test.ts
+++ b/__tests__/input.test.ts
@@ -1,4 +1,4 @@
-/** Bad input of every kind: a code of its own, and nothing lost. */
+/** Invalid requests, settings and documents: each is rejected with its own result code, and the host keeps serving. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
@@ -59,7 +59,7 @@
 	});
 }
 
-const cases: ReadonlyArray<readonly [name: string, bad: BadRequest, status: number, code: number]> = [
+const cases: ReadonlyArray<readonly [name: string, request: BadRequest, status: number, code: number]> = [
 	['a body that is not JSON', {body: '{"model":'}, 400, codes.badBody],
 	['a body without messages', {body: '{"model":"check"}'}, 400, codes.badBody],
 	['an unknown API key', {headers: {authorization: 'Bearer nobody'}}, 401, codes.unknownKey],
@@ -70,24 +70,24 @@
 	['an unknown path', {path: '/v2/other'}, 404, codes.unknownPath],
 	['a timeout that is not a number', {headers: {'x-timeout-ms': 'soon'}}, 400, codes.badHeader],
 	['a priority out of range', {headers: {'x-priority': '10'}}, 400, codes.badHeader],
-	['neither true nor false', {headers: {'x-idempotent': 'maybe'}}, 400, codes.badHeader],
-	['a ticket of nobody', {headers: {'x-ticket': 'abc.def'}}, 403, codes.badTicket],
-	['a position of nobody', {headers: {'last-event-id': 'abc.def:1'}}, 400, codes.badPosition],
+	['an idempotence header that is neither true nor false', {headers: {'x-idempotent': 'maybe'}}, 400, codes.badHeader],
+	['an invalid ticket', {headers: {'x-ticket': 'abc.def'}}, 403, codes.badTicket],
+	['an invalid resume position', {headers: {'last-event-id': 'abc.def:1'}}, 400, codes.badPosition],
 ];
 
-describe('bad requests', () => {
-	for (const [name, bad, status, code] of cases) {
+describe('invalid requests', () => {
+	for (const [name, request, status, code] of cases) {
 		it(`${name}: ${code}`, async () => {
-			const {statusCode, headers, body} = await post(bad);
+			const {statusCode, headers, body} = await post(request);
 			expect({statusCode, code: headers['x-result-code'], outcome: headers['x-outcome']})
 				.toEqual({statusCode: status, code: String(code), outcome: 'not run'});
 			expect(JSON.parse(body)).toMatchObject({error: {code}});
 		});
 	}
 
-	it('leave the host serving', async () => {
-		const seen = await streamChat(fleet, {host: 'a-host-1', prompt: 'hello', tokens});
-		expect(seen).toMatchObject({isWhole: true, text: getExpectedAnswer('hello', tokens)});
+	it('do not stop the host from serving', async () => {
+		const result = await streamChat(fleet, {host: 'a-host-1', prompt: 'hello', tokens});
+		expect(result).toMatchObject({isWhole: true, text: getExpectedAnswer('hello', tokens)});
 	});
 });
 
@@ -111,34 +111,34 @@
 	}
 }
 
-describe('bad settings', () => {
-	it('stop the daemon with a code that names each path', async () => {
-		const said = await startDaemon({
+describe('invalid settings', () => {
+	it('stop the daemon with a result code and the path of each invalid setting', async () => {
+		const output = await startDaemon({
 			host: 'a b', failureDomain: 'a', caller: {port: 99_999}, unknown: 1,
 		});
-		expect(said).toContain(`"code":${codes.badSettings}`);
-		for (const place of ['host:', 'caller.port:', 'peer:', 'platform:', 'unknown']) {
-			expect(said).toContain(place);
+		expect(output).toContain(`"code":${codes.badSettings}`);
+		for (const setting of ['host:', 'caller.port:', 'peer:', 'platform:', 'unknown']) {
+			expect(output).toContain(setting);
 		}
 	});
 });
 
 describe('a port in use', () => {
-	it('stops the daemon with a code', async () => {
+	it('stops the daemon with a result code', async () => {
 		const {caller} = fleet.hosts.get('a-host-1');
-		const said = await startDaemon({
+		const output = await startDaemon({
 			host: 'second',
 			failureDomain: 'a',
 			caller,
 			peer: {port: 0},
 			platform: fleet.platformAddress,
 		});
-		expect(said).toContain(`"code":${codes.portInUse}`);
+		expect(output).toContain(`"code":${codes.portInUse}`);
 	});
 });
 
-describe('a bad document', () => {
-	it('is refused with a code in the log, and the one in force stays', async () => {
+describe('an invalid document', () => {
+	it('is rejected with a result code in the log, and the current one stays in force', async () => {
 		const {child, admin} = fleet.hosts.get('a-host-1');
 		await fleet.platform({type: 'publish', text: '{"schema":1}', revision: 99});
 		await expect.poll(() => child.lines.some(line =>
--- a/__tests__/keys.test.ts
+++ b/__tests__/keys.test.ts
@@ -1,6 +1,6 @@
-/** Callers that only resend an idempotency key, with real processes. */
+/** Requests that carry an idempotency key and no ticket, with real processes. */
 import {setTimeout as sleep} from 'node:timers/promises';
-import {v7 as freshKey} from 'uuid';
+import {v7 as createKey} from 'uuid';
 import {
 	afterEach, beforeEach, describe, expect, it,
 } from 'vitest';
@@ -19,10 +19,10 @@
 	}));
 }
 
-/** Hosts serve keys once they have met each other and the key is younger than that. */
+/** Hosts run a key only after they know each other, and only a key that was created after that. */
 async function waitUntilKeysServed(host: string): Promise<void> {
-	for (let turn = 0; turn < maxWarmUps; turn++) {
-		const key = freshKey();
+	for (let attempt = 0; attempt < maxWarmUps; attempt++) {
+		const key = createKey();
 		const result = await pay(host, `warm-up ${key}`, key);
 		if (result.outcome === 'done') {
 			return;
@@ -31,7 +31,7 @@
 		await sleep(500);
 	}
 
-	expect.unreachable(`${host} serves no key`);
+	expect.unreachable(`${host} does not run idempotency keys`);
 }
 
 beforeEach(async () => {
@@ -57,29 +57,29 @@
 	await fleet[Symbol.asyncDispose]();
 });
 
-describe('a bare idempotency key', () => {
-	it('runs once, wherever and however often it is sent', async () => {
-		const [one, many] = [freshKey(), freshKey()];
-		const first = await pay('a-host-1', 'one by one', one);
+describe('an idempotency key without a ticket', () => {
+	it('runs once, no matter how often and to which hosts it is sent', async () => {
+		const [sequentialKey, concurrentKey] = [createKey(), createKey()];
+		const first = await pay('a-host-1', 'one by one', sequentialKey);
 		expect(first).toMatchObject({status: 200, outcome: 'done'});
 		for (const host of hosts) {
-			expect(await pay(host, 'one by one', one)).toMatchObject({status: 200, body: first.body});
+			expect(await pay(host, 'one by one', sequentialKey)).toMatchObject({status: 200, body: first.body});
 		}
 
-		const together = await Promise.all(hosts.map(async host => pay(host, 'all at once', many)));
-		expect(together.map(({status}) => status)).toEqual([200, 200, 200, 200]);
+		const concurrent = await Promise.all(hosts.map(async host => pay(host, 'all at once', concurrentKey)));
+		expect(concurrent.map(({status}) => status)).toEqual([200, 200, 200, 200]);
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
 	it('is proven not to have run while a host is out of reach, and its outcome is unknown once its keeper died', async () => {
-		const kept = freshKey();
-		await pay('a-host-1', 'kept', kept);
+		const keptKey = createKey();
+		await pay('a-host-1', 'kept', keptKey);
 		await fleet.killHost('a-host-1');
-		expect(await pay('b-host-1', 'kept', kept)).toMatchObject({outcome: 'outcome unknown'});
-		expect(await pay('a-host-2', 'unclaimed', freshKey())).toMatchObject({outcome: 'not run', code: 2008});
+		expect(await pay('b-host-1', 'kept', keptKey)).toMatchObject({outcome: 'outcome unknown'});
+		expect(await pay('a-host-2', 'unclaimed', createKey())).toMatchObject({outcome: 'not run', code: 2008});
 		await fleet.replaceHost('a-host-1');
 		await fleet.hosts.ready(['a-host-1']);
-		expect(await pay('a-host-1', 'kept', kept)).toMatchObject({outcome: 'outcome unknown'});
+		expect(await pay('a-host-1', 'kept', keptKey)).toMatchObject({outcome: 'outcome unknown'});
 		await waitUntilKeysServed('a-host-1');
 		await waitUntilKeysServed('b-host-2');
 		expect(await ledger.check(fleet)).toEqual([]);
--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -1,3 +1,4 @@
+/** Planned stops, rolling replacement of hosts and takeover of engine orders, with real processes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import got from 'got';
 import {describe, expect, it} from 'vitest';
@@ -48,23 +49,23 @@
 	order: z.object({type: z.literal('load'), target: z.object({version: z.string()})}),
 });
 
-/** Hosts that ordered a version; others may have sealed the engine while they did not know each other yet. */
+/** Returns the hosts that ordered a version. Others may have sealed the engine before the hosts knew each other. */
 function findOrderers(fleet: Fleet, version: string): readonly string[] {
 	const isLoad = (line: unknown) => loadOrderSchema.safeParse(line).data?.order.target.version === version;
 	return fleet.hosts.all.filter(({child}) => child.lines.some(line => isLoad(line))).map(host => host.id);
 }
 
 describe('hosts that are replaced', () => {
-	it('cut no stream and take nothing new 3 s after they announced leaving', {timeout: 180_000}, async () => {
+	it('cut no stream and accept no request 3 s after they announced leaving', {timeout: 180_000}, async () => {
 		await using fleet = await Fleet.start({...buildShape(true), engines: [{service: 'check', perDomain: 2}], keepsLogs: false});
-		const seen = await rollHosts(fleet, 4, 6);
-		expect(seen).toMatchObject({replacements: 4, cut: 0, late: 0});
-		expect(seen.streams).toBeGreaterThan(0);
+		const result = await rollHosts(fleet, 4, 6);
+		expect(result).toMatchObject({replacements: 4, cut: 0, late: 0});
+		expect(result.streams).toBeGreaterThan(0);
 	});
 });
 
 describe('planned stops of hosts', () => {
-	it('begin one after another, the second once the first is back', {timeout: 120_000}, async () => {
+	it('run one at a time: the second begins after the first host is back', {timeout: 120_000}, async () => {
 		await using fleet = await Fleet.start({...buildShape(true), engines: []});
 		const hosts = fleet.hosts.all.map(host => host.id);
 		await linked(fleet, hosts, 2);
@@ -85,10 +86,10 @@
 	});
 });
 
-describe('an orderer that is paused and wakes after a takeover', () => {
-	it.each([true, false])('leaves the engine with what the others ordered (numbers checked: %s)', {timeout: 120_000}, async fencing => {
+describe('an orderer that is paused and resumes after a takeover', () => {
+	it.each([true, false])('does not override the order of the host that took over (order numbers checked: %s)', {timeout: 120_000}, async fencing => {
 		await using fleet = await Fleet.start(buildShape(fencing));
-		// A host that does not know its peers yet is the orderer of every engine: two of them would order version 2.
+		// A host that knows no peers considers itself the orderer of every engine, so two hosts could order version 2.
 		await linked(fleet, fleet.hosts.all.map(host => host.id), 2);
 		await publishVersion(fleet, '2');
 		await waitUntil(async () => await fetchVersion(fleet) === '2');
@@ -100,7 +101,7 @@
 		await waitUntil(async () => await fetchVersion(fleet) === '3');
 		fleet.hosts.get(paused!).child.resume();
 		await inForce(fleet, [paused!], fleet.configuration.revision);
-		for (let look = 0; look < 40; look++) {
+		for (let check = 0; check < 40; check++) {
 			expect(await fetchVersion(fleet)).toBe('3');
 			await sleep(100);
 		}
--- a/__tests__/memory.test.ts
+++ b/__tests__/memory.test.ts
@@ -1,4 +1,4 @@
-/** Prompts larger than one engine's memory, and requests that crash engines, with real processes. */
+/** Prompts larger than one engine's memory and requests that crash engines, with real processes. */
 import got from 'got';
 import {
 	afterEach,
@@ -12,9 +12,9 @@
 import {getExpectedAnswer, streamChat} from './support/caller.js';
 
 const tokens = 40;
-const engineMemory = 20_000;
+const engineMemoryTokens = 20_000;
 const promptTokens = 45_000;
-/** Milliseconds after a fault within which no hold may be left. */
+/** Time within which all holds must be released after a fault. */
 const holdReleaseTimeoutMs = 30_000;
 const holdsSchema = z.object({holds: z.array(z.unknown())});
 let fleet: Fleet;
@@ -24,7 +24,7 @@
 		timeScale: 4,
 		domains: ['a'],
 		hosts: [2],
-		engines: [{service: 'check', perDomain: 4, settings: {memory: engineMemory, answer: {least: tokens, most: tokens}}}],
+		engines: [{service: 'check', perDomain: 4, settings: {memory: engineMemoryTokens, answer: {least: tokens, most: tokens}}}],
 		services: [{
 			kind: 'model',
 			id: 'check',
@@ -70,27 +70,27 @@
 }
 
 describe('a prompt larger than one engine', () => {
-	it('is answered whole by several, from two hosts at once, and leaves nothing held', async () => {
+	it('is answered completely by several engines, for two hosts at once, and all holds are released', async () => {
 		const prompts = ['first', 'second', 'third'];
-		const seen = await Promise.all(prompts.map(async (prompt, index) => streamLargePrompt(`a-host-${(index % 2) + 1}`, prompt)));
+		const results = await Promise.all(prompts.map(async (prompt, index) => streamLargePrompt(`a-host-${(index % 2) + 1}`, prompt)));
 		for (const [index, prompt] of prompts.entries()) {
-			expect(seen[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
+			expect(results[index]).toMatchObject({isWhole: true, text: getExpectedAnswer(prompt, tokens)});
 		}
 
 		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs}).toBe(0);
 	});
 
-	it('leaves nothing held when its host dies in the middle', async () => {
-		const seen = await streamLargePrompt('a-host-1', 'host dies', count => {
+	it('has its holds released when its host dies during the answer', async () => {
+		const result = await streamLargePrompt('a-host-1', 'host dies', count => {
 			if (count === 3) {
 				void fleet.killHost('a-host-1');
 			}
 		});
-		expect(seen.isWhole).toBe(false);
+		expect(result.isWhole).toBe(false);
 		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs, interval: 500}).toBe(0);
 	});
 
-	it('leaves nothing held when its host is paused in the middle and wakes late', async () => {
+	it('has its holds released when its host is paused during the answer and resumes late', async () => {
 		const {child} = fleet.hosts.get('a-host-1');
 		const running = streamLargePrompt('a-host-1', 'host pauses', count => {
 			if (count === 3) {
@@ -104,7 +104,7 @@
 		await expect.poll(countHolds, {timeout: holdReleaseTimeoutMs, interval: 500}).toBe(0);
 	});
 
-	it('leaves nothing held when its caller leaves', async () => {
+	it('has its holds released when its caller disconnects', async () => {
 		const {caller} = fleet.hosts.get('a-host-1');
 		const leaving = got.stream.post(`http://${caller.host}:${caller.port}/v1/chat/completions`, {
 			json: {
@@ -123,17 +123,17 @@
 });
 
 describe('a request that crashes engines', () => {
-	// Hosts that have no link yet know nothing of each other's crashes; docs/OUTCOMES.md gives the bound for that.
-	it('takes at most three with it though its caller sends it again everywhere, and others go on', async () => {
+	// Hosts that are not connected yet do not share crash reports; docs/OUTCOMES.md gives the bound for that case.
+	it('crashes at most three engines although its caller resends it to every host, and other requests are still served', async () => {
 		await expect.poll(countLinkedPeers, {timeout: 20_000}).toEqual([1, 1]);
 		await fleet.upstreams.faultEngines({type: 'poison', marker: 'poison', returnAfter: 300});
 		for (let turn = 0; turn < 8; turn++) {
 			const host = `a-host-${(turn % 2) + 1}`;
-			const [seen] = await Promise.all([
+			const [result] = await Promise.all([
 				streamChat(fleet, {host, prompt: 'poison pill', tokens}),
 				streamChat(fleet, {host, prompt: `neighbour ${turn}`, tokens}),
 			]);
-			expect(seen.isWhole).toBe(false);
+			expect(result.isWhole).toBe(false);
 		}
 
 		const counters = await fleet.upstreams.counters();
--- a/__tests__/operators.test.ts
+++ b/__tests__/operators.test.ts
@@ -1,4 +1,4 @@
-/** The operators' tools against real hosts. */
+/** The command line tool and the web console against real hosts. */
 import {
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
@@ -40,8 +40,8 @@
 	await fleet[Symbol.asyncDispose]();
 });
 
-describe('operators\' tools', () => {
-	it('shows the document in force and the state of the fleet', async () => {
+describe('operator tools', () => {
+	it('shows the current configuration and the state of the fleet', async () => {
 		const shown = await command(['show', '--hosts', formatAddresses('admin')]);
 		expect(shown).toMatchObject({code: 0, complaints: ''});
 		expect(shown.out.trim().split('\n')).toHaveLength(3);
@@ -54,7 +54,7 @@
 		expect(status.out).toMatch(/^a-check-1 +engine +check/mv);
 	});
 
-	it('sends a prompt and explains what became of it', async () => {
+	it('sends a prompt and explains its outcome', async () => {
 		const answer = await command(['send', '--service', 'check', '--max-tokens', '20', '--hosts', formatAddresses('caller')], 'one line', environment);
 		expect(answer).toMatchObject({code: 0, complaints: ''});
 		expect(answer.out.length).toBeGreaterThan(1);
@@ -65,15 +65,15 @@
 		expect(explained.out).toContain('Answered in full');
 	});
 
-	it('runs a call that may run only once, with the ticket it is given', async () => {
-		const words = ['send', '--service', 'book', '--path', '/bookings', '--once', '--hosts', formatAddresses('caller')];
-		expect(await command(words, '{"seat":1}', environment)).toMatchObject({code: 0, complaints: ''});
+	it('runs a non-idempotent call with the ticket from the refusal', async () => {
+		const commandLine = ['send', '--service', 'book', '--path', '/bookings', '--once', '--hosts', formatAddresses('caller')];
+		expect(await command(commandLine, '{"seat":1}', environment)).toMatchObject({code: 0, complaints: ''});
 		const unknown = await command(['send', '--service', 'none', '--hosts', formatAddresses('caller')], 'x', environment);
 		expect(unknown.code).toBe(10);
 		expect(unknown.complaints).toContain('error 1004');
 	});
 
-	it('makes the next document from the one in force', async () => {
+	it('prepares the next configuration from the current one', async () => {
 		await using console = await openConsole({admin: formatAddresses('admin').split(',')});
 		const start = await console.start();
 		expect(start).not.toContain('class="notice');
@@ -90,7 +90,7 @@
 	});
 });
 
-/** A request that some host still knows to have ended. */
+/** Finds a finished request in the recent decisions of the hosts. */
 async function findConcludedRequest(): Promise<{readonly host: string; readonly request: string}> {
 	for (const name of hostNames) {
 		const response = await fetch(`http://${formatAddress(fleet.hosts.get(name).admin!)}/admin/decisions`);
@@ -101,5 +101,5 @@
 		}
 	}
 
-	throw new Error('no host knows a request');
+	throw new Error('no host reports a finished request');
 }
--- a/__tests__/support/caller.ts
+++ b/__tests__/support/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of a fleet: sends requests, keeps tickets, follows and resumes streams. */
+/** A caller of a fleet: sends requests, requests tickets, reads and resumes streams. */
 import {createParser} from 'eventsource-parser';
 import got, {type Response} from 'got';
 import {z} from 'zod';
@@ -8,7 +8,7 @@
 import {answerLength, answerText, promptDigest} from '../../stand-ins/engine/answer.js';
 import {renderPrompt} from '../../src/protocol/blocks.js';
 
-/** What a caller was told at the end. */
+/** The response to a request, as its caller received it. */
 export type CallResult = {
 	readonly status: number;
 	readonly outcome: string;
@@ -17,7 +17,7 @@
 	readonly ticket?: string;
 };
 
-/** A connection that broke before an answer. */
+/** The result when the connection fails before a response. */
 const connectionFailure: CallResult = {
 	status: 0,
 	outcome: 'outcome unknown',
@@ -39,7 +39,7 @@
 
 const errorSchema = z.object({error: z.object({type: z.string(), code: z.number()})});
 
-/** A stream tells its outcome in its terminal event. */
+/** Reads the outcome of a stream from its terminal event; its headers are sent before the outcome is known. */
 function readStreamOutcome(body: string): Partial<CallResult> {
 	const error = /^event: error\ndata: (.*)$/mv.exec(body)?.[1];
 	if (error !== undefined) {
@@ -56,8 +56,9 @@
 	readonly body: string;
 	readonly ticket?: string;
 	readonly key?: string;
+	/** Milliseconds that the host has for the request. */
 	readonly timeout?: number;
-	/** Milliseconds after which the caller itself gives up. */
+	/** Milliseconds after which the caller aborts the request. */
 	readonly callerTimeout?: number;
 };
 
@@ -66,11 +67,9 @@
 }
 
 /**
- * Sends a request that may run only once.
+ * Sends a non-idempotent request.
  *
- * @param fleet - Fleet.
- * @param options - Request.
- * @returns What the caller was told.
+ * @returns The response; a connection failure is returned as an unknown outcome.
  */
 export async function sendOnce(fleet: Fleet, options: SendOptions): Promise<CallResult> {
 	const {caller} = fleet.hosts.get(options.host);
@@ -94,11 +93,7 @@
 	}
 }
 
-/**
- * @param fleet - Fleet.
- * @param host - Host that issues it.
- * @returns A ticket.
- */
+/** Requests a ticket that the host issues. */
 export async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
 	const {ticket} = await got.post(buildUrl(caller, '/v1/tickets'), {
@@ -108,11 +103,12 @@
 	return ticket;
 }
 
-/** A stream as far as its caller saw it. */
+/** The part of a stream that its caller received. */
 export type StreamResult = {
 	readonly text: string;
+	/** Event id from which the stream can be resumed. */
 	readonly position: string | undefined;
-	/** Whether the terminal event came. */
+	/** Whether the terminal event was received. */
 	readonly isWhole: boolean;
 	readonly status: number;
 	readonly error: string;
@@ -124,9 +120,9 @@
 	readonly tokens: number;
 	readonly position?: string;
 	readonly ticket?: string;
-	/** Prompt tokens stated, where the text stands for a longer one. */
+	/** Prompt length to declare, where the text stands for a longer prompt. */
 	readonly promptTokens?: number;
-	/** Called with each frame's number. */
+	/** Called with the number of frames received so far. */
 	readonly onFrame?: (count: number) => void;
 };
 
@@ -140,11 +136,9 @@
 }
 
 /**
- * Streams one answer until it ends or breaks.
+ * Streams an answer, from its start or from a position, until it ends or fails.
  *
- * @param fleet - Fleet.
- * @param options - Request, or the position from which to resume.
- * @returns What the caller saw.
+ * @returns What the caller received.
  */
 export async function streamChat(fleet: Fleet, options: StreamOptions): Promise<StreamResult> {
 	const {caller} = fleet.hosts.get(options.host);
@@ -205,9 +199,9 @@
 }
 
 /**
- * @param prompt - Prompt.
- * @param tokens - The most tokens wanted.
- * @returns Body of a streamed chat.
+ * Builds the body of a streamed chat request.
+ *
+ * @param tokens - Maximum length of the answer.
  */
 export function buildChatBody(prompt: string, tokens: number) {
 	return {
@@ -219,9 +213,9 @@
 }
 
 /**
- * @param prompt - Prompt.
- * @param tokens - Tokens of the answer; the fleet's engines answer with as many as are wanted.
- * @returns The whole answer.
+ * Returns the complete answer of a stand-in engine to a prompt.
+ *
+ * @param tokens - Length of the answer; the engines must be set to answer with exactly this many tokens.
  */
 export function getExpectedAnswer(prompt: string, tokens: number): string {
 	const digest = promptDigest(renderPrompt([{role: 'user', content: prompt}]));
--- a/__tests__/support/ledger.ts
+++ b/__tests__/support/ledger.ts
@@ -1,9 +1,9 @@
-/** The one checker of what must always hold for requests that may run only once; every scenario under faults uses it. */
+/** Checks the guarantees for non-idempotent requests: compares what callers received with what upstreams executed. */
 import {shortDigest} from '../../src/protocol/blocks.js';
 import {type Fleet} from '../../bench/fleet/fleet.js';
 import {type CallResult} from './caller.js';
 
-/** A promise that did not hold. */
+/** A guarantee that did not hold. */
 export type Violation = {
 	readonly body: string;
 	readonly guarantee: 'at most once' | 'not run is true' | 'done is true';
@@ -15,16 +15,17 @@
 	readonly #results = new Map<string, CallResult[]>();
 
 	/**
-	 * @param body - Body of the request; each logical request has its own.
-	 * @param result - What its caller was told.
-	 * @returns The same.
+	 * Records the result of a request.
+	 *
+	 * @param body - Body of the request; each logical request must have its own.
+	 * @returns The result.
 	 */
 	record(body: string, result: CallResult): CallResult {
 		this.#results.set(body, [...this.#results.get(body) ?? [], result]);
 		return result;
 	}
 
-	/** Answers by outcome. */
+	/** Number of results by outcome. */
 	get outcomes(): Readonly<Record<string, number>> {
 		const counts: Record<string, number> = {};
 		for (const {outcome} of [...this.#results.values()].flat()) {
@@ -34,13 +35,10 @@
 		return counts;
 	}
 
-	/**
-	 * @param fleet - Fleet that ran the requests.
-	 * @returns Every promise that did not hold.
-	 */
+	/** Returns every violated guarantee of the requests that the fleet ran. */
 	async check(fleet: Fleet): Promise<readonly Violation[]> {
 		const executions = await countExecutions(fleet);
-		return [...this.#results].flatMap(([body, answers]) => findViolations(body, answers, executions.get(shortDigest(body)) ?? 0));
+		return [...this.#results].flatMap(([body, results]) => findViolations(body, results, executions.get(shortDigest(body)) ?? 0));
 	}
 }
 
@@ -65,7 +63,7 @@
 	return counts;
 }
 
-/** A refusal that brings a ticket says of itself only that this sending did not run. */
+/** A refusal that issues a ticket (1006) says only that this attempt did not run; other attempts may have run. */
 function isFinal({code}: CallResult): boolean {
 	return code !== 1006;
 }
--- a/__tests__/takeover.test.ts
+++ b/__tests__/takeover.test.ts
@@ -1,3 +1,4 @@
+/** Switching a service from legacy to new upstreams, with real processes. */
 import got from 'got';
 import {describe, expect, it} from 'vitest';
 import {z} from 'zod';
@@ -24,7 +25,7 @@
 const bookingCount = 12;
 const ticketSchema = z.object({ticket: z.string()});
 
-/** The second upstream of each domain stands for the old scripts. */
+/** Turns the second upstream of each domain into a legacy upstream and lets the legacy upstreams serve the service. */
 function useLegacyUpstreams(before: Configuration): Configuration {
 	return {
 		...before,
@@ -49,19 +50,19 @@
 	return statusCode;
 }
 
-/** Executions by upstream. */
+/** Returns the number of executions by upstream. */
 function countExecutions(fleet: Fleet): Readonly<Record<string, number>> {
 	return Object.fromEntries(fleet.upstreams.plainCounts.map(each => [each.service, each.executed]));
 }
 
-describe('moving in while a failure domain is held at the old revision', () => {
-	it('runs each booking once, on one side', async () => {
+describe('switching to the new upstreams while one failure domain stays at the old revision', () => {
+	it('runs each booking once, on either the legacy or the new upstreams', async () => {
 		await using fleet = await Fleet.start(shape);
 		await linked(fleet, hosts, 2);
 		await inForce(fleet, hosts, await fleet.publish(before => useLegacyUpstreams(before)));
 		expect(await sendBooking(fleet, 'a-host-1', await requestTicket(fleet, 'a-host-2'), 'first')).toBe(200);
 		expect(countExecutions(fleet)).toMatchObject({'a-book-1': 0, 'a-book-2': 1});
-		// Hosts of b still reach the callers' listeners of a, but neither its peer links nor the platform.
+		// Hosts in b still reach the caller listeners in a, but neither its peer listeners nor the platform.
 		fleet.fault({type: 'refuse', where: {link: 'b-host-1-platform'}});
 		for (const host of hosts) {
 			fleet.fault({type: 'refuse', where: {link: `${host}-peer`}});
@@ -70,23 +71,23 @@
 		const revision = await fleet.publish(before => ({...before, takeovers: []}));
 		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
 		expect(await stateOf(fleet, 'b-host-1')).toMatchObject({revision: revision - 1});
-		const codes = new Set<number>();
+		const statuses = new Set<number>();
 		for (let booking = 0; booking < bookingCount; booking++) {
 			const ticket = await requestTicket(fleet, hosts[booking % hosts.length]!);
-			const shown = await Promise.all(hosts.map(async host => sendBooking(fleet, host, ticket, `booking ${booking}`)));
-			for (const code of shown) {
-				codes.add(code);
+			const received = await Promise.all(hosts.map(async host => sendBooking(fleet, host, ticket, `booking ${booking}`)));
+			for (const status of received) {
+				statuses.add(status);
 			}
 		}
 
-		expect(codes).toEqual(new Set([200]));
+		expect(statuses).toEqual(new Set([200]));
 		const counts = fleet.upstreams.plainCounts;
 		expect(counts.reduce((sum, each) => sum + each.executed, 0)).toBe(bookingCount + 1);
 		for (const {byBody} of counts) {
 			expect(new Set(Object.values(byBody))).toEqual(new Set(Object.keys(byBody).length === 0 ? [] : [1]));
 		}
 
-		// Of four bookings kept by b all went to the old scripts, of eight kept by a none.
+		// All four bookings kept by b ran on legacy upstreams, and none of the eight kept by a did.
 		expect(countExecutions(fleet)).toMatchObject({'a-book-2': 1, 'b-book-1': 0, 'b-book-2': 4});
 		fleet.heal();
 		await inForce(fleet, hosts, revision);
