--- a/__tests__/gateway/rerouting.test.ts
+++ b/__tests__/gateway/rerouting.test.ts
@@ -7,7 +7,7 @@
 import {Link} from '../../src/gateway/peers/link.js';
 import {type Message, type ToldJob} from '../../src/gateway/peers/messages.js';
 
-/** A request yields only to load updates from the first 100 ms after it was sent; on a busy machine they may come later. */
+/** A request yields only within 100 ms after it was sent; on a busy machine the peer's load update may arrive later. */
 const maxAttempts = 6;
 
 it('a prompt whose engine a peer chose first is rerouted once to another engine and answered completely', {timeout: 30_000}, async () => {
--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -15,7 +15,7 @@
 
 let site: Site;
 
-/** Generous, since hosts connect slowly on a busy machine. */
+/** Time within which hosts must connect to each other; generous, since the machine may be busy. */
 const linkTimeoutMs = 30_000;
 
 /** Opens a connection first and sends its request later. */
--- a/__tests__/guarantees.test.ts
+++ b/__tests__/guarantees.test.ts
@@ -138,7 +138,7 @@
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
 
-	it('runs at most once when its keeper is paused while it runs and resumes late', async () => {
+	it('runs at most once when its keeper is paused while running it and resumes late', async () => {
 		const body = 'paused';
 		const ticket = await requestTicket(fleet, 'a-host-1');
 		const {child} = fleet.hosts.get('a-host-1');
@@ -224,7 +224,7 @@
 		expect(before.text + after.text).toBe(getExpectedAnswer(prompt, tokens));
 	});
 
-	it('is complete and correct when frames are mixed up between streams, repeated or reordered or the connection is cut', async () => {
+	it('is complete and correct when frames are mixed up, repeated or reordered, or the connection is cut', async () => {
 		await fleet.upstreams.faultEngines({type: 'cross', count: 20});
 		await fleet.upstreams.faultEngines({type: 'repeat', count: 20});
 		await fleet.upstreams.faultEngines({type: 'reorder', count: 20});
--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -25,8 +25,8 @@
 	};
 }
 
-async function waitUntil(isTrue: () => Promise<boolean> | boolean): Promise<void> {
-	while (!await isTrue()) {
+async function waitUntil(condition: () => Promise<boolean> | boolean): Promise<void> {
+	while (!await condition()) {
 		await sleep(20);
 	}
 }
--- a/__tests__/memory.test.ts
+++ b/__tests__/memory.test.ts
@@ -70,7 +70,7 @@
 }
 
 describe('a prompt larger than one engine', () => {
-	it('is answered completely by several engines, for two hosts at once, and all holds are released', async () => {
+	it('is answered completely by several engines, also for two hosts at once, and its holds are released', async () => {
 		const prompts = ['first', 'second', 'third'];
 		const results = await Promise.all(prompts.map(async (prompt, index) => streamLargePrompt(`a-host-${(index % 2) + 1}`, prompt)));
 		for (const [index, prompt] of prompts.entries()) {
