--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -237,7 +237,7 @@
 		await startSite({hosts: 3});
 		const [first, second] = site.hosts;
 		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
-		const asked = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
+		const pendingAnswer = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
 		await sleep(300);
 		await site.ask({path: '/read/x', id: 'seen-2'}, second);
 		expect(second!.logged('placed', 'seen-2')[0]).toMatchObject({jobs: 2});
@@ -245,7 +245,7 @@
 		await sleep(200);
 		await site.ask({path: '/read/x', id: 'seen-3'}, second);
 		expect(second!.logged('placed', 'seen-3')[0]).toMatchObject({jobs: 1});
-		await asked;
+		await pendingAnswer;
 	});
 });
 
