--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -1,4 +1,4 @@
-/** Hosts and upstreams that leave, stores that are away. */
+/** Hosts and upstreams that stop or fail, and outages of the store. */
 import {once} from 'node:events';
 import {readFileSync, writeFileSync} from 'node:fs';
 import {Agent} from 'node:http';
@@ -15,10 +15,10 @@
 
 let site: Site;
 
-/** Milliseconds within which hosts have met, on a machine that does other things too. */
-const linkedWithin = 30_000;
+/** Time within which hosts must connect to each other; generous, since the machine may be busy. */
+const linkTimeoutMs = 30_000;
 
-/** Connects first, and sends its request later. */
+/** Opens a connection first and sends its request later. */
 class LateCaller {
 	static async connect({host, port}: Address): Promise<LateCaller> {
 		const socket = createConnection({host, port});
@@ -45,15 +45,15 @@
 		});
 	}
 
-	/** Returns what came until the connection was closed. */
-	async ask(): Promise<string> {
+	/** Returns everything received until the connection closes. */
+	async sendRequest(): Promise<string> {
 		this.#socket.write('GET /open/x HTTP/1.1\r\nHost: api.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: 1000\r\nConnection: close\r\n\r\n');
 		await this.#closed;
 		return this.#answer;
 	}
 }
 
-async function start(options: SiteOptions): Promise<void> {
+async function startSite(options: SiteOptions): Promise<void> {
 	site = await Site.start(options);
 }
 
@@ -62,8 +62,8 @@
 });
 
 describe('a planned stop of a host', () => {
-	it('cuts nothing, is told to the balancer, and serves who still comes', async () => {
-		await start({settings: {grace: 6000}});
+	it('cuts no request, fails the load balancer\'s readiness check and still serves new requests', async () => {
+		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const agent = new Agent({keepAlive: true});
 		const running = site.ask({path: '/ask/x', id: 'long-1', headers: prompt(2000, 120)});
@@ -85,8 +85,8 @@
 });
 
 describe('a host that is about to stop', () => {
-	it('takes nothing that could be cut: late requests on kept connections are refused as not run', async () => {
-		await start({settings: {grace: 6000}});
+	it('accepts no request that it would have to cut: late ones are refused as not run', async () => {
+		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-2', headers: prompt(2000, 380)});
 		await sleep(100);
@@ -101,8 +101,8 @@
 });
 
 describe('the end of a planned stop', () => {
-	it('cuts nobody who has just connected', async () => {
-		await start({settings: {grace: 8000}});
+	it('cuts no request on a connection that was just opened', async () => {
+		await startSite({settings: {grace: 8000}});
 		const [host] = site.hosts;
 		const running = site.ask({path: '/ask/x', id: 'long-3', headers: prompt(2000, 380)});
 		await sleep(100);
@@ -110,19 +110,19 @@
 		await sleep(3000);
 		const callers = await Promise.all(Array.from({length: 10}, async () => LateCaller.connect(host!.caller)));
 		await running;
-		// By now nothing runs at the host, which would end at once.
+		// Nothing runs on the host by now, so it would otherwise exit immediately.
 		await sleep(100);
-		const answers = await Promise.all(callers.map(async caller => caller.ask()));
+		const answers = await Promise.all(callers.map(async caller => caller.sendRequest()));
 		expect(answers.map(answer => answer.slice(0, 12))).toEqual(answers.map(() => 'HTTP/1.1 503'));
 	});
 });
 
 describe('an upstream that leaves', () => {
-	it.each(['draining', 'gone'] as const)('gets nothing new two seconds after it is %s', async how => {
-		await start({plains: 2});
+	it.each(['draining', 'unregistered'] as const)('receives no request two seconds after it is %s', async state => {
+		await startSite({plains: 2});
 		const [leaving] = site.plains;
 		leaving!.drain();
-		if (how === 'draining') {
+		if (state === 'draining') {
 			site.register(leaving!);
 		} else {
 			site.store.remove(`servers/${leaving!.id}`);
@@ -139,8 +139,8 @@
 });
 
 describe('the store', () => {
-	it.each(['busy', 'silent', 'reset'] as const)('may be %s: public routes are served on, keys are not trusted for ever', async mode => {
-		await start({settings: {revocation: 2500}});
+	it.each(['busy', 'silent', 'reset'] as const)('may be %s: public routes are still served, keys only until the revocation bound', async mode => {
+		await startSite({settings: {revocation: 2500}});
 		site.store.mode = mode;
 		await sleep(1000);
 		const soon = await site.ask({path: '/read/x', id: 'away-1'});
@@ -157,8 +157,8 @@
 		}, {timeout: 6000}).toBe(200);
 	});
 
-	it('may forget its history: what changed meanwhile is learnt all the same', async () => {
-		await start({});
+	it('may forget its history: changes during an outage are still read', async () => {
+		await startSite({});
 		site.store.mode = 'busy';
 		await sleep(1300);
 		site.store.put('op/config', configuration(5, {Tenants: [{Name: 'acme', ApiKeys: ['fresh']}]}));
@@ -172,8 +172,8 @@
 		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').map(line => line.upstream), {timeout: 4000}).toEqual(['plain-0']);
 	});
 
-	it('is read at most twice a second by a host, however often upstreams write', async () => {
-		await start({});
+	it('is read at most twice a second by each host, no matter how often upstreams write', async () => {
+		await startSite({});
 		const before = site.store.calls;
 		const timer = setInterval(() => {
 			site.register(site.plains[0]!);
@@ -184,12 +184,12 @@
 	});
 });
 
-describe('a host that alone has lost the store', () => {
-	it('learns from its peers what changes, keys that are taken away included', async () => {
-		await start({hosts: 3, apart: 1, settings: {revocation: 2500}});
+describe('the only host that cannot reach the store', () => {
+	it('receives changes from its peers, including revoked keys', async () => {
+		await startSite({hosts: 3, apart: 1, settings: {revocation: 2500}});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
-		await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 		site.store.sideMode = 'reset';
 		await sleep(3500);
 		const served = await site.ask({path: '/read/x', id: 'lost-1'}, second);
@@ -204,9 +204,9 @@
 });
 
 describe('a failure domain of many hosts', () => {
-	it('reads the store with two of them, and all learn what changes in time', async () => {
-		await start({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkedWithin}).toBeGreaterThanOrEqual(5);
+	it('has two hosts read the store, and all of them receive changes in time', async () => {
+		await startSite({hosts: 6});
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		await sleep(1500);
 		const before = site.store.calls;
 		await sleep(3000);
@@ -219,9 +219,9 @@
 		}
 	});
 
-	it('goes on reading when the hosts that read are gone', async () => {
-		await start({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkedWithin}).toBeGreaterThanOrEqual(5);
+	it('keeps reading the store after the reading hosts fail', async () => {
+		await startSite({hosts: 6});
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		const [kept, ...others] = site.hosts;
 		await Promise.all(others.map(async host => host.kill()));
 		await sleep(500);
@@ -233,11 +233,11 @@
 });
 
 describe('hosts together', () => {
-	it('know what each other sent, and forget what a killed host sent', async () => {
-		await start({hosts: 3});
+	it('know what each other sent, and discard the jobs of a killed host', async () => {
+		await startSite({hosts: 3});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
-		const asked = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
+		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		const pendingAnswer = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
 		await sleep(300);
 		await site.ask({path: '/read/x', id: 'seen-2'}, second);
 		expect(second!.logged('placed', 'seen-2')[0]).toMatchObject({jobs: 2});
@@ -245,22 +245,22 @@
 		await sleep(200);
 		await site.ask({path: '/read/x', id: 'seen-3'}, second);
 		expect(second!.logged('placed', 'seen-3')[0]).toMatchObject({jobs: 1});
-		await asked;
+		await pendingAnswer;
 	});
 });
 
-it('takes a peer that has fallen silent for lost, though it is written to', async () => {
-	await start({hosts: 2});
+it('drops an unresponsive peer even though it is still sent messages', async () => {
+	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(1);
+	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(1);
 	second!.process.kill('SIGSTOP');
-	await expect.poll(() => first!.logged('peer-lost').map(line => line.reason), {timeout: linkedWithin}).toEqual(['silent']);
+	await expect.poll(() => first!.logged('peer-lost').map(line => line.reason), {timeout: linkTimeoutMs}).toEqual(['silent']);
 	second!.process.kill('SIGCONT');
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkedWithin}).toBeGreaterThanOrEqual(2);
+	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 });
 
-it('refuses settings that are not valid, with a code', async () => {
-	await start({});
+it('exits with a result code when its settings are invalid', async () => {
+	await startSite({});
 	const [host] = site.hosts;
 	await host!.kill();
 	writeFileSync(host!.file, '{"host": 5}');
@@ -269,13 +269,13 @@
 	expect(host!.logged('failed')[0]).toMatchObject({code: 6001});
 });
 
-it('ends with a code when its port is taken', async () => {
-	await start({hosts: 2});
+it('exits with a result code when its port is in use', async () => {
+	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
 	await second!.kill();
 	const settings = z.record(z.string(), z.unknown()).parse(JSON.parse(readFileSync(second!.file, 'utf8')));
 	writeFileSync(second!.file, JSON.stringify({...settings, ready: `${first!.ready.host}:${first!.ready.port}`}));
 	second!.start();
-	await expect.poll(() => second!.process.exitCode, {timeout: linkedWithin}).toBe(1);
+	await expect.poll(() => second!.process.exitCode, {timeout: linkTimeoutMs}).toBe(1);
 	expect(second!.logged('failed')[0]).toMatchObject({code: 6003});
 });
--- a/__tests__/support/caller.ts
+++ b/__tests__/support/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of a fleet: sends requests, keeps tickets, follows and resumes streams. */
+/** A caller of a fleet: sends requests, requests tickets, reads and resumes streams. */
 import {createParser} from 'eventsource-parser';
 import got, {type Response} from 'got';
 import {z} from 'zod';
@@ -8,8 +8,8 @@
 import {answerLength, answerText, promptDigest} from '../../stand-ins/engine/answer.js';
 import {renderPrompt} from '../../src/protocol/blocks.js';
 
-/** What a caller was told at the end. */
-export type Told = {
+/** The response to a request, as its caller received it. */
+export type CallResult = {
 	readonly status: number;
 	readonly outcome: string;
 	readonly code: number;
@@ -17,15 +17,15 @@
 	readonly ticket?: string;
 };
 
-/** A connection that broke before an answer. */
-const nothingTold: Told = {
+/** The result when the connection fails before a response. */
+const connectionFailure: CallResult = {
 	status: 0,
 	outcome: 'outcome unknown',
 	code: -1,
 	body: '',
 };
 
-function told({statusCode, headers, trailers, body}: Response<string>): Told {
+function readResult({statusCode, headers, trailers, body}: Response<string>): CallResult {
 	const {ticket} = headers['x-ticket'] === undefined ? {} : {ticket: String(headers['x-ticket'])};
 	return {
 		status: statusCode,
@@ -33,14 +33,14 @@
 		code: Number(headers['x-result-code'] ?? trailers['x-result-code'] ?? -1),
 		body,
 		ticket,
-		...streamEnd(body),
+		...readStreamOutcome(body),
 	};
 }
 
 const errorSchema = z.object({error: z.object({type: z.string(), code: z.number()})});
 
-/** A stream tells its outcome in its terminal event. */
-function streamEnd(body: string): Partial<Told> {
+/** Reads the outcome of a stream from its terminal event; its headers are sent before the outcome is known. */
+function readStreamOutcome(body: string): Partial<CallResult> {
 	const error = /^event: error\ndata: (.*)$/mv.exec(body)?.[1];
 	if (error !== undefined) {
 		const {type, code} = errorSchema.parse(JSON.parse(error)).error;
@@ -50,83 +50,79 @@
 	return body.includes('\ndata: [DONE]\n') ? {outcome: 'done', code: 0} : {};
 }
 
-export type Sending = {
+export type SendOptions = {
 	readonly host: string;
 	readonly path: string;
 	readonly body: string;
 	readonly ticket?: string;
 	readonly key?: string;
+	/** Milliseconds that the host has for the request. */
 	readonly timeout?: number;
-	/** Milliseconds after which the caller itself gives up. */
-	readonly patience?: number;
+	/** Milliseconds after which the caller aborts the request. */
+	readonly callerTimeout?: number;
 };
 
-function urlOf({host, port}: Address, path: string): string {
+function buildUrl({host, port}: Address, path: string): string {
 	return `http://${host}:${port}${path}`;
 }
 
 /**
- * Sends a request that may run only once.
+ * Sends a non-idempotent request.
  *
- * @param fleet - Fleet.
- * @param sending - Request.
- * @returns What the caller was told.
+ * @returns The response; a connection failure is returned as an unknown outcome.
  */
-export async function sendOnce(fleet: Fleet, sending: Sending): Promise<Told> {
-	const {caller} = fleet.hosts.get(sending.host);
+export async function sendOnce(fleet: Fleet, options: SendOptions): Promise<CallResult> {
+	const {caller} = fleet.hosts.get(options.host);
 	try {
-		return told(await got.post(urlOf(caller, sending.path), {
-			body: sending.body,
+		return readResult(await got.post(buildUrl(caller, options.path), {
+			body: options.body,
 			headers: {
 				authorization: `Bearer ${apiKey('one')}`,
 				'content-type': 'application/json',
 				'x-idempotent': 'false',
-				'x-timeout-ms': String(sending.timeout ?? 5000),
-				...(sending.ticket !== undefined && {'x-ticket': sending.ticket}),
-				...(sending.key !== undefined && {'idempotency-key': sending.key}),
+				'x-timeout-ms': String(options.timeout ?? 5000),
+				...(options.ticket !== undefined && {'x-ticket': options.ticket}),
+				...(options.key !== undefined && {'idempotency-key': options.key}),
 			},
 			throwHttpErrors: false,
 			retry: {limit: 0},
-			timeout: {request: sending.patience ?? 15_000},
+			timeout: {request: options.callerTimeout ?? 15_000},
 		}));
 	} catch {
-		return nothingTold;
+		return connectionFailure;
 	}
 }
 
-/**
- * @param fleet - Fleet.
- * @param host - Host that issues it.
- * @returns A ticket.
- */
-export async function wantTicket(fleet: Fleet, host: string): Promise<string> {
+/** Requests a ticket that the host issues. */
+export async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
-	const {ticket} = await got.post(urlOf(caller, '/v1/tickets'), {
+	const {ticket} = await got.post(buildUrl(caller, '/v1/tickets'), {
 		headers: {authorization: `Bearer ${apiKey('one')}`},
 		retry: {limit: 0},
 	}).json<{ticket: string}>();
 	return ticket;
 }
 
-/** A stream as far as its caller saw it. */
-export type Seen = {
+/** The part of a stream that its caller received. */
+export type StreamResult = {
 	readonly text: string;
+	/** Event id from which the stream can be resumed. */
 	readonly position: string | undefined;
-	/** Whether the terminal event came. */
+	/** Whether the terminal event was received. */
 	readonly isWhole: boolean;
 	readonly status: number;
 	readonly error: string;
 };
 
-export type Streaming = {
+export type StreamOptions = {
 	readonly host: string;
 	readonly prompt: string;
 	readonly tokens: number;
 	readonly position?: string;
 	readonly ticket?: string;
-	/** Prompt tokens stated, where the text stands for a longer one. */
+	/** Prompt length to declare, where the text stands for a longer prompt. */
 	readonly promptTokens?: number;
-	/** Called with each frame's number. */
+	/** Called with the number of frames received so far. */
 	readonly onFrame?: (count: number) => void;
 };
 
@@ -134,20 +130,18 @@
 	choices: z.array(z.object({delta: z.object({content: z.string().optional()})})),
 });
 
-function contentOf(data: string): string {
+function readContent(data: string): string {
 	const {choices} = chunkSchema.parse(JSON.parse(data));
 	return choices[0]?.delta.content ?? '';
 }
 
 /**
- * Streams one answer until it ends or breaks.
+ * Streams an answer, from its start or from a position, until it ends or fails.
  *
- * @param fleet - Fleet.
- * @param streaming - Request, or the position from which to resume.
- * @returns What the caller saw.
+ * @returns What the caller received.
  */
-export async function stream(fleet: Fleet, streaming: Streaming): Promise<Seen> {
-	const {caller} = fleet.hosts.get(streaming.host);
+export async function streamChat(fleet: Fleet, options: StreamOptions): Promise<StreamResult> {
+	const {caller} = fleet.hosts.get(options.host);
 	let text = '';
 	let position: string | undefined;
 	let isWhole = false;
@@ -161,21 +155,21 @@
 			} else if (event.event === 'error') {
 				error = event.data;
 			} else {
-				const content = contentOf(event.data);
+				const content = readContent(event.data);
 				position = event.id ?? position;
 				text += content;
 				frames += content === '' ? 0 : 1;
-				streaming.onFrame?.(frames);
+				options.onFrame?.(frames);
 			}
 		},
 	});
-	const request = got.stream.post(urlOf(caller, '/v1/chat/completions'), {
-		json: bodyOf(streaming.prompt, streaming.tokens),
+	const request = got.stream.post(buildUrl(caller, '/v1/chat/completions'), {
+		json: buildChatBody(options.prompt, options.tokens),
 		headers: {
 			authorization: `Bearer ${apiKey('one')}`,
-			...(streaming.position !== undefined && {'last-event-id': streaming.position}),
-			...(streaming.promptTokens !== undefined && {'x-prompt-tokens': String(streaming.promptTokens)}),
-			...(streaming.ticket !== undefined && {'x-ticket': streaming.ticket, 'x-idempotent': 'false'}),
+			...(options.position !== undefined && {'last-event-id': options.position}),
+			...(options.promptTokens !== undefined && {'x-prompt-tokens': String(options.promptTokens)}),
+			...(options.ticket !== undefined && {'x-ticket': options.ticket, 'x-idempotent': 'false'}),
 		},
 		throwHttpErrors: false,
 		retry: {limit: 0},
@@ -205,11 +199,11 @@
 }
 
 /**
- * @param prompt - Prompt.
- * @param tokens - The most tokens wanted.
- * @returns Body of a streamed chat.
+ * Builds the body of a streamed chat request.
+ *
+ * @param tokens - Maximum length of the answer.
  */
-export function bodyOf(prompt: string, tokens: number) {
+export function buildChatBody(prompt: string, tokens: number) {
 	return {
 		model: 'check',
 		stream: true,
@@ -219,11 +213,11 @@
 }
 
 /**
- * @param prompt - Prompt.
- * @param tokens - Tokens of the answer; the fleet's engines answer with as many as are wanted.
- * @returns The whole answer.
+ * Returns the complete answer of a stand-in engine to a prompt.
+ *
+ * @param tokens - Length of the answer; the engines must be set to answer with exactly this many tokens.
  */
-export function expectedAnswer(prompt: string, tokens: number): string {
+export function getExpectedAnswer(prompt: string, tokens: number): string {
 	const digest = promptDigest(renderPrompt([{role: 'user', content: prompt}]));
 	return answerText(digest, answerLength(digest, {least: tokens, most: tokens}, tokens));
 }
