--- a/bench/model/decision.ts
+++ b/bench/model/decision.ts
@@ -1,6 +1,6 @@
 /** Measures the cost of one routing decision at the expected size in two years: 75 engines in a failure domain, 42 hosts. */
 import {route} from '../../src/core/features/routing/queries.js';
-import {service} from '../../src/core/features/configuration/queries.js';
+import {findService} from '../../src/core/features/configuration/queries.js';
 import {type Request} from '../../src/core/index.js';
 import {Fleet} from './fleet.js';
 import {engineOptions} from './scenarios.js';
@@ -38,7 +38,7 @@
 	fleet.run([], 2000);
 	const state = fleet.getHostState(0);
 	const random = seeded(1);
-	const wanted = service(state, 's')!;
+	const wanted = findService(state, 's')!;
 	const requests = Array.from({length: 100}, (_, index) => buildRequest(index, promptTokens));
 	let started = 0;
 	for (let index = 0; index < decisions + warmUpDecisions; index++) {
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -19,7 +19,7 @@
 import {type Peer} from '../../src/core/features/membership/types.js';
 import {ownDemands} from '../../src/core/features/limits/queries.js';
 import {ownMixes} from '../../src/core/features/routing/segments.js';
-import {ownLoads} from '../../src/core/features/membership/heartbeat.js';
+import {listOwnLoads} from '../../src/core/features/membership/heartbeat.js';
 import {ModelEngine, type ModelEngineOptions, type Job} from './engine.js';
 import {Timeline} from './timeline.js';
 import {seeded, type Arrival} from './workload.js';
@@ -324,17 +324,17 @@
 	#publishHeartbeat(host: number): void {
 		const state = this.#states[host]!;
 		const {now} = this.#timeline;
-		const loads = Table(ownLoads(state).map(load => [load.upstream, load] as [string, Load]));
+		const loads = Table(listOwnLoads(state).map(load => [load.upstream, load] as [string, Load]));
 		const peer: Peer = {
 			member: buildMember(host),
 			phase: 'serving',
 			status: 'live',
 			connected: true,
-			heard: now,
-			learnt: 0,
+			lastSeen: now,
+			addedAt: 0,
 			changed: 0,
 			sequence: 0,
-			isWhole: true,
+			hasAllLoads: true,
 			revision: 1,
 			digest: 'd',
 			loads,
--- a/src/core/__tests__/membership.test.ts
+++ b/src/core/__tests__/membership.test.ts
@@ -1,13 +1,13 @@
 import {describe, expect, it} from 'vitest';
 import {
-	isCertainlyGone,
-	livePeers,
-	peersWork,
-	reachableDomains,
-	servingHosts,
+	isSuperseded,
+	listLivePeers,
+	getPeersWork,
+	listReachableDomains,
+	listServingHosts,
 } from '../features/membership/queries.js';
 import {type Attempt} from '../types/request.js';
-import {longestRoute, nextHop} from '../features/membership/routes.js';
+import {maxRouteHops, findNextHop} from '../features/membership/routes.js';
 import {documentOf, Network} from './network.js';
 
 function createFleet(sizes: Readonly<Record<string, number>>, seed = 1) {
@@ -31,7 +31,7 @@
 }
 
 function areAllLive(network: Network, hosts: readonly string[]) {
-	return hosts.every(host => livePeers(network.state(host)).length === hosts.length - 1);
+	return hosts.every(host => listLivePeers(network.state(host)).length === hosts.length - 1);
 }
 
 describe('membership', () => {
@@ -49,7 +49,7 @@
 
 		network.publish(documentOf(1), 'a1');
 		expect(network.run(10_000, () => areAllLive(network, hosts))).toBe(true);
-		expect(reachableDomains(network.state('b2'))).toEqual(['a', 'b']);
+		expect(listReachableDomains(network.state('b2'))).toEqual(['a', 'b']);
 	});
 
 	it('keeps a responsive peer that the host list drops', () => {
@@ -69,10 +69,10 @@
 		expect(network.run(4000, () => statusOf(network, 'a1', 'a3') === 'suspect')).toBe(true);
 		network.run(20_000);
 		expect(statusOf(network, 'a1', 'a3')).toBe('gone');
-		expect(isCertainlyGone(network.state('a1'), network.nodes.get('a3')!.member.incarnation)).toBe(false);
+		expect(isSuperseded(network.state('a1'), network.nodes.get('a3')!.member.incarnation)).toBe(false);
 		network.resume('a3', 24_000);
 		const rest = hosts.filter(host => host !== 'a2');
-		expect(network.run(8000, () => rest.every(host => livePeers(network.state(host)).length === 2))).toBe(true);
+		expect(network.run(8000, () => rest.every(host => listLivePeers(network.state(host)).length === 2))).toBe(true);
 	});
 
 	it('considers a replaced incarnation certainly dead, also on hosts without a link to the new one', () => {
@@ -84,7 +84,7 @@
 		network.publish(documentOf(1), 'a2');
 		network.run(5000);
 		for (const host of ['a1', 'a3', 'b1', 'b2']) {
-			expect(isCertainlyGone(network.state(host), old)).toBe(true);
+			expect(isSuperseded(network.state(host), old)).toBe(true);
 		}
 
 		const departures = network.effects.filter(({effect}) => effect.type === 'log' && effect.decision.type === 'member' && effect.decision.change === 'replaced');
@@ -105,7 +105,7 @@
 		expect(network.run(8000, () => areAllLive(network, hosts))).toBe(true);
 		network.partition((a, b) => a.failureDomain !== b.failureDomain);
 		network.run(120_000);
-		expect(livePeers(network.state('a1'))).toHaveLength(2);
+		expect(listLivePeers(network.state('a1'))).toHaveLength(2);
 		network.publish(documentOf(2), 'c1');
 		network.partition(() => false);
 		expect(network.run(10_000, () => areAllLive(network, hosts))).toBe(true);
@@ -119,7 +119,7 @@
 		expect(network.effects.some(({host, effect}) => host === 'a5' && effect.type === 'ready' && !effect.ready)).toBe(true);
 		network.run(1500);
 		for (const host of hosts) {
-			expect(servingHosts(network.state(host), 'a').map(member => member.incarnation.host)).not.toContain('a5');
+			expect(listServingHosts(network.state(host), 'a').map(member => member.incarnation.host)).not.toContain('a5');
 		}
 
 		expect(network.run(3000, () => !network.nodes.has('a5'))).toBe(true);
@@ -132,8 +132,8 @@
 		for (const from of hosts) {
 			for (const to of hosts) {
 				let at = from;
-				for (let hops = 0; at !== to && hops <= longestRoute; hops++) {
-					const next = nextHop(network.state(at), to, at === from ? undefined : from);
+				for (let hops = 0; at !== to && hops <= maxRouteHops; hops++) {
+					const next = findNextHop(network.state(at), to, at === from ? undefined : from);
 					expect(next).toBeDefined();
 					at = next!;
 					longest = Math.max(longest, hops + 1);
@@ -143,7 +143,7 @@
 			}
 		}
 
-		expect(longest).toBeLessThanOrEqual(longestRoute);
+		expect(longest).toBeLessThanOrEqual(maxRouteHops);
 	});
 
 	it('publishes changes of its work, and removes the work of a lost host', () => {
@@ -157,16 +157,16 @@
 		} as const;
 		network.dispatch('a1', {type: 'attempt-began', request, attempt});
 		network.run(1000);
-		expect(peersWork(network.state('a2'), 'e')).toBe(1000);
+		expect(getPeersWork(network.state('a2'), 'e')).toBe(1000);
 		network.dispatch('a2', {type: 'attempt-began', request, attempt});
 		network.run(1000);
-		expect(peersWork(network.state('a3'), 'e')).toBe(2000);
+		expect(getPeersWork(network.state('a3'), 'e')).toBe(2000);
 		network.dispatch('a2', {
 			type: 'attempt-over', request, attempt, ending: {type: 'done', tokens: 1},
 		});
 		network.run(1000);
-		expect(peersWork(network.state('a3'), 'e')).toBe(1000);
+		expect(getPeersWork(network.state('a3'), 'e')).toBe(1000);
 		network.removeHost('a1');
-		expect(peersWork(network.state('a3'), 'e')).toBe(0);
+		expect(getPeersWork(network.state('a3'), 'e')).toBe(0);
 	});
 });
--- a/src/core/__tests__/requests.test.ts
+++ b/src/core/__tests__/requests.test.ts
@@ -70,7 +70,7 @@
 
 function withPeer(state: State, peer: Partial<Peer> & Pick<Peer, 'member'>): State {
 	const completePeer: Peer = {
-		phase: 'serving', status: 'live', connected: true, heard: 0, learnt: 0, changed: 0, sequence: 1, isWhole: true, revision: 1, digest: 'd', loads: Table(), demands: [], mixes: [], ...peer,
+		phase: 'serving', status: 'live', connected: true, lastSeen: 0, addedAt: 0, changed: 0, sequence: 1, hasAllLoads: true, revision: 1, digest: 'd', loads: Table(), demands: [], mixes: [], ...peer,
 	};
 	const peers = state.membership.peers.set(peer.member.incarnation.host, completePeer);
 	return {...state, membership: {...state.membership, peers}};
--- a/src/core/__tests__/suspicion.test.ts
+++ b/src/core/__tests__/suspicion.test.ts
@@ -3,7 +3,7 @@
 	type Attempt, type Ending, type Event, type Report, type Request, type State,
 } from '../index.js';
 import {
-	isConvicted, isSuspect, mayRunAt, publishedSuspicions, suspectUpstreams,
+	isConvicted, isSuspect, canRunAt, listPublishedSuspicions, listSuspectUpstreams,
 } from '../features/suspicion/queries.js';
 import {
 	applyEvents, contextAt, createConfiguration, createMember, createRequest, createServingState,
@@ -55,14 +55,14 @@
 		);
 		expect(isSuspect(state, 'killer', contextAt(10))).toBe(true);
 		expect(isSuspect(state, 'neighbour', contextAt(10))).toBe(true);
-		const choices = suspectUpstreams(state, killer, contextAt(10)).map(each => each.id);
+		const choices = listSuspectUpstreams(state, killer, contextAt(10)).map(each => each.id);
 		expect(choices).toHaveLength(2);
 		expect(choices).not.toContain('u1');
-		const allowed = ['u1', 'u2', 'u3', 'u4', 'u5'].filter(each => mayRunAt(state, killer, each, contextAt(10)));
+		const allowed = ['u1', 'u2', 'u3', 'u4', 'u5'].filter(each => canRunAt(state, killer, each, contextAt(10)));
 		expect(allowed.toSorted()).toEqual(choices.toSorted());
 		const {state: running} = applyEvents(state, 11, createAttemptStart(killer, choices[0]!, 11));
-		expect(mayRunAt(running, createRequest('o', {type: 'idempotent'}, {fingerprint: 'other'}), choices[0]!, contextAt(11))).toBe(false);
-		expect(mayRunAt(running, neighbour, choices[0]!, contextAt(11))).toBe(false);
+		expect(canRunAt(running, createRequest('o', {type: 'idempotent'}, {fingerprint: 'other'}), choices[0]!, contextAt(11))).toBe(false);
+		expect(canRunAt(running, neighbour, choices[0]!, contextAt(11))).toBe(false);
 	});
 
 	it('convicts at the second crash, clears other requests there, and notifies peers', () => {
@@ -77,7 +77,7 @@
 		);
 		expect(isConvicted(state, 'killer', contextAt(20))).toBe(true);
 		expect(isSuspect(state, 'neighbour', contextAt(20))).toBe(false);
-		const suspicions = publishedSuspicions(state, contextAt(20));
+		const suspicions = listPublishedSuspicions(state, contextAt(20));
 		const {state: peer} = applyEvents(createState(), 20, {
 			type: 'peer-message', from: 'a1', message: {
 				type: 'heartbeat', sequence: 1, phase: 'serving', revision: 1, digest: '', whole: true, loads: [], demands: [], suspicions, members: [], relayed: [],
--- a/src/core/__tests__/tickets.test.ts
+++ b/src/core/__tests__/tickets.test.ts
@@ -109,7 +109,7 @@
 	function createLinkedState(): State {
 		const state = createServingState(self);
 		const peers = state.membership.peers.set('a2', {
-			...state.membership.peers.get('a2')!, member: keeper, phase: 'serving', connected: true, heard: 0, revision: 1,
+			...state.membership.peers.get('a2')!, member: keeper, phase: 'serving', connected: true, lastSeen: 0, revision: 1,
 		});
 		return {...state, membership: {...state.membership, peers}};
 	}
--- a/src/core/features/circuits/commands.ts
+++ b/src/core/features/circuits/commands.ts
@@ -1,7 +1,7 @@
 /** Opens and closes circuits. */
 import {type Ending} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {trim} from '../../utils/bounded.js';
+import {removeOldest} from '../../utils/bounded.js';
 import {codes} from '../../errors.js';
 import {failureThreshold, type Circuit} from './types.js';
 
@@ -12,7 +12,7 @@
 
 function setCircuit(state: State, upstream: string, circuit: Circuit): State {
 	const circuits = state.circuits.circuits.set(upstream, circuit);
-	return {...state, circuits: {circuits: trim(circuits, maxCircuits, each => each.openUntil)}};
+	return {...state, circuits: {circuits: removeOldest(circuits, maxCircuits, each => each.openUntil)}};
 }
 
 /**
--- a/src/core/features/circuits/feature.ts
+++ b/src/core/features/circuits/feature.ts
@@ -1,6 +1,6 @@
 /** Circuit breakers: each upstream's consecutive failures open its circuit. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {closeCircuit, countFailure, isUpstreamFailure} from './commands.js';
 
 export const circuitsFeature: Feature = {
@@ -10,18 +10,18 @@
 			case 'attempt-over': {
 				const {attempt, ending} = event;
 				if (isUpstreamFailure(ending)) {
-					return only(countFailure(state, attempt.upstream, now));
+					return withoutEffects(countFailure(state, attempt.upstream, now));
 				}
 
-				return only(ending.type === 'done' ? closeCircuit(state, attempt.upstream) : state);
+				return withoutEffects(ending.type === 'done' ? closeCircuit(state, attempt.upstream) : state);
 			}
 
 			case 'upstream-restarted': {
-				return only(closeCircuit(state, event.upstream));
+				return withoutEffects(closeCircuit(state, event.upstream));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/configuration/commands/adopt.ts
+++ b/src/core/features/configuration/commands/adopt.ts
@@ -2,8 +2,8 @@
 import {codes} from '../../../errors.js';
 import {type EventOf, type Source} from '../../../types/event.js';
 import {type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
-import {revision} from '../queries.js';
+import {withoutEffects} from '../../../utils/common.js';
+import {getRevision} from '../queries.js';
 
 /**
  * @param source - Origin of a document.
@@ -46,14 +46,14 @@
 		configuration, digest, text, source,
 	} = event;
 	const before = state.configuration.inForce;
-	const ownRevision = revision(state);
+	const ownRevision = getRevision(state);
 	if (configuration.revision < ownRevision) {
 		return refuseDocument(state, configuration.revision, codes.staleRevision, `${describeSource(source)}; revision ${ownRevision} is in force`);
 	}
 
 	if (configuration.revision === ownRevision) {
 		return digest === state.configuration.digest
-			? only(state)
+			? withoutEffects(state)
 			: refuseDocument(state, ownRevision, codes.sameRevisionOtherContent, `${describeSource(source)}; same revision with different content`);
 	}
 
--- a/src/core/features/configuration/commands/relay.ts
+++ b/src/core/features/configuration/commands/relay.ts
@@ -2,8 +2,8 @@
 import {codes} from '../../../errors.js';
 import {type PeerMessage} from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
-import {revision} from '../queries.js';
+import {withoutEffects} from '../../../utils/common.js';
+import {getRevision} from '../queries.js';
 import {type DocumentRequest} from '../types.js';
 import {refuseDocument} from './adopt.js';
 
@@ -23,12 +23,12 @@
 function requestDocument(state: State, host: string, offered: number, now: number): Step {
 	const {documentRequest, refusedUntil} = state.configuration;
 	if (isPending(documentRequest, offered, now) || now < (refusedUntil.get(host) ?? 0)) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return {
 		state: {...state, configuration: {...state.configuration, documentRequest: {host, revision: offered, at: now}}},
-		effects: [{type: 'peer-send', to: host, message: {type: 'configuration-wanted', above: revision(state)}}],
+		effects: [{type: 'peer-send', to: host, message: {type: 'configuration-wanted', above: getRevision(state)}}],
 	};
 }
 
@@ -36,7 +36,7 @@
 function checkDigest(state: State, host: string, offered: number, digest: string): Step {
 	const mismatch = `${host}/${offered}`;
 	if (digest === '' || state.configuration.digest.startsWith(digest) || state.configuration.reportedMismatch === mismatch) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return refuseDocument(
@@ -55,25 +55,25 @@
 };
 
 function handlePeerRevision(state: State, {host, revision: offered, digest}: PeerRevision, now: number): Step {
-	const ownRevision = revision(state);
+	const ownRevision = getRevision(state);
 	if (offered > ownRevision) {
 		return requestDocument(state, host, offered, now);
 	}
 
-	return offered === ownRevision && ownRevision > 0 ? checkDigest(state, host, offered, digest) : only(state);
+	return offered === ownRevision && ownRevision > 0 ? checkDigest(state, host, offered, digest) : withoutEffects(state);
 }
 
 function sendDocument(state: State, host: string, above: number): Step {
-	return revision(state) > above
+	return getRevision(state) > above
 		? {state, effects: [{type: 'peer-send', to: host, message: {type: 'configuration', text: state.configuration.text}}]}
-		: only(state);
+		: withoutEffects(state);
 }
 
 /** Ignores documents from other peers than the requested one, so that no host can make this one parse unrequested text. */
 function parseDocument(state: State, host: string, text: string): Step {
 	return state.configuration.documentRequest?.host === host
 		? {state, effects: [{type: 'parse-configuration', source: {type: 'peer', host}, text}]}
-		: only(state);
+		: withoutEffects(state);
 }
 
 /**
@@ -102,7 +102,7 @@
 		}
 
 		default: {
-			return only(state);
+			return withoutEffects(state);
 		}
 	}
 }
--- a/src/core/features/configuration/feature.ts
+++ b/src/core/features/configuration/feature.ts
@@ -1,6 +1,6 @@
 /** Adopts configuration documents, from the platform or from peers, and relays them. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {adoptDocument, refuseDocument} from './commands/adopt.js';
 import {backOffPeer, handlePeerMessage} from './commands/relay.js';
 
@@ -22,7 +22,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/configuration/queries.ts
+++ b/src/core/features/configuration/queries.ts
@@ -60,7 +60,7 @@
  * @param state - Core state.
  * @returns The revision in force, or 0 before the first.
  */
-export function revision(state: State): number {
+export function getRevision(state: State): number {
 	return state.configuration.inForce?.revision ?? 0;
 }
 
@@ -69,7 +69,7 @@
  * @param id - Service.
  * @returns The service, if the configuration has it.
  */
-export function service(state: State, id: string): Service | undefined {
+export function findService(state: State, id: string): Service | undefined {
 	return getCurrentIndex(state)?.services.get(id);
 }
 
@@ -78,7 +78,7 @@
  * @param id - Organisation.
  * @returns The organisation, if the configuration has it.
  */
-export function organisation(state: State, id: string): Organisation | undefined {
+export function findOrganisation(state: State, id: string): Organisation | undefined {
 	return getCurrentIndex(state)?.organisations.get(id);
 }
 
@@ -87,7 +87,7 @@
  * @param id - Upstream.
  * @returns The upstream, if the configuration has it.
  */
-export function upstream(state: State, id: string): Upstream | undefined {
+export function findUpstream(state: State, id: string): Upstream | undefined {
 	return getCurrentIndex(state)?.upstreams.get(id);
 }
 
@@ -96,8 +96,8 @@
  * @param id - Service.
  * @returns Upstreams of the service in this host's own failure domain, without legacy ones.
  */
-export function ownUpstreams(state: State, id: string): readonly Upstream[] {
-	return domainUpstreams(state, id, state.self.failureDomain);
+export function listOwnUpstreams(state: State, id: string): readonly Upstream[] {
+	return listDomainUpstreams(state, id, state.self.failureDomain);
 }
 
 /**
@@ -106,6 +106,6 @@
  * @param failureDomain - Failure domain.
  * @returns Upstreams of the service there, without legacy ones.
  */
-export function domainUpstreams(state: State, id: string, failureDomain: string): readonly Upstream[] {
+export function listDomainUpstreams(state: State, id: string, failureDomain: string): readonly Upstream[] {
 	return getCurrentIndex(state)?.serving.get(id)?.get(failureDomain) ?? [];
 }
--- a/src/core/features/groups/commands/release.ts
+++ b/src/core/features/groups/commands/release.ts
@@ -1,6 +1,6 @@
 /** Releases holds; the holds feature repeats each release until the engine confirms it. */
 import {type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
+import {withoutEffects} from '../../../utils/common.js';
 import {type Group, type GroupPart} from '../types.js';
 
 /** Returns the parts that may be held: all that were requested, answered or not. */
@@ -37,7 +37,7 @@
 export function dissolveGroup(state: State, request: string, reason: string): Step {
 	const group = state.groups.groups.get(request);
 	if (group === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const remaining = {...state, groups: {...state.groups, groups: state.groups.groups.delete(request)}};
--- a/src/core/features/groups/commands/reserve.ts
+++ b/src/core/features/groups/commands/reserve.ts
@@ -3,8 +3,8 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
-import {upstream as configured} from '../../configuration/queries.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
+import {findUpstream as configured} from '../../configuration/queries.js';
 import {findGroupByHold, planGroup} from '../queries.js';
 import {type Group, type GroupPart} from '../types.js';
 import {dissolveGroup, releaseHolds} from './release.js';
@@ -101,23 +101,23 @@
 export function handleHoldAnswer(state: State, event: EventOf<'hold-answered'>, context: Context): Step {
 	const group = findGroupByHold(state, event.hold);
 	if (group === undefined) {
-		return event.granted ? releaseHolds(state, [event], 'no longer needed') : only(state);
+		return event.granted ? releaseHolds(state, [event], 'no longer needed') : withoutEffects(state);
 	}
 
 	const {progress} = group;
 	if (progress.type !== 'asking' || group.parts[progress.index]?.hold !== event.hold) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return event.granted
 		? handleGrant(state, group, progress.index, context)
-		: only(setGroup(state, {...group, progress: {...progress, retryAt: context.now + retryIntervalMs}}));
+		: withoutEffects(setGroup(state, {...group, progress: {...progress, retryAt: context.now + retryIntervalMs}}));
 }
 
 function advanceGroup(state: State, group: Group, context: Context): Step {
 	const {progress, request} = group;
 	if (progress.type !== 'asking') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	if (context.now - progress.since >= maxWaitMs) {
@@ -125,7 +125,7 @@
 	}
 
 	if (progress.retryAt === undefined || progress.retryAt > context.now) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const next: Group = {...group, progress: {...progress, retryAt: undefined}};
@@ -141,7 +141,7 @@
 	const group = state.groups.groups.get(request);
 	const age = context.now - (group?.renewedAt ?? context.now);
 	if (group === undefined || age < renewalIntervalMs || age >= leaseDurationMs) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return {
--- a/src/core/features/groups/feature.ts
+++ b/src/core/features/groups/feature.ts
@@ -1,6 +1,6 @@
 /** Groups of engines for prompts that do not fit into the memory of one engine. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {dissolveGroup} from './commands/release.js';
 import {
 	formGroup, handleHoldAnswer, handleEngineLoss, advanceGroups,
@@ -20,7 +20,7 @@
 
 			case 'attempt-over': {
 				return event.attempt.parts === undefined
-					? only(state)
+					? withoutEffects(state)
 					: dissolveGroup(state, event.request.id, 'attempt over');
 			}
 
@@ -38,7 +38,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -2,7 +2,7 @@
 import {type Engine} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
-import {domainUpstreams, service} from '../configuration/queries.js';
+import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {findUsable} from '../routing/candidates.js';
 import {view} from '../upstreams/queries.js';
 import {estimateOutput} from '../work/queries.js';
@@ -68,12 +68,12 @@
  * @returns The parts, or undefined if the usable engines are too few.
  */
 export function planGroup(state: State, request: Request, context: Context): readonly GroupPart[] | undefined {
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService === undefined) {
 		return undefined;
 	}
 
-	const all = domainUpstreams(state, request.service, state.self.failureDomain);
+	const all = listDomainUpstreams(state, request.service, state.self.failureDomain);
 	const search = {
 		request, wanted: requestedService, failureDomain: state.self.failureDomain, avoided: [],
 	};
--- a/src/core/features/holds/commands.ts
+++ b/src/core/features/holds/commands.ts
@@ -2,9 +2,9 @@
 import {type Effect} from '../../types/effect.js';
 import {type Hold} from '../../types/upstream.js';
 import {type Context, type State, type Step} from '../../types/state.js';
-import {chain, only} from '../../utils/common.js';
-import {upstream as upstreamOf} from '../configuration/queries.js';
-import {isCertainlyGone} from '../membership/queries.js';
+import {chain, withoutEffects} from '../../utils/common.js';
+import {findUpstream as upstreamOf} from '../configuration/queries.js';
+import {isSuperseded} from '../membership/queries.js';
 import {
 	holdGraceMs, releaseLimit, type HoldsState, type Release,
 } from './types.js';
@@ -41,7 +41,7 @@
 export function requestRelease(state: State, hold: string, upstream: string, {now}: Context): Step {
 	const {releases} = state.holds;
 	return releases.has(hold) || releases.size >= releaseLimit
-		? only(state)
+		? withoutEffects(state)
 		: sendRelease(state, hold, {upstream, retryAt: now, attempts: 0}, now);
 }
 
@@ -50,7 +50,7 @@
  * of the owner was seen, or the deadline and a grace period have passed.
  */
 function findStaleReason(state: State, hold: Hold, wall: number): string | undefined {
-	if (isCertainlyGone(state, hold.owner)) {
+	if (isSuperseded(state, hold.owner)) {
 		return 'its owner is gone';
 	}
 
@@ -60,7 +60,7 @@
 function reviewHold(state: State, hold: Hold, context: Context): Step {
 	const reason = findStaleReason(state, hold, context.wall);
 	if (reason === undefined || state.holds.releases.has(hold.id)) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {id, upstream} = hold;
@@ -122,7 +122,7 @@
  */
 export function retryReleases(state: State, {now}: Context): Step {
 	if (state.holds.releases.isEmpty()) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const remaining = state.holds.releases.filter(each => upstreamOf(state, each.upstream) !== undefined);
--- a/src/core/features/holds/feature.ts
+++ b/src/core/features/holds/feature.ts
@@ -1,6 +1,6 @@
 /** Releases KV memory that is reserved at engines: holds that a request no longer needs and those of dead owners. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {
 	confirmRelease, dropReleases, requestRelease, retryReleases, reviewHolds,
 } from './commands.js';
@@ -18,11 +18,11 @@
 			}
 
 			case 'hold-released': {
-				return only(confirmRelease(state, event.hold));
+				return withoutEffects(confirmRelease(state, event.hold));
 			}
 
 			case 'upstream-restarted': {
-				return only(dropReleases(state, event.upstream));
+				return withoutEffects(dropReleases(state, event.upstream));
 			}
 
 			case 'tick': {
@@ -30,7 +30,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/keys/commands/acquaintances.ts
+++ b/src/core/features/keys/commands/acquaintances.ts
@@ -5,7 +5,7 @@
 import {type Member} from '../../../types/peer.js';
 import {type Incarnation} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
+import {withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {hashText} from '../../../utils/hashes.js';
 import {isSameIncarnation} from '../../tickets/queries.js';
@@ -104,7 +104,7 @@
 				ended: knownPeers.filter(each => each.ended).map(each => each.member.incarnation),
 			}),
 		}
-		: only(next);
+		: withoutEffects(next);
 }
 
 /**
@@ -144,7 +144,7 @@
  */
 export function runHandshakes(state: State, context: Context): Step {
 	if (context.now < state.keys.nextHandshakeAt) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {rounds} = state.keys;
--- a/src/core/features/keys/commands/claims.ts
+++ b/src/core/features/keys/commands/claims.ts
@@ -2,7 +2,7 @@
 import {type KeyMessage, type Member} from '../../../types/peer.js';
 import {type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {assertNever, chain, only} from '../../../utils/common.js';
+import {assertNever, chain, withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {answerUnknown} from '../../tickets/commands/answers.js';
 import {forwardToKeeper} from '../../tickets/commands/forwards.js';
@@ -102,7 +102,7 @@
 function advanceClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
 	return progress.pending.length === 0
 		? settleClaim(state, right, claim, progress)
-		: only(putClaim(state, right, {...claim, progress}));
+		: withoutEffects(putClaim(state, right, {...claim, progress}));
 }
 
 /**
@@ -135,13 +135,13 @@
 export function waitForClaim(state: State, right: string, request: Request): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {progress} = claim;
 	return progress.waiting.length >= waitingPerClaimLimit
 		? answerUnknown(state, request, 'outcomeUnknown', 'too many requests wait for the key')
-		: only(putClaim(state, right, {...claim, progress: {...progress, waiting: [...progress.waiting, request]}}));
+		: withoutEffects(putClaim(state, right, {...claim, progress: {...progress, waiting: [...progress.waiting, request]}}));
 }
 
 /**
@@ -151,7 +151,7 @@
 function handleKeptAnswer(state: State, from: string, right: string, keeper: Member): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {host} = keeper.incarnation;
@@ -173,7 +173,7 @@
 	const {id: right, claimant, answer} = message;
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming' || !isSameIncarnation(claimant, state.self.incarnation)) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {progress} = claim;
@@ -190,7 +190,7 @@
 
 		// The answering host may not know this host as a peer, so it may run the key without asking.
 		case 'refused': {
-			return only(putClaim(state, right, {...claim, progress: {...progress, refused: true}}));
+			return withoutEffects(putClaim(state, right, {...claim, progress: {...progress, refused: true}}));
 		}
 
 		default: {
@@ -202,7 +202,7 @@
 function retryClaim(state: State, right: string, {now}: Context): Step {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {progress} = claim;
@@ -213,7 +213,7 @@
 	}
 
 	return progress.retryAt > now
-		? only(state)
+		? withoutEffects(state)
 		: chain(
 			putClaim(state, right, {...claim, progress: {...progress, pending, retryAt: now + retryIntervalMs}}),
 			current => sendClaim(current, right, claim.minted, pending),
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -6,8 +6,8 @@
 import {
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
-import {assertNever, chain, only} from '../../utils/common.js';
-import {service} from '../configuration/queries.js';
+import {assertNever, chain, withoutEffects} from '../../utils/common.js';
+import {findService} from '../configuration/queries.js';
 import {isServing} from '../membership/queries.js';
 import {
 	answer, answerNotRun, answerUnknown, requireTicket,
@@ -95,7 +95,7 @@
 
 function handleArrival(state: State, request: Request, key: string, context: Context): Step {
 	const minted = mintedAt(key);
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (minted === undefined || requestedService?.ticketRule === 'ticket') {
 		return requireTicket(state, request, context);
 	}
@@ -127,7 +127,7 @@
 		}
 
 		case 'key-joined': {
-			return only(handleKeyJoined(state, message));
+			return withoutEffects(handleKeyJoined(state, message));
 		}
 
 		case 'key-claim': {
@@ -156,11 +156,11 @@
 function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
 	switch (message.type) {
 		case 'hello': {
-			return only(addKnownPeer(state, message.member));
+			return withoutEffects(addKnownPeer(state, message.member));
 		}
 
 		case 'heartbeat': {
-			return only(addKnownPeers(state, message.members));
+			return withoutEffects(addKnownPeers(state, message.members));
 		}
 
 		case 'relay': {
@@ -177,23 +177,23 @@
 		}
 
 		default: {
-			return only(state);
+			return withoutEffects(state);
 		}
 	}
 }
 
 function sweepClaims(state: State, {now, wall}: Context): Step {
 	if (now < state.keys.sweepAt) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const claims = state.keys.claims.filter(claim =>
 		claim.progress.type === 'claiming' || claim.minted + keyLifetimeMs + maxHostClockSkewMs > wall);
-	return only(updateKeys(state, {claims, sweepAt: now + sweepIntervalMs}));
+	return withoutEffects(updateKeys(state, {claims, sweepAt: now + sweepIntervalMs}));
 }
 
 function handleHostList(state: State, event: EventOf<'hosts-listed'>): Step {
-	return only(updateKeys(addKnownPeers(state, event.members), {hasHostList: true}));
+	return withoutEffects(updateKeys(addKnownPeers(state, event.members), {hasHostList: true}));
 }
 
 export const keysFeature: Feature = {
@@ -202,7 +202,7 @@
 		switch (event.type) {
 			case 'request-arrived': {
 				const {request} = event;
-				return request.proof.type === 'key' ? handleArrival(state, request, request.proof.key, context) : only(state);
+				return request.proof.type === 'key' ? handleArrival(state, request, request.proof.key, context) : withoutEffects(state);
 			}
 
 			case 'hosts-listed': {
@@ -214,7 +214,7 @@
 			}
 
 			case 'woken': {
-				return only(resetHandshakes(state));
+				return withoutEffects(resetHandshakes(state));
 			}
 
 			case 'tick': {
@@ -227,7 +227,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -2,7 +2,7 @@
 import {type Effect} from '../../types/effect.js';
 import {type RelayedMessage} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
-import {longestRoute, nextHop} from '../membership/routes.js';
+import {maxRouteHops, findNextHop} from '../membership/routes.js';
 import {maxCallerClockLeadMs, maxHostClockSkewMs, type KnownPeer} from './types.js';
 
 const uuidVersionSeven = /^[\da-f]{8}-[\da-f]{4}-7[\da-f]{3}-[89ab][\da-f]{3}-[\da-f]{12}$/iv;
@@ -55,7 +55,7 @@
  */
 export function deliver(state: State, envelope: Envelope): readonly Effect[] {
 	const {from, to, hops, message} = envelope;
-	const relay = hasLink(state, to) || hops >= longestRoute ? undefined : nextHop(state, to, from);
+	const relay = hasLink(state, to) || hops >= maxRouteHops ? undefined : findNextHop(state, to, from);
 	if (relay === undefined) {
 		return [{
 			type: 'peer-send', to, message: hops === 0
--- a/src/core/features/limits/commands.ts
+++ b/src/core/features/limits/commands.ts
@@ -1,9 +1,9 @@
 /** Updates the accounts of organisations that have limits. */
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {trim} from '../../utils/bounded.js';
-import {increase} from '../../utils/rates.js';
-import {organisation} from '../configuration/queries.js';
+import {removeOldest} from '../../utils/bounded.js';
+import {addAmount} from '../../utils/rates.js';
+import {findOrganisation} from '../configuration/queries.js';
 import {estimateOutput} from '../work/queries.js';
 import {settleDebts, share} from './queries.js';
 import {demandWindowMs, noAccount, type Account} from './types.js';
@@ -11,12 +11,12 @@
 const maxAccounts = 8192;
 
 function setAccount(state: State, id: string, account: Account): State {
-	const accounts = trim(state.limits.accounts.set(id, account), maxAccounts, each => each.requests.at);
+	const accounts = removeOldest(state.limits.accounts.set(id, account), maxAccounts, each => each.requests.at);
 	return {...state, limits: {accounts}};
 }
 
 function hasLimits(state: State, id: string): boolean {
-	const limits = organisation(state, id)?.limits ?? {};
+	const limits = findOrganisation(state, id)?.limits ?? {};
 	return Object.values(limits).some(each => each !== undefined);
 }
 
@@ -40,8 +40,8 @@
 	const account = state.limits.accounts.get(request.organisation) ?? {...noAccount, at: now};
 	return setAccount(state, request.organisation, {
 		...account,
-		requests: increase(account.requests, 1, now, demandWindowMs),
-		tokens: increase(account.tokens, countTokens(state, request), now, demandWindowMs),
+		requests: addAmount(account.requests, 1, now, demandWindowMs),
+		tokens: addAmount(account.tokens, countTokens(state, request), now, demandWindowMs),
 	});
 }
 
@@ -53,7 +53,7 @@
  */
 export function charge(state: State, request: Request, now: number): State {
 	const account = state.limits.accounts.get(request.organisation);
-	const limits = organisation(state, request.organisation)?.limits;
+	const limits = findOrganisation(state, request.organisation)?.limits;
 	if (account === undefined || limits === undefined) {
 		return state;
 	}
--- a/src/core/features/limits/feature.ts
+++ b/src/core/features/limits/feature.ts
@@ -1,6 +1,6 @@
 /** Limits of organisations. Hosts divide each limit by the demand that they publish, without further coordination. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {charge, countDemand} from './commands.js';
 
 export const limitsFeature: Feature = {
@@ -8,15 +8,15 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'request-cleared': {
-				return only(countDemand(state, event.request, now));
+				return withoutEffects(countDemand(state, event.request, now));
 			}
 
 			case 'request-admitted': {
-				return only(charge(state, event.request, now));
+				return withoutEffects(charge(state, event.request, now));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/limits/queries.ts
+++ b/src/core/features/limits/queries.ts
@@ -3,8 +3,8 @@
 import {type Demand} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {perSecond} from '../../utils/rates.js';
-import {organisation} from '../configuration/queries.js';
+import {getRatePerSecond} from '../../utils/rates.js';
+import {findOrganisation} from '../configuration/queries.js';
 import {type Peer} from '../membership/types.js';
 import {runningOf} from '../requests/queries.js';
 import {demandWindowMs, noAccount, type Account} from './types.js';
@@ -39,8 +39,8 @@
 	return [...state.limits.accounts.entries()]
 		.map(([id, account]) => ({
 			organisation: id,
-			requestsPerSecond: perSecond(account.requests, now, demandWindowMs),
-			tokensPerSecond: perSecond(account.tokens, now, demandWindowMs),
+			requestsPerSecond: getRatePerSecond(account.requests, now, demandWindowMs),
+			tokensPerSecond: getRatePerSecond(account.tokens, now, demandWindowMs),
 		}))
 		.filter(each => each.requestsPerSecond > 0.01)
 		.toSorted((a, b) => b.tokensPerSecond - a.tokensPerSecond)
@@ -86,7 +86,7 @@
  * @returns This host's share of the organisation's limits, from 0 to 1.
  */
 export function share(state: State, id: string, now: number): number {
-	const own = perSecond((state.limits.accounts.get(id) ?? noAccount).tokens, now, demandWindowMs) + minDemandTokensPerSecond;
+	const own = getRatePerSecond((state.limits.accounts.get(id) ?? noAccount).tokens, now, demandWindowMs) + minDemandTokensPerSecond;
 	const others = sumDomainDemands(state, id);
 	let total = own;
 	let unreachableDomains = 0;
@@ -135,7 +135,7 @@
  * @returns Time until the organisation's limits may allow it, in milliseconds; 0 if they allow it now.
  */
 export function limitedFor(state: State, request: Request, now: number): number {
-	const limits = organisation(state, request.organisation)?.limits;
+	const limits = findOrganisation(state, request.organisation)?.limits;
 	if (limits === undefined || Object.values(limits).every(each => each === undefined)) {
 		return 0;
 	}
--- a/src/core/features/limits/types.ts
+++ b/src/core/features/limits/types.ts
@@ -1,6 +1,6 @@
 /** State of the organisations' limits at this host. Limits hold for the whole fleet; each host enforces its share. */
 import {Map as Table} from 'immutable';
-import {noRate, type Rate} from '../../utils/rates.js';
+import {zeroRate, type Rate} from '../../utils/rates.js';
 
 /** An organisation's demand at this host, and its debts: a leaky bucket for requests and one for tokens. */
 export type Account = {
@@ -15,7 +15,7 @@
 };
 
 export const noAccount: Account = {
-	requests: noRate, tokens: noRate, requestDebt: 0, tokenDebt: 0, at: 0,
+	requests: zeroRate, tokens: zeroRate, requestDebt: 0, tokenDebt: 0, at: 0,
 };
 
 export type LimitsState = {
--- a/src/core/features/membership/commands/peers.ts
+++ b/src/core/features/membership/commands/peers.ts
@@ -2,8 +2,8 @@
 import {Map as Table} from 'immutable';
 import {type Load, type Member} from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
-import {trim} from '../../../utils/bounded.js';
-import {chain, only} from '../../../utils/common.js';
+import {removeOldest} from '../../../utils/bounded.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
 import {peerLimit, replacedGraceMs} from '../constants.js';
 import {type MembershipState, type Peer} from '../types.js';
 
@@ -65,11 +65,11 @@
 		phase: 'starting',
 		status: 'known',
 		connected: false,
-		heard: now,
-		learnt: now,
+		lastSeen: now,
+		addedAt: now,
 		changed: Number.NEGATIVE_INFINITY,
 		sequence: 0,
-		isWhole: false,
+		hasAllLoads: false,
 		revision: 0,
 		digest: '',
 		loads: Table(),
@@ -108,7 +108,7 @@
 		&& peer.member.incarnation.host !== member.incarnation.host
 		&& peer.member.incarnation.started < member.incarnation.started);
 	if (old === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {incarnation} = old.member;
@@ -119,7 +119,7 @@
 function insertMember(state: State, member: Member, now: number): Step {
 	const {host, started} = member.incarnation;
 	const before = state.membership.peers.get(host);
-	const newestStarts = trim(state.membership.newestStarts.set(host, started), peerLimit * 2, value => value);
+	const newestStarts = removeOldest(state.membership.newestStarts.set(host, started), peerLimit * 2, value => value);
 	// Clears `asked` to dial the newer incarnation again, as its address may differ.
 	const next = updateMembership(putPeer(state, createPeer(member, now)), {
 		newestStarts,
@@ -134,7 +134,7 @@
 /** Makes this host leave, as a stop request does, when a newer incarnation took its name while it was paused. */
 function leaveAsReplaced(state: State, member: Member): Step {
 	return state.membership.phase === 'leaving'
-		? only(state)
+		? withoutEffects(state)
 		: {
 			state,
 			effects: [
@@ -156,12 +156,12 @@
 	const {host, started} = member.incarnation;
 	const {peers, newestStarts} = state.membership;
 	if (host === state.self.incarnation.host) {
-		return started > state.self.incarnation.started ? leaveAsReplaced(state, member) : only(state);
+		return started > state.self.incarnation.started ? leaveAsReplaced(state, member) : withoutEffects(state);
 	}
 
 	const newestStart = newestStarts.get(host) ?? 0;
 	if (started < newestStart || (started === newestStart && peers.has(host)) || (!peers.has(host) && peers.size >= peerLimit)) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return chain(state, current => removeAtSameAddress(current, member), current => insertMember(current, member, now));
--- a/src/core/features/membership/commands/phase.ts
+++ b/src/core/features/membership/commands/phase.ts
@@ -1,7 +1,7 @@
 /** Changes the phase of this host: starting, serving, leaving. */
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
-import {revision} from '../../configuration/queries.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
+import {getRevision} from '../../configuration/queries.js';
 import {isIdle} from '../../requests/queries.js';
 import {
 	adoptionTimeoutMs, minLeavingTimeMs, peerAnswerTimeoutMs,
@@ -12,7 +12,7 @@
 /** Peers are consulted before serving, so that a restarted host does not serve a stale revision from a platform that lags. */
 function hasConsultedPeers(state: State, now: number): boolean {
 	const {peers, seeds, began = now} = state.membership;
-	const ownRevision = revision(state);
+	const ownRevision = getRevision(state);
 	const allPeers = [...peers.values()];
 	const waited = now - began;
 	if (waited >= adoptionTimeoutMs) {
@@ -35,8 +35,8 @@
  * @returns The next step.
  */
 export function serveWhenReady(state: State, context: Context): Step {
-	if (state.membership.phase !== 'starting' || revision(state) === 0 || !hasConsultedPeers(state, context.now)) {
-		return only(state);
+	if (state.membership.phase !== 'starting' || getRevision(state) === 0 || !hasConsultedPeers(state, context.now)) {
+		return withoutEffects(state);
 	}
 
 	return chain(
@@ -57,7 +57,7 @@
 export function startLeaving(state: State, grace: number, context: Context): Step {
 	const {now} = context;
 	if (state.membership.phase === 'leaving') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return chain(
@@ -87,10 +87,10 @@
 export function stopWhenDrained(state: State, now: number): Step {
 	const {leaving} = state.membership;
 	if (leaving === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const isTooEarly = now < leaving.since + minLeavingTimeMs;
 	const canStop = now >= leaving.until || (isDrained(state) && !isTooEarly);
-	return canStop ? {state, effects: [{type: 'stopped'}]} : only(state);
+	return canStop ? {state, effects: [{type: 'stopped'}]} : withoutEffects(state);
 }
--- a/src/core/features/membership/commands/receive.ts
+++ b/src/core/features/membership/commands/receive.ts
@@ -4,7 +4,7 @@
 	type Digest, type Load, type PeerMessage, type Phase,
 } from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
 import {type Heartbeat} from '../heartbeat.js';
 import {type Peer} from '../types.js';
 import {addMember, createMemberLog, putPeer} from './peers.js';
@@ -32,13 +32,13 @@
 	const {host} = peer.member.incarnation;
 	const newPhase = peer.phase === 'leaving' ? 'leaving' : phase;
 	const next = putPeer(state, {
-		...peer, status: 'live', heard: now, phase: newPhase, changed: newPhase === peer.phase && peer.status !== 'suspect' ? peer.changed : now,
+		...peer, status: 'live', lastSeen: now, phase: newPhase, changed: newPhase === peer.phase && peer.status !== 'suspect' ? peer.changed : now,
 	});
 	const isRecovered = peer.status !== 'live';
 	const isChanged = newPhase !== peer.phase;
 	return isRecovered || isChanged
 		? {state: next, effects: [createMemberLog(host, isChanged ? newPhase : 'live', isChanged ? 'reported by the host' : `was ${peer.status}`)]}
-		: only(next);
+		: withoutEffects(next);
 }
 
 /**
@@ -55,18 +55,18 @@
 		current => addMember(current, member, now),
 		current => {
 			const peer = current.membership.peers.get(host);
-			return peer?.member.incarnation.started === started ? markLive(current, {...peer, revision: Math.max(peer.revision, revision)}, phase, now) : only(current);
+			return peer?.member.incarnation.started === started ? markLive(current, {...peer, revision: Math.max(peer.revision, revision)}, phase, now) : withoutEffects(current);
 		},
 	);
 }
 
 function updatePeer(peer: Peer, heartbeat: Heartbeat): Peer {
-	const isNext = peer.isWhole && heartbeat.sequence === peer.sequence + 1;
+	const isNext = peer.hasAllLoads && heartbeat.sequence === peer.sequence + 1;
 	const loads = heartbeat.whole ? toLoadTable(heartbeat.loads) : (isNext ? applyLoadChanges(peer.loads, heartbeat.loads) : peer.loads);
 	return {
 		...peer,
 		sequence: heartbeat.sequence,
-		isWhole: heartbeat.whole || isNext,
+		hasAllLoads: heartbeat.whole || isNext,
 		loads,
 		revision: heartbeat.revision,
 		digest: heartbeat.digest,
@@ -79,7 +79,7 @@
 function applyOwnState(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
 	const peer = state.membership.peers.get(from);
 	return peer?.connected !== true || heartbeat.sequence < peer.sequence
-		? only(state)
+		? withoutEffects(state)
 		: markLive(state, updatePeer(peer, heartbeat), heartbeat.phase, now);
 }
 
@@ -96,21 +96,21 @@
 	const {host, started} = digest.incarnation;
 	const peer = state.membership.peers.get(host);
 	if (peer === undefined || peer.connected || peer.member.incarnation.started !== started) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	if (digest.silent === true) {
-		return digest.sequence >= peer.sequence && peer.status === 'live' ? markSuspect(state, peer, now) : only(state);
+		return digest.sequence >= peer.sequence && peer.status === 'live' ? markSuspect(state, peer, now) : withoutEffects(state);
 	}
 
 	if (digest.sequence <= peer.sequence) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return markLive(state, {
 		...peer,
 		sequence: digest.sequence,
-		isWhole: false,
+		hasAllLoads: false,
 		loads: toLoadTable(digest.loads),
 		revision: digest.revision,
 		demands: digest.demands,
--- a/src/core/features/membership/commands/send-heartbeat.ts
+++ b/src/core/features/membership/commands/send-heartbeat.ts
@@ -3,7 +3,7 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Load} from '../../../types/peer.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
+import {withoutEffects} from '../../../utils/common.js';
 import {
 	heartbeatIntervalMs,
 	heartbeatsPerOtherDomainHeartbeat,
@@ -13,7 +13,7 @@
 	heartbeatsPerFullHeartbeat,
 } from '../constants.js';
 import {
-	selectChangedLoads, composeHeartbeat, ownLoads, selectPeersForOtherDomains, selectPeersForOwnDomain,
+	selectChangedLoads, composeHeartbeat, listOwnLoads, selectPeersForOtherDomains, selectPeersForOwnDomain,
 } from '../heartbeat.js';
 import {type Peer} from '../types.js';
 import {updateMembership} from './peers.js';
@@ -32,7 +32,7 @@
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	const sequence = state.membership.sequence + 1;
 	const isFull = sequence % heartbeatsPerFullHeartbeat === 0;
-	const loads = ownLoads(state);
+	const loads = listOwnLoads(state);
 	const loadsToSend = isFull ? loads : selectChangedLoads(state, loads);
 	const interval = linked.length > fullMeshLimit ? slowHeartbeatIntervalMs : heartbeatIntervalMs;
 	const relayed = selectPeersForOwnDomain(state, now);
@@ -65,7 +65,7 @@
  * @returns The next step; unchanged before the next heartbeat is due.
  */
 export function sendDueHeartbeat(state: State, context: Context): Step {
-	return context.now < state.membership.nextHeartbeat ? only(state) : sendHeartbeat(state, context, false);
+	return context.now < state.membership.nextHeartbeat ? withoutEffects(state) : sendHeartbeat(state, context, false);
 }
 
 /**
@@ -90,7 +90,7 @@
 	const {peers, sentLoads} = state.membership;
 	const peer = peers.get(host);
 	if (peer === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const loads = isInOwnDomain(state, peer) ? [...sentLoads.values()] : undefined;
--- a/src/core/features/membership/commands/sweep.ts
+++ b/src/core/features/membership/commands/sweep.ts
@@ -3,7 +3,7 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Member} from '../../../types/peer.js';
 import {type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
 import {
 	linkedTimeoutMs,
 	otherDomainTimeoutMs,
@@ -28,7 +28,7 @@
 }
 
 function determineStatus(state: State, peer: Peer, now: number): PeerStatus {
-	const silence = now - peer.heard;
+	const silence = now - peer.lastSeen;
 	if (peer.status === 'gone') {
 		return 'gone';
 	}
@@ -49,14 +49,14 @@
 function sweepPeer(state: State, peer: Peer, now: number): Step {
 	const {host} = peer.member.incarnation;
 	const removalTimeout = peer.phase === 'leaving' ? leftRemovalTimeoutMs : removalTimeoutMs;
-	if (now - peer.heard > removalTimeout && state.membership.listed?.has(host) !== true) {
-		return only(removePeer(state, host));
+	if (now - peer.lastSeen > removalTimeout && state.membership.listed?.has(host) !== true) {
+		return withoutEffects(removePeer(state, host));
 	}
 
 	const status = determineStatus(state, peer, now);
 	return status === peer.status
-		? only(state)
-		: {state: putPeer(state, {...peer, status}), effects: [createMemberLog(host, status, `silent for ${Math.round(now - peer.heard)} ms`)]};
+		? withoutEffects(state)
+		: {state: putPeer(state, {...peer, status}), effects: [createMemberLog(host, status, `silent for ${Math.round(now - peer.lastSeen)} ms`)]};
 }
 
 /**
@@ -73,7 +73,7 @@
 	const dropped = asked.subtract(names);
 	const missing = wanted.filter(({incarnation: {host}}) => !asked.has(host) && !linked.has(host));
 	if (dropped.isEmpty() && missing.length === 0) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const effects: Effect[] = [
@@ -91,7 +91,7 @@
 
 function markDisconnected(state: State, host: string): State {
 	const peer = state.membership.peers.get(host);
-	return peer === undefined ? state : putPeer(state, {...peer, connected: false, isWhole: false});
+	return peer === undefined ? state : putPeer(state, {...peer, connected: false, hasAllLoads: false});
 }
 
 /**
@@ -101,7 +101,7 @@
  */
 export function sweep(state: State, now: number): Step {
 	if (now < state.membership.nextSweep) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const peers = [...state.membership.peers.values()];
@@ -129,7 +129,7 @@
 		...members.map(member => (current: State) => addMember(current, member, now)),
 		...members
 			.filter(member => leavingHosts.has(member.incarnation.host))
-			.map(member => (current: State) => only(markLeaving(current, member, now))),
+			.map(member => (current: State) => withoutEffects(markLeaving(current, member, now))),
 	);
 }
 
--- a/src/core/features/membership/feature.ts
+++ b/src/core/features/membership/feature.ts
@@ -4,7 +4,7 @@
 import {
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
-import {chain, only} from '../../utils/common.js';
+import {chain, withoutEffects} from '../../utils/common.js';
 import {sendDueHeartbeat, sendFirstHeartbeat, sendHeartbeatNow} from './commands/send-heartbeat.js';
 import {applyHeartbeat, applyHello} from './commands/receive.js';
 import {createMemberLog, putPeer, updateMembership} from './commands/peers.js';
@@ -16,15 +16,15 @@
 }
 
 function handlePeerConnected(state: State, host: string): Step {
-	return only(updateMembership(state, {linked: state.membership.linked.add(host)}));
+	return withoutEffects(updateMembership(state, {linked: state.membership.linked.add(host)}));
 }
 
 /** Marks the peer connected after its hello. A hello without a link only adds the host. */
 function completeHandshake(state: State, host: string, context: Context): Step {
 	const peer = state.membership.peers.get(host);
 	return peer === undefined || !state.membership.linked.has(host)
-		? only(state)
-		: sendFirstHeartbeat(putPeer(state, {...peer, connected: true, isWhole: false}), host, context);
+		? withoutEffects(state)
+		: sendFirstHeartbeat(putPeer(state, {...peer, connected: true, hasAllLoads: false}), host, context);
 }
 
 /** Marks a peer suspect at once when its link breaks. Links that this host dropped itself are no longer in `linked`. */
@@ -32,14 +32,14 @@
 	const peer = state.membership.peers.get(host);
 	const next = updateMembership(state, {linked: state.membership.linked.delete(host)});
 	if (peer?.connected !== true) {
-		return only(next);
+		return withoutEffects(next);
 	}
 
 	const endedStatus = peer.phase === 'leaving' ? 'gone' : 'suspect';
 	const status = peer.status === 'live' ? endedStatus : peer.status;
 	return {
 		state: putPeer(next, {
-			...peer, connected: false, isWhole: false, status, changed: status === peer.status ? peer.changed : now,
+			...peer, connected: false, hasAllLoads: false, status, changed: status === peer.status ? peer.changed : now,
 		}),
 		effects: status === peer.status ? [] : [createMemberLog(host, status, 'the link was lost')],
 	};
@@ -64,13 +64,13 @@
 	const {seeds} = state.membership;
 	return seeds.has(name)
 		? {state: updateMembership(state, {seeds: seeds.delete(name), nextSweep: 0}), effects: [{type: 'disconnect', host: name}]}
-		: only(state);
+		: withoutEffects(state);
 }
 
 function handleHello(state: State, event: EventOf<'peer-message'>, context: Context): Step {
 	const {message, from} = event;
 	if (message.type !== 'hello') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return chain(
@@ -92,15 +92,15 @@
 		}
 
 		default: {
-			return only(state);
+			return withoutEffects(state);
 		}
 	}
 }
 
 /** Restarts the silence of live peers: no message could be received while this host was paused. */
 function handleWoken(state: State, now: number): Step {
-	const peers = state.membership.peers.map(peer => peer.status === 'live' ? {...peer, heard: now} : peer);
-	return only(updateMembership(state, {peers}));
+	const peers = state.membership.peers.map(peer => peer.status === 'live' ? {...peer, lastSeen: now} : peer);
+	return withoutEffects(updateMembership(state, {peers}));
 }
 
 function handleTick(state: State, context: Context): Step {
@@ -156,7 +156,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -3,11 +3,11 @@
 	type Digest, type Load, type Member, type PeerMessage,
 } from '../../types/peer.js';
 import {type Context, type State} from '../../types/state.js';
-import {hashText, mix} from '../../utils/hashes.js';
-import {revision} from '../configuration/queries.js';
+import {hashText, mixHashes} from '../../utils/hashes.js';
+import {getRevision} from '../configuration/queries.js';
 import {ownDemands} from '../limits/queries.js';
 import {ownMixes} from '../routing/segments.js';
-import {publishedSuspicions} from '../suspicion/queries.js';
+import {listPublishedSuspicions} from '../suspicion/queries.js';
 import {
 	digestPrefixLength,
 	maxChangedLoads,
@@ -33,7 +33,7 @@
  * @param state - Core state.
  * @returns This host's work in flight by upstream, most tokens first, at most {@link maxFullLoads}.
  */
-export function ownLoads(state: State): readonly Load[] {
+export function listOwnLoads(state: State): readonly Load[] {
 	const loads: Load[] = [];
 	for (const each of state.upstreams.views.values()) {
 		if (each.requests > 0) {
@@ -120,7 +120,7 @@
 		.map(peer => ({
 			peer,
 			age: peer.sequence - (relayedSequences.get(peer.member.incarnation.host) ?? 0),
-			order: mix(ownHash, hashText(peer.member.incarnation.host)),
+			order: mixHashes(ownHash, hashText(peer.member.incarnation.host)),
 		}))
 		.filter(each => each.age > 0)
 		.toSorted((a, b) => b.age - a.age || a.order - b.order)
@@ -142,7 +142,7 @@
 
 function selectMembers(state: State, now: number): readonly Member[] {
 	const peers = [...state.membership.peers.values()].filter(peer => peer.status !== 'gone');
-	const recent = peers.filter(peer => now - peer.learnt < recentChangeWindowMs).slice(0, maxMembers);
+	const recent = peers.filter(peer => now - peer.addedAt < recentChangeWindowMs).slice(0, maxMembers);
 	const {sequence} = state.membership;
 	const rotated = sequence % maxMembers === 0 ? takeTurn(peers, sequence / maxMembers, 1) : [];
 	return [...new Set([...recent, ...rotated])].map(peer => peer.member);
@@ -170,13 +170,13 @@
 		type: 'heartbeat',
 		sequence,
 		phase: state.membership.phase,
-		revision: revision(state),
+		revision: getRevision(state),
 		digest: state.configuration.digest.slice(0, digestPrefixLength),
 		whole,
 		loads: loads ?? [],
 		demands: ownDemands(state, context.now),
 		...(sequence % heartbeatsPerPromptMix === 0 && {mixes: ownMixes(state, context.now)}),
-		suspicions: takeTurn(publishedSuspicions(state, context), sequence, maxSuspicions),
+		suspicions: takeTurn(listPublishedSuspicions(state, context), sequence, maxSuspicions),
 		members: selectMembers(state, context.now),
 		relayed: relayed.map(peer => createDigest(peer, loads === undefined)),
 	};
--- a/src/core/features/membership/links.ts
+++ b/src/core/features/membership/links.ts
@@ -1,7 +1,7 @@
 /** Selects the peers that this host links: few enough to keep heartbeats cheap, enough to connect all hosts. */
 import {type Member} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
-import {hashText, mix, rank} from '../../utils/hashes.js';
+import {hashText, mixHashes, rank} from '../../utils/hashes.js';
 import {
 	linkedDomainLimit, deadPeerDialLimit, deadPeerDialIntervalMs, fullMeshLimit,
 } from './constants.js';
@@ -44,7 +44,7 @@
 export function sortByRing(members: readonly Member[]): readonly Member[] {
 	return members
 		.map(member => hashMember(member))
-		.toSorted((a, b) => mix(a.hash, 0) - mix(b.hash, 0) || (a.member.incarnation.host < b.member.incarnation.host ? -1 : 1))
+		.toSorted((a, b) => mixHashes(a.hash, 0) - mixHashes(b.hash, 0) || (a.member.incarnation.host < b.member.incarnation.host ? -1 : 1))
 		.map(each => each.member);
 }
 
--- a/src/core/features/membership/queries.ts
+++ b/src/core/features/membership/queries.ts
@@ -17,7 +17,7 @@
  * @param upstream - Upstream.
  * @returns Prefill and decode tokens that live peers have in flight there.
  */
-export function peersWork(state: State, upstream: string): number {
+export function getPeersWork(state: State, upstream: string): number {
 	return state.membership.work.get(upstream) ?? 0;
 }
 
@@ -25,7 +25,7 @@
  * @param state - Core state.
  * @returns Peers with a recent message from them or about them.
  */
-export function livePeers(state: State): readonly Peer[] {
+export function listLivePeers(state: State): readonly Peer[] {
 	return [...state.membership.peers.values()].filter(peer => peer.status === 'live');
 }
 
@@ -34,8 +34,8 @@
  * @param failureDomain - Failure domain.
  * @returns Hosts known to serve there, this one included, sorted by name.
  */
-export function servingHosts(state: State, failureDomain: string): readonly Member[] {
-	const others = livePeers(state)
+export function listServingHosts(state: State, failureDomain: string): readonly Member[] {
+	const others = listLivePeers(state)
 		.filter(peer => peer.phase === 'serving' && peer.member.failureDomain === failureDomain)
 		.map(peer => peer.member);
 	const own = isServing(state) && state.self.failureDomain === failureDomain ? [state.self] : [];
@@ -46,9 +46,9 @@
  * @param state - Core state.
  * @returns Failure domains with a live serving peer, and this host's own, sorted.
  */
-export function reachableDomains(state: State): readonly string[] {
+export function listReachableDomains(state: State): readonly string[] {
 	const domains = new Set([state.self.failureDomain]);
-	for (const peer of livePeers(state)) {
+	for (const peer of listLivePeers(state)) {
 		if (peer.phase === 'serving') {
 			domains.add(peer.member.failureDomain);
 		}
@@ -62,7 +62,7 @@
  * @param incarnation - Incarnation of a host.
  * @returns Whether it has certainly ended, because a newer one of the same host was seen. Silence alone proves nothing.
  */
-export function isCertainlyGone(state: State, incarnation: Incarnation): boolean {
+export function isSuperseded(state: State, incarnation: Incarnation): boolean {
 	const {host, started} = incarnation;
 	const own = state.self.incarnation;
 	const newest = host === own.host ? own.started : state.membership.newestStarts.get(host);
--- a/src/core/features/membership/routes.ts
+++ b/src/core/features/membership/routes.ts
@@ -5,7 +5,7 @@
 import {type Peer} from './types.js';
 
 /** Hops of a message at most: enough in the largest fleet for steps around two rings and from one to the other. */
-export const longestRoute = 16;
+export const maxRouteHops = 16;
 
 function buildRing(state: State, failureDomain: string): readonly Member[] {
 	const members = [...state.membership.peers.values()]
@@ -42,14 +42,14 @@
 
 /**
  * Each step halves the distance on the ring, because hosts link those at doubling distances. With missing links a message
- * may circle, so callers must limit its hops to {@link longestRoute}.
+ * may circle, so callers must limit its hops to {@link maxRouteHops}.
  *
  * @param state - Core state.
  * @param host - Destination.
  * @param from - Host that the message came from, which is never the next hop to another host.
  * @returns The linked host to send to, the destination itself if it is linked; undefined if there is no route.
  */
-export function nextHop(state: State, host: string, from?: string): string | undefined {
+export function findNextHop(state: State, host: string, from?: string): string | undefined {
 	const target = state.membership.peers.get(host);
 	if (target === undefined || target.connected) {
 		return target?.member.incarnation.host;
--- a/src/core/features/membership/types.ts
+++ b/src/core/features/membership/types.ts
@@ -20,13 +20,13 @@
 	 * Monotonic times in milliseconds: of the last message from it or about it, of its addition, of its last phase
 	 * change, lost link or recovery.
 	 */
-	readonly heard: number;
-	readonly learnt: number;
+	readonly lastSeen: number;
+	readonly addedAt: number;
 	readonly changed: number;
 	/** Of the last heartbeat from it or relayed about it. */
 	readonly sequence: number;
 	/** Whether the loads are complete, so that a heartbeat with only changes can be applied. */
-	readonly isWhole: boolean;
+	readonly hasAllLoads: boolean;
 	readonly revision: number;
 	/** Prefix of the digest of the document in force there; empty before its first heartbeat on a link. */
 	readonly digest: string;
--- a/src/core/features/placement/commands/orders.ts
+++ b/src/core/features/placement/commands/orders.ts
@@ -4,8 +4,8 @@
 import {type Effect} from '../../../types/effect.js';
 import {type Order} from '../../../types/upstream.js';
 import {type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
-import {revision, upstream} from '../../configuration/queries.js';
+import {withoutEffects} from '../../../utils/common.js';
+import {getRevision, findUpstream} from '../../configuration/queries.js';
 import {isBehind, nextNumber} from '../numbers.js';
 import {isSameTarget, countLoadsNeeded} from '../queries.js';
 import {type ControlledEngine, type OrderProgress} from '../types.js';
@@ -46,7 +46,7 @@
 }
 
 function findEngine(state: State, id: string): Engine | undefined {
-	const found = upstream(state, id);
+	const found = findUpstream(state, id);
 	return found?.kind === 'engine' ? found : undefined;
 }
 
@@ -91,12 +91,12 @@
 	const control = state.placement.controlled.get(event.upstream);
 	const engine = findEngine(state, event.upstream);
 	if (control?.progress.type !== 'reading' || engine?.target === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
-	const currentRevision = revision(state);
+	const currentRevision = getRevision(state);
 	if (!event.known) {
-		return only(backOff(state, control, now + failureDelayMs));
+		return withoutEffects(backOff(state, control, now + failureDelayMs));
 	}
 
 	if (isBehind(currentRevision, event.highest)) {
@@ -112,7 +112,7 @@
 	}
 
 	if (isSameTarget(event.loading ?? event.current, engine.target)) {
-		return only(backOff(state, control, now + settleDelayMs));
+		return withoutEffects(backOff(state, control, now + settleDelayMs));
 	}
 
 	const remainingLoads = countLoadsNeeded(event.current, engine.target) - control.progress.reserved;
@@ -129,7 +129,7 @@
 export function handleOrderAnswered(state: State, event: EventOf<'order-answered'>, now: number): Step {
 	const control = state.placement.controlled.get(event.upstream);
 	if (control?.progress.type !== 'ordering' || control.progress.number.counter !== event.order.number.counter) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	if (!event.accepted) {
@@ -141,7 +141,7 @@
 	}
 
 	const isSeal = event.order.type === 'seal';
-	return only(setControlled(state, {
+	return withoutEffects(setControlled(state, {
 		...control,
 		isSealed: true,
 		draining: isSeal ? control.draining : undefined,
--- a/src/core/features/placement/commands/reconcile.ts
+++ b/src/core/features/placement/commands/reconcile.ts
@@ -4,7 +4,7 @@
 import {
 	type Context, type State, type Step,
 } from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {view} from '../../upstreams/queries.js';
 import {
@@ -65,18 +65,18 @@
 function reconcileEngine(state: State, engine: Engine, changeable: ReadonlySet<string>, now: number): Step {
 	const control = state.placement.controlled.get(engine.id);
 	if (control === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {progress} = control;
 	if (progress.type !== 'waiting') {
 		return now - progress.since < answerTimeoutMs
-			? only(state)
-			: only(backOff(state, control, now));
+			? withoutEffects(state)
+			: withoutEffects(backOff(state, control, now));
 	}
 
 	if (now < progress.until) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	if (!control.isSealed) {
@@ -84,14 +84,14 @@
 	}
 
 	if (!isOffTarget(state, engine) || !isChangeable(state, engine, changeable)) {
-		return only(control.draining === undefined ? state : setControlled(state, {...control, draining: undefined}));
+		return withoutEffects(control.draining === undefined ? state : setControlled(state, {...control, draining: undefined}));
 	}
 
 	const draining = control.draining ?? now;
 	const waiting = {...control, draining};
 	return state.placement.credit >= 1 && isDrained(state, waiting, now)
 		? requestOrders(state, waiting, engine, now)
-		: only(control.draining === draining ? state : setControlled(state, waiting));
+		: withoutEffects(control.draining === draining ? state : setControlled(state, waiting));
 }
 
 /**
@@ -101,7 +101,7 @@
  */
 export function reconcile(state: State, {now, wall}: Context): Step {
 	if (now < state.placement.nextReconciliation || state.configuration.inForce === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const engines = getOwnEngines(state);
--- a/src/core/features/placement/feature.ts
+++ b/src/core/features/placement/feature.ts
@@ -1,6 +1,6 @@
 /** Model placement: one host, the engine's controller, orders each engine to load what the configuration assigns to it. */
 import {type Feature, type State} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {handleOrdersRead, handleOrderAnswered} from './commands/orders.js';
 import {reconcile} from './commands/reconcile.js';
 import {initialPlacement} from './types.js';
@@ -27,11 +27,11 @@
 			}
 
 			case 'woken': {
-				return only(resetControl(state));
+				return withoutEffects(resetControl(state));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/placement/queries.ts
+++ b/src/core/features/placement/queries.ts
@@ -1,9 +1,9 @@
 /** Determines the controller of each engine and the engines that may change now. Hosts with the same view agree on both. */
 import {type Engine, type Target} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
-import {hashText, mix, rank} from '../../utils/hashes.js';
-import {service} from '../configuration/queries.js';
-import {servingHosts} from '../membership/queries.js';
+import {hashText, mixHashes, rank} from '../../utils/hashes.js';
+import {findService} from '../configuration/queries.js';
+import {listServingHosts} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 
 /** Largest share of a service's engines in a failure domain that may change at a time. */
@@ -45,7 +45,7 @@
  * @returns A function that returns the host that controls an engine, by rendezvous hashing over the serving hosts of this domain.
  */
 export function orderers(state: State): (engine: Engine) => string | undefined {
-	const hosts = servingHosts(state, state.self.failureDomain)
+	const hosts = listServingHosts(state, state.self.failureDomain)
 		.map(member => ({host: member.incarnation.host, hash: hashText(member.incarnation.host)}));
 	return engine => rank(hashText(engine.id), hosts)[0]?.host;
 }
@@ -71,7 +71,7 @@
 }
 
 function getChangeRank(engine: Engine): number {
-	return mix(hashText(engine.id), 0);
+	return mixHashes(hashText(engine.id), 0);
 }
 
 /** Selects the ready engines of one service that may change now, in an order on which hosts agree; at least `minReady` stay. */
@@ -104,7 +104,7 @@
 	}
 
 	return [...groups].flatMap(([id, engines]) => {
-		const configured = service(state, id);
+		const configured = findService(state, id);
 		return selectChangeable(state, engines, configured?.kind === 'model' ? configured.readyEngines : 0);
 	});
 }
--- a/src/core/features/placement/store.ts
+++ b/src/core/features/placement/store.ts
@@ -4,7 +4,7 @@
  * own slots.
  */
 import {type State} from '../../types/state.js';
-import {servingHosts} from '../membership/queries.js';
+import {listServingHosts} from '../membership/queries.js';
 
 const secondMs = 1000;
 
@@ -35,7 +35,7 @@
 	}
 
 	const domains = inForce.failureDomains.map(domain => domain.id).toSorted();
-	const hosts = servingHosts(state, state.self.failureDomain).map(member => member.incarnation.host);
+	const hosts = listServingHosts(state, state.self.failureDomain).map(member => member.incarnation.host);
 	const last = Math.floor(wall * rate / secondMs);
 	const oldest = Math.floor(Math.max(0, wall - secondMs) * rate / secondMs);
 	let earned = 0;
--- a/src/core/features/polling/feature.ts
+++ b/src/core/features/polling/feature.ts
@@ -3,8 +3,8 @@
 import {type Event} from '../../types/event.js';
 import {type Report} from '../../types/upstream.js';
 import {type Feature, type State, type Step} from '../../types/state.js';
-import {only} from '../../utils/common.js';
-import {livePeers} from '../membership/queries.js';
+import {withoutEffects} from '../../utils/common.js';
+import {listLivePeers} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 import {type DatedReport} from './types.js';
 
@@ -42,18 +42,18 @@
 	const dated = {report, reportedAt: now - report.age};
 	const {unpublished, published} = state.polling;
 	return needsPublishing(dated, published.get(report.upstream))
-		? only({...state, polling: {...state.polling, unpublished: unpublished.set(report.upstream, dated)}})
-		: only(state);
+		? withoutEffects({...state, polling: {...state.polling, unpublished: unpublished.set(report.upstream, dated)}})
+		: withoutEffects(state);
 }
 
 function publishReports(state: State, now: number): Step {
 	const {unpublished, published, nextPublication} = state.polling;
 	if (now < nextPublication || unpublished.isEmpty()) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const reports = [...unpublished.values()].map(({report, reportedAt}) => ({...report, age: Math.round(now - reportedAt)}));
-	const receivers = livePeers(state)
+	const receivers = listLivePeers(state)
 		.filter(peer => peer.connected && peer.member.failureDomain === state.self.failureDomain);
 	const interval = receivers.length > maxFrequentPeers ? widePublishIntervalMs : publishIntervalMs;
 	const effects = receivers.map((peer): Effect => ({type: 'peer-send', to: peer.member.incarnation.host, message: {type: 'reports', reports}}));
@@ -80,11 +80,11 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'report-received': {
-				return event.isRelayed === true ? only(state) : addUnpublished(state, event.report, now);
+				return event.isRelayed === true ? withoutEffects(state) : addUnpublished(state, event.report, now);
 			}
 
 			case 'peer-message': {
-				return event.message.type === 'reports' ? handleReports(state, event.message.reports, now) : only(state);
+				return event.message.type === 'reports' ? handleReports(state, event.message.reports, now) : withoutEffects(state);
 			}
 
 			case 'tick': {
@@ -92,7 +92,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/polling/queries.ts
+++ b/src/core/features/polling/queries.ts
@@ -1,8 +1,8 @@
 /** Chooses the engines that this host polls for a load report. */
 import {type Engine} from '../../types/configuration.js';
 import {type State} from '../../types/state.js';
-import {firstChoices, hashText} from '../../utils/hashes.js';
-import {servingHosts} from '../membership/queries.js';
+import {selectTopRanked, hashText} from '../../utils/hashes.js';
+import {listServingHosts} from '../membership/queries.js';
 import {view} from '../upstreams/queries.js';
 
 /** A host polls an engine that another host should poll once its last report is older than this. */
@@ -28,12 +28,12 @@
  * @returns Engines to poll now, oldest report first.
  */
 export function readingsDue(state: State, now: number, interval: number): readonly Engine[] {
-	const hosts = servingHosts(state, state.self.failureDomain)
+	const hosts = listServingHosts(state, state.self.failureDomain)
 		.map(({incarnation}) => ({host: incarnation.host, hash: hashText(incarnation.host)}));
 	const due = ownEngines(state)
 		.map(engine => ({engine, age: now - (view(state, engine.id).reportedAt ?? Number.NEGATIVE_INFINITY)}))
 		.filter(({engine, age}) => {
-			const [poller] = firstChoices(hashText(engine.id), hosts, 1);
+			const [poller] = selectTopRanked(hashText(engine.id), hosts, 1);
 			const isPoller = poller === undefined || poller.host === state.self.incarnation.host;
 			return age >= (isPoller ? interval : overdueAgeMs);
 		});
--- a/src/core/features/prefixes/feature.ts
+++ b/src/core/features/prefixes/feature.ts
@@ -1,7 +1,7 @@
 /** Prefix index: maintained from the requests that this host sends and the cache events that engines publish. */
 import {type EventOf} from '../../types/event.js';
 import {type Feature, type State} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {applyCacheChange, clearUpstream, recordRequest} from './commands.js';
 
 function applyCacheChanges(state: State, {upstream, changes}: EventOf<'cache-changed'>): State {
@@ -19,19 +19,19 @@
 		switch (event.type) {
 			case 'attempt-began': {
 				const {request, attempt} = event;
-				return only(attempt.parts === undefined ? recordRequest(state, request, attempt.upstream) : state);
+				return withoutEffects(attempt.parts === undefined ? recordRequest(state, request, attempt.upstream) : state);
 			}
 
 			case 'cache-changed': {
-				return only(applyCacheChanges(state, event));
+				return withoutEffects(applyCacheChanges(state, event));
 			}
 
 			case 'upstream-restarted': {
-				return only(clearUpstream(state, event.upstream));
+				return withoutEffects(clearUpstream(state, event.upstream));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -3,7 +3,7 @@
 import {type Service} from '../../../types/configuration.js';
 import {type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {organisation, service} from '../../configuration/queries.js';
+import {findOrganisation, findService} from '../../configuration/queries.js';
 import {fill} from '../../groups/queries.js';
 import {limitedFor} from '../../limits/queries.js';
 import {isServing} from '../../membership/queries.js';
@@ -29,7 +29,7 @@
 
 /** Each organisation may fill the share of the queue that its weight gives it among the organisations that wait. */
 function isQueueFull(state: State, request: Request, requestedService: Service, name: QueueName): boolean {
-	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
+	const ownWeight = findOrganisation(state, request.organisation)?.weight ?? 1;
 	let weights = ownWeight;
 	let own = 0;
 	for (const [id, backlog] of getQueue(state, request.service, name).waiting) {
@@ -100,7 +100,7 @@
 		return refuseWith(state, request, 'leaving', 'not serving');
 	}
 
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService === undefined) {
 		return refuseWith(state, request, 'noUpstream', 'no such service');
 	}
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -6,8 +6,8 @@
 	type Attempt, type Ending, type LengthClass, type Outcome, type Request,
 } from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
-import {service, upstream as configured} from '../../configuration/queries.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
+import {findService, findUpstream as configured} from '../../configuration/queries.js';
 import {mayRetry} from '../../retries/queries.js';
 import {classOf} from '../../routing/segments.js';
 import {type Choice} from '../../routing/types.js';
@@ -21,7 +21,7 @@
 import {dequeue, enqueue} from './lanes.js';
 
 function lengthClassOf(state: State, request: Request): LengthClass {
-	return classOf(service(state, request.service), request.promptTokens);
+	return classOf(findService(state, request.service), request.promptTokens);
 }
 
 const lengthRank: Readonly<Record<LengthClass, number>> = {short: 0, middle: 1, long: 2};
@@ -34,7 +34,7 @@
  * same length class. The baseline policies ignore lengths.
  */
 function enginePriority(state: State, request: Request, attempt: Attempt): number {
-	if (service(state, request.service)?.policy !== 'cost') {
+	if (findService(state, request.service)?.policy !== 'cost') {
 		return request.priority;
 	}
 
@@ -167,7 +167,7 @@
 export function endAttempt(state: State, id: string, ending: Ending, now: number): Step {
 	const admission = admissionOf(state, id);
 	if (admission?.progress.type !== 'running') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {attempt} = admission.progress;
@@ -189,7 +189,7 @@
 export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
 	const admission = admissionOf(state, event.attempt);
 	if (admission?.progress.type !== 'running') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const {attempt} = admission.progress;
@@ -199,7 +199,7 @@
 	const changed = putAdmission(state, {...admission, progress: {type: 'running', attempt: next}});
 	return attempt.firstFrame === undefined
 		? {state: changed, effects: [{type: 'raise', event: {type: 'dispatch-wanted', service: admission.request.service}}]}
-		: only(changed);
+		: withoutEffects(changed);
 }
 
 /**
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -1,8 +1,8 @@
 /** Sends queued requests when an upstream has room for them. */
 import {type Service} from '../../../types/configuration.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
-import {service} from '../../configuration/queries.js';
+import {withoutEffects} from '../../../utils/common.js';
+import {findService} from '../../configuration/queries.js';
 import {mayFormGroup} from '../../groups/queries.js';
 import {route} from '../../routing/queries.js';
 import {getQueue, selectNext} from '../queries.js';
@@ -72,9 +72,9 @@
  * @returns The next state and the effects.
  */
 export function dispatch(state: State, id: string, context: Context): Step {
-	const requestedService = service(state, id);
+	const requestedService = findService(state, id);
 	if (requestedService === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	for (const name of queueNames) {
@@ -84,7 +84,7 @@
 		}
 	}
 
-	return only(state);
+	return withoutEffects(state);
 }
 
 /** @returns The unchanged state and a dispatch event for each service with queued requests. */
--- a/src/core/features/requests/commands/expire.ts
+++ b/src/core/features/requests/commands/expire.ts
@@ -2,7 +2,7 @@
 import {codes} from '../../../errors.js';
 import {type Outcome} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
-import {chain, only} from '../../../utils/common.js';
+import {chain, withoutEffects} from '../../../utils/common.js';
 import {outlivesCaller} from '../../tickets/queries.js';
 import {type Admission} from '../types.js';
 import {deadlineOutcome, stopRequest} from './attempts.js';
@@ -20,7 +20,7 @@
  */
 export function expireRequests(state: State, now: number): Step {
 	if (now < state.requests.nextDue) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const expired: Admission[] = [];
@@ -49,11 +49,11 @@
 export function abandonRequest(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	if (admission === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const isContinued = outlivesCaller(admission.request) && admission.progress.type === 'running';
-	return isContinued ? only(state) : stopRequest(state, admission, {type: 'failed', code: codes.callerGone}, abandonedOutcome);
+	return isContinued ? withoutEffects(state) : stopRequest(state, admission, {type: 'failed', code: codes.callerGone}, abandonedOutcome);
 }
 
 /**
@@ -63,6 +63,6 @@
 export function stopSealed(state: State, id: string): Step {
 	const admission = state.requests.admissions.get(id);
 	return admission === undefined
-		? only(state)
+		? withoutEffects(state)
 		: stopRequest(state, admission, deadlineOutcome(admission), {type: 'not-run', code: codes.sealed});
 }
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -1,8 +1,8 @@
 /** Sends requests that several engines hold together, or returns them to their queue. */
 import {type EventOf} from '../../../types/event.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {only} from '../../../utils/common.js';
-import {upstream as configured} from '../../configuration/queries.js';
+import {withoutEffects} from '../../../utils/common.js';
+import {findUpstream as configured} from '../../configuration/queries.js';
 import {outstanding, view} from '../../upstreams/queries.js';
 import {prefillRate} from '../../work/queries.js';
 import {send} from './attempts.js';
@@ -20,7 +20,7 @@
 	const last = event.segments.at(-1);
 	const upstream = last === undefined ? undefined : configured(state, last.upstream);
 	if (admission?.progress.type !== 'holding' || upstream === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const work = outstanding(view(state, upstream.id), context.now, prefillRate(state, upstream));
--- a/src/core/features/requests/commands/lanes.ts
+++ b/src/core/features/requests/commands/lanes.ts
@@ -1,6 +1,6 @@
 /** Adds requests to queues and removes them. */
 import {type State} from '../../../types/state.js';
-import {organisation} from '../../configuration/queries.js';
+import {findOrganisation} from '../../configuration/queries.js';
 import {getQueue} from '../queries.js';
 import {
 	emptyBacklog, queueKey, type Admission, type OrganisationBacklog, type Queue,
@@ -26,7 +26,7 @@
 	const backlog = existing ?? {
 		...emptyBacklog,
 		start: Math.max(queue.virtualTime, queue.next.get(request.organisation) ?? 0),
-		weight: organisation(state, request.organisation)?.weight ?? 1,
+		weight: findOrganisation(state, request.organisation)?.weight ?? 1,
 	};
 	const ids = isFirst ? backlog.ids.unshift(request.id) : backlog.ids.push(request.id);
 	return putQueue(state, admission, {
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -1,7 +1,7 @@
 /** Spills requests to upstreams of other failure domains when those of the own domain are full or unavailable. */
 import {type FailureDomain} from '../../../types/configuration.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {domainUpstreams, service} from '../../configuration/queries.js';
+import {listDomainUpstreams, findService} from '../../configuration/queries.js';
 import {draw} from '../../routing/candidates.js';
 import {route} from '../../routing/queries.js';
 import {view} from '../../upstreams/queries.js';
@@ -21,7 +21,7 @@
 }
 
 function hasSpillRoom(state: State, id: string, failureDomain: string): boolean {
-	const upstreams = domainUpstreams(state, id, failureDomain);
+	const upstreams = listDomainUpstreams(state, id, failureDomain);
 	const running = upstreams.reduce((sum, each) => sum + view(state, each.id).requests, 0);
 	return running < Math.max(upstreams.length * maxSpillsPerUpstream, 1);
 }
@@ -35,7 +35,7 @@
  */
 export function spill(state: State, admission: Admission, context: Context): Step | undefined {
 	const {request} = admission;
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService === undefined || admission.queue === 'group') {
 		return undefined;
 	}
--- a/src/core/features/requests/feature.ts
+++ b/src/core/features/requests/feature.ts
@@ -1,6 +1,6 @@
 /** Admits requests, sends them to upstreams and concludes them. */
 import {type Feature} from '../../types/state.js';
-import {chain, only} from '../../utils/common.js';
+import {chain, withoutEffects} from '../../utils/common.js';
 import {admit} from './commands/admit.js';
 import {endAttempt, markWritten, recordProgress} from './commands/attempts.js';
 import {dispatch, requestDispatch} from './commands/dispatch.js';
@@ -24,11 +24,11 @@
 			}
 
 			case 'group-failed': {
-				return only(returnToQueue(state, event.request.id));
+				return withoutEffects(returnToQueue(state, event.request.id));
 			}
 
 			case 'attempt-written': {
-				return only(markWritten(state, event.attempt));
+				return withoutEffects(markWritten(state, event.attempt));
 			}
 
 			case 'attempt-progressed': {
@@ -52,7 +52,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/requests/prediction.ts
+++ b/src/core/features/requests/prediction.ts
@@ -2,10 +2,10 @@
 import {type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {organisation, service} from '../configuration/queries.js';
+import {findOrganisation, findService} from '../configuration/queries.js';
 import {fill} from '../groups/queries.js';
 import {isLegacy, upstreamsFor} from '../takeover/queries.js';
-import {servingHosts} from '../membership/queries.js';
+import {listServingHosts} from '../membership/queries.js';
 import {cachedTokens} from '../prefixes/queries.js';
 import {isUsable} from '../routing/candidates.js';
 import {needsGroup} from '../routing/queries.js';
@@ -33,12 +33,12 @@
 };
 
 function queueNameOf(state: State, request: Request): QueueName {
-	return needsGroup(state, request) ? 'group' : classOf(service(state, request.service), request.promptTokens);
+	return needsGroup(state, request) ? 'group' : classOf(findService(state, request.service), request.promptTokens);
 }
 
 /** Returns the upstreams that serve the requests of a queue. */
 function queueUpstreams(state: State, request: Request, name: QueueName, now: number): readonly Upstream[] {
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	const all = upstreamsFor(state, request);
 	const isSplit = requestedService?.kind === 'model' && requestedService.policy === 'cost' && name !== 'group' && !isLegacy(state, request);
 	const assigned = isSplit ? segments(state, requestedService, all, now)[name] : all;
@@ -48,7 +48,7 @@
 
 /** Returns the queued work that fair queueing puts before a new request of the organisation, in milliseconds of engine time. */
 function queuedBefore(state: State, queue: Queue, request: Request): number {
-	const ownWeight = organisation(state, request.organisation)?.weight ?? 1;
+	const ownWeight = findOrganisation(state, request.organisation)?.weight ?? 1;
 	let before = 0;
 	let weights = ownWeight;
 	let own = 0;
@@ -96,7 +96,7 @@
 
 /** Returns the number of upstreams that each serving host of the failure domain can count on, since they share them. */
 function capacityPerHost(state: State, upstreams: readonly Upstream[]): number {
-	return Math.max(upstreams.length, 1) / Math.max(servingHosts(state, state.self.failureDomain).length, 1);
+	return Math.max(upstreams.length, 1) / Math.max(listServingHosts(state, state.self.failureDomain).length, 1);
 }
 
 /**
--- a/src/core/features/retries/feature.ts
+++ b/src/core/features/retries/feature.ts
@@ -1,11 +1,11 @@
 /** Retry budget of each service: every admitted request adds the configured ratio, up to a burst. */
 import {type Feature, type State} from '../../types/state.js';
-import {only} from '../../utils/common.js';
-import {service} from '../configuration/queries.js';
+import {withoutEffects} from '../../utils/common.js';
+import {findService} from '../configuration/queries.js';
 import {getBudget} from './queries.js';
 
 function changeBudget(state: State, id: string, amount: number): State {
-	const burst = service(state, id)?.retryBudget.burst ?? 0;
+	const burst = findService(state, id)?.retryBudget.burst ?? 0;
 	const remaining = Math.min(getBudget(state, id) + amount, burst);
 	return {...state, retries: {budgets: state.retries.budgets.set(id, remaining)}};
 }
@@ -16,15 +16,15 @@
 		switch (event.type) {
 			case 'request-admitted': {
 				const id = event.request.service;
-				return only(changeBudget(state, id, service(state, id)?.retryBudget.ratio ?? 0));
+				return withoutEffects(changeBudget(state, id, findService(state, id)?.retryBudget.ratio ?? 0));
 			}
 
 			case 'request-retried': {
-				return only(changeBudget(state, event.request.service, -1));
+				return withoutEffects(changeBudget(state, event.request.service, -1));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/retries/queries.ts
+++ b/src/core/features/retries/queries.ts
@@ -3,7 +3,7 @@
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {codes} from '../../errors.js';
-import {service, upstream} from '../configuration/queries.js';
+import {findService, findUpstream} from '../configuration/queries.js';
 import {estimate, prefillTime} from '../work/queries.js';
 
 /** Attempts of one request, including the first. */
@@ -18,7 +18,7 @@
  * @returns Retries that the service has left; may be fractional.
  */
 export function getBudget(state: State, id: string): number {
-	return state.retries.budgets.get(id) ?? service(state, id)?.retryBudget.burst ?? 0;
+	return state.retries.budgets.get(id) ?? findService(state, id)?.retryBudget.burst ?? 0;
 }
 
 /** Returns whether the request can run again: it never ran, or it is idempotent and nothing of the answer was relayed. */
@@ -48,7 +48,7 @@
 }
 
 function hasTime(state: State, request: Request, attempt: Attempt, now: number): boolean {
-	const target = upstream(state, attempt.upstream);
+	const target = findUpstream(state, attempt.upstream);
 	const minDuration = target === undefined ? 0 : prefillTime(state, target, estimate(state, request).prefill);
 	return now + minDuration < request.deadline;
 }
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -2,10 +2,10 @@
 import {type ModelService, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
-import {firstChoices, hashText} from '../../utils/hashes.js';
+import {selectTopRanked, hashText} from '../../utils/hashes.js';
 import {canAttempt} from '../circuits/queries.js';
 import {isStopping} from '../stops/queries.js';
-import {mayRunAt} from '../suspicion/queries.js';
+import {canRunAt} from '../suspicion/queries.js';
 import {view} from '../upstreams/queries.js';
 import {
 	isIdle, assessUpstream, type Prompt, type Assessment,
@@ -54,7 +54,7 @@
  */
 export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
 	const {request, avoided} = search;
-	const available = upstreams.filter(each => isUp(state, each) && mayRunAt(state, request, each.id, context));
+	const available = upstreams.filter(each => isUp(state, each) && canRunAt(state, request, each.id, context));
 	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
 	const untried = allowed.filter(each => !avoided.includes(each.id));
 	return [untried, allowed, available].find(each => each.length > 0) ?? [];
@@ -105,7 +105,7 @@
 	}
 
 	const members = engines.map(upstream => ({upstream, hash: getHash(upstream.id)}));
-	return firstChoices(hashText(firstBlock), members, homeCount).map(each => each.upstream);
+	return selectTopRanked(hashText(firstBlock), members, homeCount).map(each => each.upstream);
 }
 
 /** A search for an engine of a model service. */
--- a/src/core/features/routing/commands.ts
+++ b/src/core/features/routing/commands.ts
@@ -1,8 +1,8 @@
 /** Updates the round-robin turns and the arrival rates. */
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {increase} from '../../utils/rates.js';
-import {service} from '../configuration/queries.js';
+import {addAmount} from '../../utils/rates.js';
+import {findService} from '../configuration/queries.js';
 import {arrivalWindowMs, getModelLengthClass} from './segments.js';
 import {noArrivals} from './types.js';
 
@@ -23,13 +23,13 @@
  * @returns The next state.
  */
 export function countArrival(state: State, request: Request, now: number): State {
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService?.kind !== 'model') {
 		return state;
 	}
 
 	const length = getModelLengthClass(requestedService, request.promptTokens);
 	const before = state.routing.arrivals.get(requestedService.id) ?? noArrivals;
-	const after = {...before, [length]: increase(before[length], request.promptTokens, now, arrivalWindowMs)};
+	const after = {...before, [length]: addAmount(before[length], request.promptTokens, now, arrivalWindowMs)};
 	return {...state, routing: {...state.routing, arrivals: state.routing.arrivals.set(requestedService.id, after)}};
 }
--- a/src/core/features/routing/feature.ts
+++ b/src/core/features/routing/feature.ts
@@ -1,6 +1,6 @@
 /** Routing: counts arriving work by prompt length, and requests sent for round-robin. */
 import {type Feature} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {countArrival, advanceTurn} from './commands.js';
 
 export const routingFeature: Feature = {
@@ -8,15 +8,15 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'request-cleared': {
-				return only(countArrival(state, event.request, now));
+				return withoutEffects(countArrival(state, event.request, now));
 			}
 
 			case 'attempt-began': {
-				return only(advanceTurn(state, event.request.service));
+				return withoutEffects(advanceTurn(state, event.request.service));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -3,7 +3,7 @@
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
-import {domainUpstreams, service} from '../configuration/queries.js';
+import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {cachedTokens} from '../prefixes/queries.js';
 import {isLegacy, upstreamsFor} from '../takeover/queries.js';
 import {view} from '../upstreams/queries.js';
@@ -132,7 +132,7 @@
 		return upstreamsFor(state, request);
 	}
 
-	return isLegacy(state, request) ? [] : domainUpstreams(state, wanted.id, failureDomain);
+	return isLegacy(state, request) ? [] : listDomainUpstreams(state, wanted.id, failureDomain);
 }
 
 /**
@@ -160,7 +160,7 @@
  * @returns Whether each engine of its service in this failure domain is too small for it, so that it needs several.
  */
 export function needsGroup(state: State, request: Request): boolean {
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService?.kind !== 'model') {
 		return false;
 	}
--- a/src/core/features/routing/segments.ts
+++ b/src/core/features/routing/segments.ts
@@ -9,7 +9,7 @@
 import {type LengthClass} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {hashText, rank} from '../../utils/hashes.js';
-import {perSecond} from '../../utils/rates.js';
+import {getRatePerSecond} from '../../utils/rates.js';
 import {noArrivals} from './types.js';
 
 /** Window of the arrival rates: long prompts are rare, so a shorter one would often see none. */
@@ -61,18 +61,18 @@
 export function ownMixes(state: State, now: number): readonly Mix[] {
 	return [...state.routing.arrivals.entries()].map(([service, arrivals]) => ({
 		service,
-		short: Math.round(perSecond(arrivals.short, now, arrivalWindowMs)),
-		middle: Math.round(perSecond(arrivals.middle, now, arrivalWindowMs)),
-		long: Math.round(perSecond(arrivals.long, now, arrivalWindowMs)),
+		short: Math.round(getRatePerSecond(arrivals.short, now, arrivalWindowMs)),
+		middle: Math.round(getRatePerSecond(arrivals.middle, now, arrivalWindowMs)),
+		long: Math.round(getRatePerSecond(arrivals.long, now, arrivalWindowMs)),
 	}));
 }
 
 function sumMixes(state: State, service: string, now: number): Readonly<Record<LengthClass, number>> {
 	const own = state.routing.arrivals.get(service) ?? noArrivals;
 	const total = {
-		short: perSecond(own.short, now, arrivalWindowMs) + (defaultMix.short * defaultMixTokensPerSecond),
-		middle: perSecond(own.middle, now, arrivalWindowMs) + (defaultMix.middle * defaultMixTokensPerSecond),
-		long: perSecond(own.long, now, arrivalWindowMs) + (defaultMix.long * defaultMixTokensPerSecond),
+		short: getRatePerSecond(own.short, now, arrivalWindowMs) + (defaultMix.short * defaultMixTokensPerSecond),
+		middle: getRatePerSecond(own.middle, now, arrivalWindowMs) + (defaultMix.middle * defaultMixTokensPerSecond),
+		long: getRatePerSecond(own.long, now, arrivalWindowMs) + (defaultMix.long * defaultMixTokensPerSecond),
 	};
 	for (const peer of state.membership.peers.values()) {
 		const isNear = peer.status === 'live' && peer.member.failureDomain === state.self.failureDomain;
--- a/src/core/features/routing/types.ts
+++ b/src/core/features/routing/types.ts
@@ -3,12 +3,12 @@
 import {type Service, type Upstream} from '../../types/configuration.js';
 import {type Candidate} from '../../types/effect.js';
 import {type LengthClass, type Request} from '../../types/request.js';
-import {noRate, type Rate} from '../../utils/rates.js';
+import {zeroRate, type Rate} from '../../utils/rates.js';
 
 /** Arriving work in prompt tokens, by length. */
 export type Arrivals = Readonly<Record<LengthClass, Rate>>;
 
-export const noArrivals: Arrivals = {short: noRate, middle: noRate, long: noRate};
+export const noArrivals: Arrivals = {short: zeroRate, middle: zeroRate, long: zeroRate};
 
 export type RoutingState = {
 	/** Requests sent so far, by service; the round-robin position. */
--- a/src/core/features/stops/feature.ts
+++ b/src/core/features/stops/feature.ts
@@ -4,7 +4,7 @@
 import {
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
-import {chain, only} from '../../utils/common.js';
+import {chain, withoutEffects} from '../../utils/common.js';
 import {scheduleUpstreamStops} from './plan.js';
 import {findDueStop} from './queries.js';
 
@@ -16,17 +16,17 @@
 	const upstreams = Group(windows.filter(each => each.from <= wall && wall < each.until).map(each => each.target));
 	const started = upstreams.subtract(state.stops.upstreams);
 	const effects = [...started].map((target): Effect => ({type: 'log', decision: {type: 'stopping', target, reason: 'its planned stop has begun'}}));
-	return upstreams.equals(state.stops.upstreams) ? only(state) : {state: {...state, stops: {...state.stops, upstreams}}, effects};
+	return upstreams.equals(state.stops.upstreams) ? withoutEffects(state) : {state: {...state, stops: {...state.stops, upstreams}}, effects};
 }
 
 function stopOwnHost(state: State, {now, wall}: Context): Step {
 	if (state.membership.phase !== 'serving') {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const stop = findDueStop(state, now, wall);
 	return stop === undefined
-		? only(state)
+		? withoutEffects(state)
 		: {
 			state,
 			effects: [
@@ -38,7 +38,7 @@
 
 function checkStops(state: State, context: Context): Step {
 	return context.now < state.stops.nextCheck
-		? only(state)
+		? withoutEffects(state)
 		: chain(
 			{...state, stops: {...state.stops, nextCheck: context.now + checkIntervalMs}},
 			current => updateStoppingUpstreams(current, context.wall),
@@ -59,7 +59,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/stops/queries.ts
+++ b/src/core/features/stops/queries.ts
@@ -22,10 +22,10 @@
 /** A stop has ended once a newer incarnation serves or takes too long to, or once the host has been dead for a while. */
 function hasStopEnded(peer: Peer, stop: PlannedStop, now: number): boolean {
 	if (peer.member.incarnation.started < stop.notBefore) {
-		return peer.status === 'gone' && now - peer.heard > stoppedTimeoutMs;
+		return peer.status === 'gone' && now - peer.lastSeen > stoppedTimeoutMs;
 	}
 
-	return (peer.status === 'live' && peer.phase === 'serving') || now - peer.learnt > startTimeoutMs;
+	return (peer.status === 'live' && peer.phase === 'serving') || now - peer.addedAt > startTimeoutMs;
 }
 
 /**
--- a/src/core/features/suspicion/commands.ts
+++ b/src/core/features/suspicion/commands.ts
@@ -3,8 +3,8 @@
 import {type Suspicion} from '../../types/peer.js';
 import {type Report} from '../../types/upstream.js';
 import {type Context, type State, type Step} from '../../types/state.js';
-import {only} from '../../utils/common.js';
-import {getCrashIds, publishedSuspicions} from './queries.js';
+import {withoutEffects} from '../../utils/common.js';
+import {getCrashIds, listPublishedSuspicions} from './queries.js';
 import {
 	confirmedCrashLifetimeMs, convictionThreshold, suspectLimit, unconfirmedCrashLifetimeMs, type Crash, type SuspicionState,
 } from './types.js';
@@ -90,7 +90,7 @@
 	const isKnown = before.some(each => each.id === crash.id);
 	const isFull = before.length === 0 && state.suspicion.crashes.size >= suspectLimit;
 	if (isKnown || isFull || isExplained(state, crash, {fingerprint, began: attempt.began}, context)) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const next = updateSuspicion(state, {crashes: state.suspicion.crashes.set(fingerprint, [...before, crash])});
@@ -113,7 +113,7 @@
  * @returns The unchanged state, and the message to each linked peer.
  */
 export function broadcastSuspicion(state: State, fingerprint: string, context: Context): Step {
-	const suspicions = publishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
+	const suspicions = listPublishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	return {
 		state,
--- a/src/core/features/suspicion/feature.ts
+++ b/src/core/features/suspicion/feature.ts
@@ -7,7 +7,7 @@
 import {
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
-import {chain, only} from '../../utils/common.js';
+import {chain, withoutEffects} from '../../utils/common.js';
 import {
 	acquit, recordCrash, clearSuspicion, confirmCrash, addRunningAttempt, removeExpired, mergePeerSuspicions, removeRunningAttempt, broadcastSuspicion,
 } from './commands.js';
@@ -19,7 +19,7 @@
 			return chain(
 				next,
 				current => recordCrash(current, request, attempt, context),
-				current => current === next ? only(current) : broadcastSuspicion(current, request.fingerprint, context),
+				current => current === next ? withoutEffects(current) : broadcastSuspicion(current, request.fingerprint, context),
 			);
 		}
 
@@ -28,7 +28,7 @@
 		}
 
 		default: {
-			return only(next);
+			return withoutEffects(next);
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	handle(state, event, context) {
 		switch (event.type) {
 			case 'attempt-began': {
-				return only(addRunningAttempt(state, event.request, event.attempt));
+				return withoutEffects(addRunningAttempt(state, event.request, event.attempt));
 			}
 
 			case 'attempt-over': {
@@ -46,25 +46,25 @@
 			}
 
 			case 'report-received': {
-				return only(acquit(state, event.report, context));
+				return withoutEffects(acquit(state, event.report, context));
 			}
 
 			case 'upstream-restarted': {
-				return only(confirmCrash(state, event.upstream, event.before, context));
+				return withoutEffects(confirmCrash(state, event.upstream, event.before, context));
 			}
 
 			case 'peer-message': {
 				const {message} = event;
 				const hasSuspicions = message.type === 'heartbeat' || message.type === 'suspected';
-				return only(hasSuspicions ? mergePeerSuspicions(state, message.suspicions, context) : state);
+				return withoutEffects(hasSuspicions ? mergePeerSuspicions(state, message.suspicions, context) : state);
 			}
 
 			case 'tick': {
-				return only(removeExpired(state, context));
+				return withoutEffects(removeExpired(state, context));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/suspicion/queries.ts
+++ b/src/core/features/suspicion/queries.ts
@@ -3,7 +3,7 @@
 import {type Suspicion} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
 import {type Context, type State} from '../../types/state.js';
-import {firstChoices, hashText} from '../../utils/hashes.js';
+import {selectTopRanked, hashText} from '../../utils/hashes.js';
 import {upstreamsFor} from '../takeover/queries.js';
 import {convictionThreshold, suspectUpstreamLimit} from './types.js';
 
@@ -53,12 +53,12 @@
  * @param context - Time and random source.
  * @returns Upstreams it may run at, best first; those that crashed with it only if there are no others.
  */
-export function suspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
+export function listSuspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
 	const crashed = new Set([...getCrashIds(state, request.fingerprint, context)].map(id => id.split('/')[0]));
 	const all = upstreamsFor(state, request);
 	const notCrashed = all.filter(each => !crashed.has(each.id));
 	const members = (notCrashed.length > 0 ? notCrashed : all).map(upstream => ({upstream, hash: hashText(upstream.id)}));
-	return firstChoices(hashText(request.fingerprint), members, suspectUpstreamLimit).map(each => each.upstream);
+	return selectTopRanked(hashText(request.fingerprint), members, suspectUpstreamLimit).map(each => each.upstream);
 }
 
 /**
@@ -71,7 +71,7 @@
  * @param context - Time and random source.
  * @returns Whether the request may run there now.
  */
-export function mayRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
+export function canRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
 	const {runningAttempts, crashes, peerSuspicions} = state.suspicion;
 	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return true;
@@ -85,7 +85,7 @@
 	}
 
 	return !isSuspect(state, request.fingerprint, context)
-		|| suspectUpstreams(state, request, context).some(each => each.id === upstream);
+		|| listSuspectUpstreams(state, request, context).some(each => each.id === upstream);
 }
 
 function getExpiry(state: State, fingerprint: string): number {
@@ -98,7 +98,7 @@
  * @param context - Time and random source.
  * @returns Suspicions to publish to peers, those with the most crashes first.
  */
-export function publishedSuspicions(state: State, context: Context): readonly Suspicion[] {
+export function listPublishedSuspicions(state: State, context: Context): readonly Suspicion[] {
 	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.peerSuspicions.keys()]);
 	return [...fingerprints]
 		.map(fingerprint => ({
--- a/src/core/features/takeover/queries.ts
+++ b/src/core/features/takeover/queries.ts
@@ -2,7 +2,7 @@
 import {type Takeover, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {ownUpstreams} from '../configuration/queries.js';
+import {listOwnUpstreams} from '../configuration/queries.js';
 
 export type ServingSystem = Takeover['servedBy'];
 
@@ -41,5 +41,5 @@
 
 /** @returns Upstreams in reach that may run the request: those of the service, or the legacy endpoints. */
 export function upstreamsFor(state: State, request: Pick<Request, 'service' | 'organisation'>): readonly Upstream[] {
-	return isLegacy(state, request) ? legacyUpstreams(state, request.service) : ownUpstreams(state, request.service);
+	return isLegacy(state, request) ? legacyUpstreams(state, request.service) : listOwnUpstreams(state, request.service);
 }
--- a/src/core/features/tickets/commands/forwards.ts
+++ b/src/core/features/tickets/commands/forwards.ts
@@ -7,7 +7,7 @@
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
 import {type Effect} from '../../../types/effect.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {assertNever, chain, only} from '../../../utils/common.js';
+import {assertNever, chain, withoutEffects} from '../../../utils/common.js';
 import {sendToHost} from '../../keys/queries.js';
 import {type Forward} from '../types.js';
 import {answerUnknown} from './answers.js';
@@ -117,7 +117,7 @@
 export function endForward(state: State, id: string, ending: Ending, context: Context): Step {
 	const forward = state.tickets.forwards.get(id);
 	if (forward === undefined) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	// The caller has received the keeper's complete answer unchanged.
@@ -140,7 +140,7 @@
 export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
 	const forward = state.tickets.forwards.get(id);
 	if (forward?.seal === undefined || forward.keeper.incarnation.host !== from) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	switch (sealAnswer.type) {
@@ -167,7 +167,7 @@
 	}
 
 	if (forward.seal === undefined || forward.seal.retryAt > now) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	return {
--- a/src/core/features/tickets/commands/rights.ts
+++ b/src/core/features/tickets/commands/rights.ts
@@ -2,7 +2,7 @@
 import {codes} from '../../../errors.js';
 import {type Outcome, type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {assertNever, only} from '../../../utils/common.js';
+import {assertNever, withoutEffects} from '../../../utils/common.js';
 import {getEntry} from '../queries.js';
 import {
 	entryLimit, followerLimit, type RightEntry, type RightProgress, type TicketsState,
@@ -173,7 +173,7 @@
 export function expireFollowers(state: State, {now}: Context): Step {
 	const expired = state.tickets.followers.filter(each => each.deadline <= now);
 	if (expired.isEmpty()) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const outcome: Outcome = {type: 'unknown', code: codes.outcomeUnknown, detail: 'The first sending still runs.'};
@@ -190,7 +190,7 @@
  */
 export function sweepEntries(state: State, {now, wall}: Context): Step {
 	if (now < state.tickets.sweepAt) {
-		return only(state);
+		return withoutEffects(state);
 	}
 
 	const expired = state.tickets.entries.filter(each => each.expires <= wall && each.progress.type !== 'running');
--- a/src/core/features/tickets/feature.ts
+++ b/src/core/features/tickets/feature.ts
@@ -8,7 +8,7 @@
 import {
 	type Context, type Feature, type State, type Step,
 } from '../../types/state.js';
-import {assertNever, chain, only} from '../../utils/common.js';
+import {assertNever, chain, withoutEffects} from '../../utils/common.js';
 import {
 	answerNotRun, answerUnknown, issueTicket, requireTicket,
 } from './commands/answers.js';
@@ -64,7 +64,7 @@
 
 		// Handled by the keys feature.
 		case 'key': {
-			return only(state);
+			return withoutEffects(state);
 		}
 
 		default: {
@@ -76,7 +76,7 @@
 function handleAbandonedRequest(state: State, {request}: EventOf<'request-abandoned'>): Step {
 	const next = abandonForward(state, request);
 	const followers = next.tickets.followers.delete(request);
-	return only({...next, tickets: {...next.tickets, followers}});
+	return withoutEffects({...next, tickets: {...next.tickets, followers}});
 }
 
 function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
@@ -90,7 +90,7 @@
 		}
 
 		default: {
-			return only(state);
+			return withoutEffects(state);
 		}
 	}
 }
@@ -108,7 +108,7 @@
 			}
 
 			case 'request-concluded': {
-				return only(recordOutcome(state, event.request, event.outcome));
+				return withoutEffects(recordOutcome(state, event.request, event.outcome));
 			}
 
 			case 'request-abandoned': {
@@ -137,7 +137,7 @@
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -4,7 +4,7 @@
 import {type Attempt, type Request} from '../../types/request.js';
 import {type Report} from '../../types/upstream.js';
 import {type State} from '../../types/state.js';
-import {upstream as configured} from '../configuration/queries.js';
+import {findUpstream as configured} from '../configuration/queries.js';
 import {prefillRate} from '../work/queries.js';
 import {view, estimatePrefilled} from './queries.js';
 import {type UpstreamView, type Work} from './types.js';
--- a/src/core/features/upstreams/feature.ts
+++ b/src/core/features/upstreams/feature.ts
@@ -1,7 +1,7 @@
 /** Maintains a view of each upstream from its reports, this host's own attempts and the loads that peers publish. */
 import {type Report} from '../../types/upstream.js';
 import {type Feature, type State, type Step} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {admissionOf} from '../requests/queries.js';
 import {
 	beginWork, updatePeerLoads, endWork, finishPrefill, markUnreachable, applyReport,
@@ -12,7 +12,7 @@
 	const known = view(state, received.upstream).report?.incarnation;
 	const next = applyReport(state, received, now);
 	if (known === undefined || known === received.incarnation) {
-		return only(next);
+		return withoutEffects(next);
 	}
 
 	return {
@@ -42,27 +42,27 @@
 			}
 
 			case 'upstream-unreachable': {
-				return only(markUnreachable(state, event.upstream));
+				return withoutEffects(markUnreachable(state, event.upstream));
 			}
 
 			case 'attempt-began': {
-				return only(beginWork(state, event.request, event.attempt, now));
+				return withoutEffects(beginWork(state, event.request, event.attempt, now));
 			}
 
 			case 'attempt-progressed': {
-				return only(handleProgress(state, event.attempt, now));
+				return withoutEffects(handleProgress(state, event.attempt, now));
 			}
 
 			case 'attempt-over': {
-				return only(endWork(state, event.request, event.attempt, now));
+				return withoutEffects(endWork(state, event.request, event.attempt, now));
 			}
 
 			case 'tick': {
-				return only(updatePeerLoads(state, now));
+				return withoutEffects(updatePeerLoads(state, now));
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/work/commands.ts
+++ b/src/core/features/work/commands.ts
@@ -1,8 +1,8 @@
 /** Updates the measured speeds and answer lengths. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
-import {trim} from '../../utils/bounded.js';
-import {include} from '../../utils/rates.js';
+import {removeOldest} from '../../utils/bounded.js';
+import {addSample} from '../../utils/rates.js';
 import {createOutputKey, type Speed, type WorkState} from './types.js';
 
 /** Number of samples after which older ones fade. */
@@ -25,7 +25,7 @@
 
 function updateSpeed(state: State, upstream: string, update: (before: Speed) => Speed): State {
 	const speeds = state.work.speeds.set(upstream, update(state.work.speeds.get(upstream) ?? {}));
-	return updateWork(state, {speeds: trim(speeds, maxSpeeds, getLastUse)});
+	return updateWork(state, {speeds: removeOldest(speeds, maxSpeeds, getLastUse)});
 }
 
 /**
@@ -45,7 +45,7 @@
 	}
 
 	const sample = tokens * 1000 / Math.max(now - attempt.began, 1);
-	return updateSpeed(state, attempt.upstream, before => ({...before, prefill: include(before.prefill, sample, now, sampleWindow)}));
+	return updateSpeed(state, attempt.upstream, before => ({...before, prefill: addSample(before.prefill, sample, now, sampleWindow)}));
 }
 
 /**
@@ -61,7 +61,7 @@
 export function recordAnswer(state: State, request: Request, attempt: Attempt, tokens: number, now: number): State {
 	if (attempt.firstFrame === undefined) {
 		return updateSpeed(state, attempt.upstream, before =>
-			({...before, duration: include(before.duration, now - attempt.began, now, sampleWindow)}));
+			({...before, duration: addSample(before.duration, now - attempt.began, now, sampleWindow)}));
 	}
 
 	const withOutput = recordOutput(state, request, tokens, now);
@@ -71,15 +71,15 @@
 
 	const interval = (now - attempt.firstFrame) / (tokens - 1);
 	return updateSpeed(withOutput, attempt.upstream, before =>
-		({...before, interval: include(before.interval, interval, now, sampleWindow)}));
+		({...before, interval: addSample(before.interval, interval, now, sampleWindow)}));
 }
 
 function recordOutput(state: State, request: Request, tokens: number, now: number): State {
 	const keys = [createOutputKey(request.service), createOutputKey(request.service, request.organisation)];
 	const outputs = state.work.outputs.withMutations(table => {
 		for (const key of keys) {
-			table.set(key, include(table.get(key), tokens, now, sampleWindow));
+			table.set(key, addSample(table.get(key), tokens, now, sampleWindow));
 		}
 	});
-	return updateWork(state, {outputs: trim(outputs, maxOutputs, mean => mean.at)});
+	return updateWork(state, {outputs: removeOldest(outputs, maxOutputs, mean => mean.at)});
 }
--- a/src/core/features/work/feature.ts
+++ b/src/core/features/work/feature.ts
@@ -1,7 +1,7 @@
 /** Work model: measures the speeds of upstreams and the lengths of answers, and estimates the work of requests from them. */
 import {type EventOf} from '../../types/event.js';
 import {type Feature, type State} from '../../types/state.js';
-import {only} from '../../utils/common.js';
+import {withoutEffects} from '../../utils/common.js';
 import {admissionOf} from '../requests/queries.js';
 import {recordAnswer, recordPrefill} from './commands.js';
 
@@ -23,16 +23,16 @@
 	handle(state, event, {now}) {
 		switch (event.type) {
 			case 'attempt-progressed': {
-				return only(handleFirstFrame(state, event, now));
+				return withoutEffects(handleFirstFrame(state, event, now));
 			}
 
 			case 'attempt-over': {
 				const {request, attempt, ending} = event;
-				return only(ending.type === 'done' ? recordAnswer(state, request, attempt, ending.tokens, now) : state);
+				return withoutEffects(ending.type === 'done' ? recordAnswer(state, request, attempt, ending.tokens, now) : state);
 			}
 
 			default: {
-				return only(state);
+				return withoutEffects(state);
 			}
 		}
 	},
--- a/src/core/features/work/queries.ts
+++ b/src/core/features/work/queries.ts
@@ -3,7 +3,7 @@
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
-import {service} from '../configuration/queries.js';
+import {findService} from '../configuration/queries.js';
 import {createOutputKey, type WorkEstimate} from './types.js';
 
 /** Samples at which an organisation's own mean counts as much as the mean of the service. */
@@ -88,7 +88,7 @@
  * @returns Expected tokens of its answer.
  */
 export function estimateOutput(state: State, request: Request): number {
-	const requestedService = service(state, request.service);
+	const requestedService = findService(state, request.service);
 	if (requestedService?.kind === 'plain') {
 		return 1;
 	}
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -1,5 +1,5 @@
 /** Chooses the upstream of a request, and for long prompts the engines that help to prefill it, so that the expected loss is least. */
-import {hashText, mix} from '../utils/hashes.js';
+import {hashText, mixHashes} from '../utils/hashes.js';
 import {footprint, estimatePrefill, type PrefillTime} from './engine.js';
 import {type Health} from './health.js';
 import {type Load} from './load.js';
@@ -71,7 +71,7 @@
 
 /** Offset of an upstream for a host, 0 to 1: hosts that do not know of each other's latest choices rank equal upstreams differently. */
 function hashSpread(host: number, upstream: string): number {
-	return mix(host, hashText(upstream)) / hashRange;
+	return mixHashes(host, hashText(upstream)) / hashRange;
 }
 
 /** Engines that prefill a prompt together; `first` answers the request. */
--- a/src/core/utils/bounded.ts
+++ b/src/core/utils/bounded.ts
@@ -12,7 +12,7 @@
  * @param ageOf - Returns the time of last use of a value; the smallest are removed first.
  * @returns The table itself, or one without its oldest quarter.
  */
-export function trim<T>(table: Table<string, T>, limit: number, ageOf: (value: T) => number): Table<string, T> {
+export function removeOldest<T>(table: Table<string, T>, limit: number, ageOf: (value: T) => number): Table<string, T> {
 	if (table.size <= limit) {
 		return table;
 	}
--- a/src/core/utils/common.ts
+++ b/src/core/utils/common.ts
@@ -6,7 +6,7 @@
  * @param state - Next state, changed or not.
  * @returns A step without effects.
  */
-export function only(state: State): Step {
+export function withoutEffects(state: State): Step {
 	return {state, effects: []};
 }
 
--- a/src/core/utils/hashes.ts
+++ b/src/core/utils/hashes.ts
@@ -24,7 +24,7 @@
  * @param b - Another hash.
  * @returns A hash of both in which every bit depends on every bit.
  */
-export function mix(a: number, b: number): number {
+export function mixHashes(a: number, b: number): number {
 	let hash = (a ^ Math.imul(b, 0x9E_37_79_B1)) >>> 0;
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B);
 	hash = Math.imul(hash ^ (hash >>> 13), 0xC2_B2_AE_35);
@@ -39,7 +39,7 @@
  * @returns The members, the first choice first.
  */
 export function rank<T extends {readonly hash: number}>(key: number, members: readonly T[]): readonly T[] {
-	return members.toSorted((a, b) => mix(key, b.hash) - mix(key, a.hash));
+	return members.toSorted((a, b) => mixHashes(key, b.hash) - mixHashes(key, a.hash));
 }
 
 /**
@@ -50,10 +50,10 @@
  * @param limit - Number of members at most.
  * @returns The members, the first choice first.
  */
-export function firstChoices<T extends {readonly hash: number}>(key: number, members: readonly T[], limit: number): readonly T[] {
+export function selectTopRanked<T extends {readonly hash: number}>(key: number, members: readonly T[], limit: number): readonly T[] {
 	const chosen: Array<{readonly member: T; readonly weight: number}> = [];
 	for (const member of members) {
-		const weight = mix(key, member.hash);
+		const weight = mixHashes(key, member.hash);
 		const position = chosen.findIndex(each => each.weight < weight);
 		if (position !== -1) {
 			chosen.splice(position, 0, {member, weight});
--- a/src/core/utils/rates.ts
+++ b/src/core/utils/rates.ts
@@ -19,7 +19,7 @@
 	readonly at: number;
 };
 
-export const noRate: Rate = {amount: 0, at: 0};
+export const zeroRate: Rate = {amount: 0, at: 0};
 
 /**
  * @param mean - Mean so far.
@@ -28,7 +28,7 @@
  * @param window - Number of samples from which older ones decay.
  * @returns The mean including the sample.
  */
-export function include(mean: Mean | undefined, sample: number, now: number, window: number): Mean {
+export function addSample(mean: Mean | undefined, sample: number, now: number, window: number): Mean {
 	const count = Math.min((mean?.count ?? 0) + 1, window);
 	const before = mean?.value ?? 0;
 	const distance = mean === undefined ? 0 : Math.abs(sample - before);
@@ -45,7 +45,7 @@
  * @param timeConstant - Time constant of the decay in milliseconds; after it, an amount counts about a third (1/e).
  * @returns The rate including the amount.
  */
-export function increase(rate: Rate, amount: number, now: number, timeConstant: number): Rate {
+export function addAmount(rate: Rate, amount: number, now: number, timeConstant: number): Rate {
 	return {amount: decayedAmount(rate, now, timeConstant) + amount, at: now};
 }
 
@@ -55,7 +55,7 @@
  * @param timeConstant - Time constant of the decay in milliseconds; after it, an amount counts about a third (1/e).
  * @returns Amount per second.
  */
-export function perSecond(rate: Rate, now: number, timeConstant: number): number {
+export function getRatePerSecond(rate: Rate, now: number, timeConstant: number): number {
 	return decayedAmount(rate, now, timeConstant) * 1000 / timeConstant;
 }
 
--- a/src/entry/admin/status.ts
+++ b/src/entry/admin/status.ts
@@ -10,7 +10,7 @@
 		phase: peer.phase,
 		connected: peer.connected,
 		revision: peer.revision,
-		silence: Math.round(now - peer.heard),
+		silence: Math.round(now - peer.lastSeen),
 	}));
 }
 
--- a/src/entry/peers/__tests__/cost.test.ts
+++ b/src/entry/peers/__tests__/cost.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {livePeers} from '../../../core/features/membership/queries.js';
+import {listLivePeers} from '../../../core/features/membership/queries.js';
 import {documentOf, Network} from '../../../core/__tests__/network.js';
 import {encodeFrame} from '../../../protocol/peers.js';
 
@@ -14,7 +14,7 @@
 		network.list(...hosts);
 		network.publish(documentOf(1), ...hosts);
 		network.run(30_000);
-		expect(hosts.map(host => livePeers(network.state(host)).length)).toEqual(hosts.map(() => hosts.length - 1));
+		expect(hosts.map(host => listLivePeers(network.state(host)).length)).toEqual(hosts.map(() => hosts.length - 1));
 		const from = network.now;
 		network.run(10_000);
 		const bytes = new Map<string, number>();
--- a/src/entry/relays/relays.ts
+++ b/src/entry/relays/relays.ts
@@ -5,7 +5,7 @@
 	codes,
 	type Ending,
 } from '../../core/index.js';
-import {upstream as upstreamOf} from '../../core/features/configuration/queries.js';
+import {findUpstream as upstreamOf} from '../../core/features/configuration/queries.js';
 import {prefillSegment} from '../../upstream/control.js';
 import {runOnEngine, type Call} from '../../upstream/engine.js';
 import {endToEnd, runOnPlain, type PassedHeaders} from '../../upstream/plain.js';
--- a/src/gateway/peers/topology.ts
+++ b/src/gateway/peers/topology.ts
@@ -2,7 +2,7 @@
  * Selects which hosts are linked. A small fleet is a full mesh; in a large one, two hosts of each failure domain are relays, and all
  * other hosts of the domain are linked with them only.
  */
-import {hashText, mix} from '../../core/utils/hashes.js';
+import {hashText, mixHashes} from '../../core/utils/hashes.js';
 import {type Host} from './messages.js';
 
 /**
@@ -32,7 +32,7 @@
 export function relaysOf<T extends RelayCandidate>(failureDomain: string, hosts: readonly T[]): readonly T[] {
 	return hosts
 		.filter(host => host.failureDomain === failureDomain)
-		.map(host => ({host, capacity: host.capacity ?? defaultCapacity, weight: mix(relayHashKey, hashText(host.name))}))
+		.map(host => ({host, capacity: host.capacity ?? defaultCapacity, weight: mixHashes(relayHashKey, hashText(host.name))}))
 		.toSorted((a, b) => b.capacity - a.capacity || b.weight - a.weight)
 		.slice(0, relaysPerDomain)
 		.map(each => each.host);
