--- a/bench/model/decision.ts
+++ b/bench/model/decision.ts
@@ -47,7 +47,7 @@
 		}
 
 		route(state, {
-			request: requests[index % requests.length]!, wanted, failureDomain: 'a', avoided: [],
+			request: requests[index % requests.length]!, requestedService: wanted, failureDomain: 'a', failedUpstreams: [],
 		}, {now: 2000, wall: 2000, random});
 	}
 
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -17,8 +17,8 @@
 	type State,
 } from '../../src/core/index.js';
 import {type Peer} from '../../src/core/features/membership/types.js';
-import {ownDemands} from '../../src/core/features/limits/queries.js';
-import {ownMixes} from '../../src/core/features/routing/segments.js';
+import {getOwnDemands} from '../../src/core/features/limits/queries.js';
+import {getOwnMixes} from '../../src/core/features/routing/segments.js';
 import {listOwnLoads} from '../../src/core/features/membership/heartbeat.js';
 import {ModelEngine, type ModelEngineOptions, type Job} from './engine.js';
 import {Timeline} from './timeline.js';
@@ -338,8 +338,8 @@
 			revision: 1,
 			digest: 'd',
 			loads,
-			demands: ownDemands(state, now),
-			mixes: ownMixes(state, now),
+			demands: getOwnDemands(state, now),
+			mixes: getOwnMixes(state, now),
 		};
 		this.#scheduleDelivery(() => {
 			for (const [index, other] of this.#states.entries()) {
--- a/src/core/__tests__/placement.test.ts
+++ b/src/core/__tests__/placement.test.ts
@@ -8,7 +8,7 @@
 	type Report,
 	type Target,
 } from '../index.js';
-import {orderers} from '../features/placement/queries.js';
+import {createControllerLookup} from '../features/placement/queries.js';
 import {isStopping} from '../features/stops/queries.js';
 import {documentOf, Network, startWallTimeMs} from './network.js';
 
@@ -158,7 +158,7 @@
 
 	findOrderer(document: ReturnType<typeof createPlacementDocument>, id: string): string {
 		const engine = document.upstreams.find(each => each.id === id);
-		return engine?.kind === 'engine' ? orderers(this.network.state(this.hosts[0]!))(engine)! : '';
+		return engine?.kind === 'engine' ? createControllerLookup(this.network.state(this.hosts[0]!))(engine)! : '';
 	}
 
 	#handleEffect(host: string, effect: Effect) {
--- a/src/core/__tests__/requests.test.ts
+++ b/src/core/__tests__/requests.test.ts
@@ -4,7 +4,7 @@
 	codes, configurationSchema, type Configuration, type Ending, type Event, type Policy, type Proof, type Request, type State,
 } from '../index.js';
 import {isIdle, queueLength} from '../features/requests/queries.js';
-import {share} from '../features/limits/queries.js';
+import {computeShare} from '../features/limits/queries.js';
 import {type Peer} from '../features/membership/types.js';
 import {
 	applyEvents, createConfiguration, createMember, createRequest, createServingState, effectsOf,
@@ -238,16 +238,16 @@
 
 	it('falls back to the failure domain\'s share when other domains are unreachable', () => {
 		const state = createServingState(createMember('a1'), limited(['a', 'b', 'c']));
-		expect(share(state, 'large', 0)).toBeCloseTo(1 / 3);
+		expect(computeShare(state, 'large', 0)).toBeCloseTo(1 / 3);
 	});
 
 	it('shifts shares towards demand', () => {
 		const busyPeer = withPeer(createServingState(createMember('a1'), limited(['a'])), {
 			member: createMember('a2'), demands: [{organisation: 'large', requestsPerSecond: 3, tokensPerSecond: 298}],
 		});
-		expect(share(busyPeer, 'large', 0)).toBeCloseTo(1 / 300);
+		expect(computeShare(busyPeer, 'large', 0)).toBeCloseTo(1 / 300);
 		const {state} = applyEvents(busyPeer, 0, createPromptArrival('r', 1485));
-		expect(share(state, 'large', 0)).toBeCloseTo(0.5, 1);
+		expect(computeShare(state, 'large', 0)).toBeCloseTo(0.5, 1);
 	});
 });
 
--- a/src/core/features/circuits/queries.ts
+++ b/src/core/features/circuits/queries.ts
@@ -1,6 +1,6 @@
 /** Queries on circuits. */
 import {type State} from '../../types/state.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 import {failureThreshold} from './types.js';
 
 /**
@@ -15,5 +15,5 @@
 		return true;
 	}
 
-	return now >= circuit.openUntil && view(state, upstream).requests === 0;
+	return now >= circuit.openUntil && getView(state, upstream).requests === 0;
 }
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -4,12 +4,12 @@
 import {type Context, type State} from '../../types/state.js';
 import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {findUsable} from '../routing/candidates.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 import {estimateOutput} from '../work/queries.js';
 import {type Group, type GroupPart} from './types.js';
 
 /** Largest share of an engine's memory that a segment may take, so that short prompts still fit beside it. */
-export const fill = 0.85;
+export const maxFillRatio = 0.85;
 
 /** Groups of one service that a host may form or run at a time. */
 const maxGroupsPerService = 2;
@@ -23,7 +23,7 @@
  * @param now - Time in milliseconds.
  * @returns Whether this host may form another group for the service now.
  */
-export function mayFormGroup(state: State, id: string, now: number): boolean {
+export function canFormGroup(state: State, id: string, now: number): boolean {
 	const count = state.groups.groups.count(each => each.request.service === id);
 	return count < maxGroupsPerService && now >= (state.groups.backoffDeadlines.get(id) ?? 0);
 }
@@ -38,7 +38,7 @@
 }
 
 function getUsedMemory(state: State, engine: Engine): number {
-	const {footprint, report} = view(state, engine.id);
+	const {footprint, report} = getView(state, engine.id);
 	return Math.max(footprint, report?.usedMemory ?? 0);
 }
 
@@ -52,7 +52,7 @@
 		}
 
 		chosen.push(each);
-		room += Math.floor(each.memory * fill);
+		room += Math.floor(each.memory * maxFillRatio);
 	}
 
 	return room >= tokens ? chosen : undefined;
@@ -75,7 +75,7 @@
 
 	const all = listDomainUpstreams(state, request.service, state.self.failureDomain);
 	const search = {
-		request, wanted: requestedService, failureDomain: state.self.failureDomain, avoided: [],
+		request, requestedService: requestedService, failureDomain: state.self.failureDomain, failedUpstreams: [],
 	};
 	const engines = findUsable(state, all, search, context).filter((each): each is Engine => each.kind === 'engine');
 	const output = Math.max(request.outputLimit ?? 0, estimateOutput(state, request) * outputHeadroomFactor);
--- a/src/core/features/limits/commands.ts
+++ b/src/core/features/limits/commands.ts
@@ -5,7 +5,7 @@
 import {addAmount} from '../../utils/rates.js';
 import {findOrganisation} from '../configuration/queries.js';
 import {estimateOutput} from '../work/queries.js';
-import {settleDebts, share} from './queries.js';
+import {settleDebts, computeShare} from './queries.js';
 import {demandWindowMs, noAccount, type Account} from './types.js';
 
 const maxAccounts = 8192;
@@ -58,7 +58,7 @@
 		return state;
 	}
 
-	const settled = settleDebts(account, limits, share(state, request.organisation, now), now);
+	const settled = settleDebts(account, limits, computeShare(state, request.organisation, now), now);
 	return setAccount(state, request.organisation, {
 		...settled,
 		requestDebt: settled.requestDebt + 1,
--- a/src/core/features/limits/queries.ts
+++ b/src/core/features/limits/queries.ts
@@ -35,7 +35,7 @@
  * @param now - Time in milliseconds.
  * @returns Demand at this host by organisations that have a limit, as published to peers.
  */
-export function ownDemands(state: State, now: number): readonly Demand[] {
+export function getOwnDemands(state: State, now: number): readonly Demand[] {
 	return [...state.limits.accounts.entries()]
 		.map(([id, account]) => ({
 			organisation: id,
@@ -85,7 +85,7 @@
  * @param now - Time in milliseconds.
  * @returns This host's share of the organisation's limits, from 0 to 1.
  */
-export function share(state: State, id: string, now: number): number {
+export function computeShare(state: State, id: string, now: number): number {
 	const own = getRatePerSecond((state.limits.accounts.get(id) ?? noAccount).tokens, now, demandWindowMs) + minDemandTokensPerSecond;
 	const others = sumDomainDemands(state, id);
 	let total = own;
@@ -134,18 +134,18 @@
  * @param now - Time in milliseconds.
  * @returns Time until the organisation's limits may allow it, in milliseconds; 0 if they allow it now.
  */
-export function limitedFor(state: State, request: Request, now: number): number {
+export function getLimitDelay(state: State, request: Request, now: number): number {
 	const limits = findOrganisation(state, request.organisation)?.limits;
 	if (limits === undefined || Object.values(limits).every(each => each === undefined)) {
 		return 0;
 	}
 
-	const part = share(state, request.organisation, now);
-	const account = settleDebts(state.limits.accounts.get(request.organisation) ?? noAccount, limits, part, now);
-	const concurrent = Math.max(Math.floor((limits.concurrent ?? Number.MAX_SAFE_INTEGER) * part), 1);
+	const share = computeShare(state, request.organisation, now);
+	const account = settleDebts(state.limits.accounts.get(request.organisation) ?? noAccount, limits, share, now);
+	const concurrent = Math.max(Math.floor((limits.concurrent ?? Number.MAX_SAFE_INTEGER) * share), 1);
 	return Math.ceil(Math.max(
-		limits.requestsPerSecond === undefined ? 0 : computeWait(account.requestDebt, limits.requestsPerSecond * part, 1),
-		limits.tokensPerSecond === undefined ? 0 : computeWait(account.tokenDebt, limits.tokensPerSecond * part, 1),
+		limits.requestsPerSecond === undefined ? 0 : computeWait(account.requestDebt, limits.requestsPerSecond * share, 1),
+		limits.tokensPerSecond === undefined ? 0 : computeWait(account.tokenDebt, limits.tokensPerSecond * share, 1),
 		runningOf(state, request.organisation) >= concurrent ? 1000 : 0,
 	));
 }
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -5,8 +5,8 @@
 import {type Context, type State} from '../../types/state.js';
 import {hashText, mixHashes} from '../../utils/hashes.js';
 import {getRevision} from '../configuration/queries.js';
-import {ownDemands} from '../limits/queries.js';
-import {ownMixes} from '../routing/segments.js';
+import {getOwnDemands} from '../limits/queries.js';
+import {getOwnMixes} from '../routing/segments.js';
 import {listPublishedSuspicions} from '../suspicion/queries.js';
 import {
 	digestPrefixLength,
@@ -174,8 +174,8 @@
 		digest: state.configuration.digest.slice(0, digestPrefixLength),
 		whole,
 		loads: loads ?? [],
-		demands: ownDemands(state, context.now),
-		...(sequence % heartbeatsPerPromptMix === 0 && {mixes: ownMixes(state, context.now)}),
+		demands: getOwnDemands(state, context.now),
+		...(sequence % heartbeatsPerPromptMix === 0 && {mixes: getOwnMixes(state, context.now)}),
 		suspicions: takeTurn(listPublishedSuspicions(state, context), sequence, maxSuspicions),
 		members: selectMembers(state, context.now),
 		relayed: relayed.map(peer => createDigest(peer, loads === undefined)),
--- a/src/core/features/placement/commands/reconcile.ts
+++ b/src/core/features/placement/commands/reconcile.ts
@@ -6,9 +6,9 @@
 } from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
-import {view} from '../../upstreams/queries.js';
+import {getView} from '../../upstreams/queries.js';
 import {
-	findChangeableEngines, hasSameWeights, isOffTarget, orderers, getOwnEngines,
+	findChangeableEngines, hasSameWeights, isOffTarget, createControllerLookup, getOwnEngines,
 } from '../queries.js';
 import {earnCredit} from '../store.js';
 import {type ControlledEngine} from '../types.js';
@@ -26,13 +26,13 @@
 const drainTimeoutMs = 600_000;
 
 function findChangingEngines(state: State, changeable: readonly Engine[]): Group<string> {
-	const replaced = changeable.filter(engine => engine.target !== undefined && !hasSameWeights(view(state, engine.id).report?.current, engine.target));
+	const replaced = changeable.filter(engine => engine.target !== undefined && !hasSameWeights(getView(state, engine.id).report?.current, engine.target));
 	return Group(replaced.map(engine => engine.id));
 }
 
 /** Adds the engines that this host now controls, and removes those that it no longer controls. */
 function updateControlled(state: State, engines: readonly Engine[], now: number): State {
-	const getController = orderers(state);
+	const getController = createControllerLookup(state);
 	const {host} = state.self.incarnation;
 	const own = isServing(state) ? engines.filter(engine => engine.target !== undefined && getController(engine) === host) : [];
 	const ids = new Set(own.map(engine => engine.id));
@@ -53,13 +53,13 @@
 }
 
 function isDrained(state: State, control: ControlledEngine, now: number): boolean {
-	const {report, requests} = view(state, control.upstream);
+	const {report, requests} = getView(state, control.upstream);
 	const isIdle = report?.running === 0 && report.waiting === 0 && requests === 0;
 	return isIdle || (control.draining !== undefined && now - control.draining >= drainTimeoutMs);
 }
 
 function isChangeable(state: State, engine: Engine, changeable: ReadonlySet<string>): boolean {
-	return view(state, engine.id).report?.ready === false || changeable.has(engine.id);
+	return getView(state, engine.id).report?.ready === false || changeable.has(engine.id);
 }
 
 function reconcileEngine(state: State, engine: Engine, changeable: ReadonlySet<string>, now: number): Step {
--- a/src/core/features/placement/queries.ts
+++ b/src/core/features/placement/queries.ts
@@ -4,7 +4,7 @@
 import {hashText, mixHashes, rank} from '../../utils/hashes.js';
 import {findService} from '../configuration/queries.js';
 import {listServingHosts} from '../membership/queries.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 
 /** Largest share of a service's engines in a failure domain that may change at a time. */
 const maxChangingShare = 0.25;
@@ -44,19 +44,19 @@
  * @param state - Core state.
  * @returns A function that returns the host that controls an engine, by rendezvous hashing over the serving hosts of this domain.
  */
-export function orderers(state: State): (engine: Engine) => string | undefined {
+export function createControllerLookup(state: State): (engine: Engine) => string | undefined {
 	const hosts = listServingHosts(state, state.self.failureDomain)
 		.map(member => ({host: member.incarnation.host, hash: hashText(member.incarnation.host)}));
 	return engine => rank(hashText(engine.id), hosts)[0]?.host;
 }
 
 function isReady(state: State, engine: Engine): boolean {
-	const {report, reachable} = view(state, engine.id);
+	const {report, reachable} = getView(state, engine.id);
 	return reachable && report?.ready === true;
 }
 
 function isLoading(state: State, engine: Engine): boolean {
-	const {report, reachable} = view(state, engine.id);
+	const {report, reachable} = getView(state, engine.id);
 	return reachable && report?.ready === false;
 }
 
@@ -66,7 +66,7 @@
  * @returns Whether its last report shows that it holds, or is loading, something other than its target.
  */
 export function isOffTarget(state: State, engine: Engine): boolean {
-	const {report} = view(state, engine.id);
+	const {report} = getView(state, engine.id);
 	return engine.target !== undefined && report !== undefined && !isSameTarget(report.loading ?? report.current, engine.target);
 }
 
--- a/src/core/features/polling/feature.ts
+++ b/src/core/features/polling/feature.ts
@@ -5,7 +5,7 @@
 import {type Feature, type State, type Step} from '../../types/state.js';
 import {withoutEffects} from '../../utils/common.js';
 import {listLivePeers} from '../membership/queries.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 import {type DatedReport} from './types.js';
 
 /** Interval between two publications to at most `maxFrequentPeers` peers, and to more. */
@@ -65,7 +65,7 @@
 
 /** Skips reports older than the current one, which could restore an earlier incarnation of the engine. */
 function handleReports(state: State, reports: readonly Report[], now: number): Step {
-	const newer = reports.filter(report => now - report.age > (view(state, report.upstream).reportedAt ?? Number.NEGATIVE_INFINITY));
+	const newer = reports.filter(report => now - report.age > (getView(state, report.upstream).reportedAt ?? Number.NEGATIVE_INFINITY));
 	return {
 		state,
 		effects: newer.map((report): Effect => {
--- a/src/core/features/polling/queries.ts
+++ b/src/core/features/polling/queries.ts
@@ -3,7 +3,7 @@
 import {type State} from '../../types/state.js';
 import {selectTopRanked, hashText} from '../../utils/hashes.js';
 import {listServingHosts} from '../membership/queries.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 
 /** A host polls an engine that another host should poll once its last report is older than this. */
 const overdueAgeMs = 5000;
@@ -12,7 +12,7 @@
  * @param state - Core state.
  * @returns Engines of this host's own failure domain.
  */
-export function ownEngines(state: State): readonly Engine[] {
+export function getOwnEngines(state: State): readonly Engine[] {
 	return (state.configuration.inForce?.upstreams ?? [])
 		.filter(upstream => upstream.kind === 'engine')
 		.filter(engine => engine.failureDomain === state.self.failureDomain);
@@ -27,11 +27,11 @@
  * @param interval - Polling interval of an engine, in milliseconds.
  * @returns Engines to poll now, oldest report first.
  */
-export function readingsDue(state: State, now: number, interval: number): readonly Engine[] {
+export function findEnginesDue(state: State, now: number, interval: number): readonly Engine[] {
 	const hosts = listServingHosts(state, state.self.failureDomain)
 		.map(({incarnation}) => ({host: incarnation.host, hash: hashText(incarnation.host)}));
-	const due = ownEngines(state)
-		.map(engine => ({engine, age: now - (view(state, engine.id).reportedAt ?? Number.NEGATIVE_INFINITY)}))
+	const due = getOwnEngines(state)
+		.map(engine => ({engine, age: now - (getView(state, engine.id).reportedAt ?? Number.NEGATIVE_INFINITY)}))
 		.filter(({engine, age}) => {
 			const [poller] = selectTopRanked(hashText(engine.id), hosts, 1);
 			const isPoller = poller === undefined || poller.host === state.self.incarnation.host;
--- a/src/core/features/prefixes/queries.ts
+++ b/src/core/features/prefixes/queries.ts
@@ -19,7 +19,7 @@
  * @param request - Request.
  * @returns Prompt tokens believed to be cached, by upstream, longest match first; upstreams with none are absent.
  */
-export function cachedTokens(state: State, request: Request): ReadonlyMap<string, number> {
+export function findCachedTokens(state: State, request: Request): ReadonlyMap<string, number> {
 	const found = new Map<string, number>();
 	const {blocks, promptTokens} = request;
 	const perBlock = promptTokens / Math.max(blocks.length, 1);
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -4,10 +4,10 @@
 import {type Request} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {findOrganisation, findService} from '../../configuration/queries.js';
-import {fill} from '../../groups/queries.js';
-import {limitedFor} from '../../limits/queries.js';
+import {maxFillRatio} from '../../groups/queries.js';
+import {getLimitDelay} from '../../limits/queries.js';
 import {isServing} from '../../membership/queries.js';
-import {footprint, needsGroup} from '../../routing/queries.js';
+import {estimateFootprint, needsGroup} from '../../routing/queries.js';
 import {upstreamsFor} from '../../takeover/queries.js';
 import {predict, type Prediction} from '../prediction.js';
 import {getQueue, queueLength} from '../queries.js';
@@ -52,10 +52,10 @@
 
 	let memory = 0;
 	for (const each of upstreamsFor(state, request)) {
-		memory += each.kind === 'engine' ? Math.floor(each.memory * fill) : 0;
+		memory += each.kind === 'engine' ? Math.floor(each.memory * maxFillRatio) : 0;
 	}
 
-	return memory < footprint(state, request);
+	return memory < estimateFootprint(state, request);
 }
 
 function createAdmission(request: Request, prediction: Prediction, now: number): Admission {
@@ -110,7 +110,7 @@
 		return refuseWith(state, request, refusal, 'no right to run');
 	}
 
-	const retryAfter = limitedFor(state, request, now);
+	const retryAfter = getLimitDelay(state, request, now);
 	if (retryAfter > 0) {
 		return refuseWith(state, request, 'organisationLimit', 'at its limit', retryAfter);
 	}
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -8,20 +8,20 @@
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {findService, findUpstream as configured} from '../../configuration/queries.js';
-import {mayRetry} from '../../retries/queries.js';
-import {classOf} from '../../routing/segments.js';
+import {canRetry} from '../../retries/queries.js';
+import {getLengthClass} from '../../routing/segments.js';
 import {type Choice} from '../../routing/types.js';
 import {isConvicted} from '../../suspicion/queries.js';
 import {dispatchRefusal} from '../../tickets/queries.js';
-import {view} from '../../upstreams/queries.js';
-import {estimate} from '../../work/queries.js';
+import {getView} from '../../upstreams/queries.js';
+import {estimateWork} from '../../work/queries.js';
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
 import {conclude, putAdmission, toOutcome} from './conclude.js';
 import {dequeue, enqueue} from './lanes.js';
 
 function lengthClassOf(state: State, request: Request): LengthClass {
-	return classOf(findService(state, request.service), request.promptTokens);
+	return getLengthClass(findService(state, request.service), request.promptTokens);
 }
 
 const lengthRank: Readonly<Record<LengthClass, number>> = {short: 0, middle: 1, long: 2};
@@ -48,8 +48,8 @@
 		request: request.id,
 		upstream: choice.upstream.id,
 		began: now,
-		upstreamIncarnation: view(state, choice.upstream.id).report?.incarnation,
-		...estimate(state, request, choice.cached),
+		upstreamIncarnation: getView(state, choice.upstream.id).report?.incarnation,
+		...estimateWork(state, request, choice.cached),
 		ahead: choice.ahead,
 		length: lengthClassOf(state, request),
 		parts: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
@@ -171,7 +171,7 @@
 	}
 
 	const {attempt} = admission.progress;
-	const isRetried = mayRetry(state, admission.request, attempt, ending, admission.attempts, now);
+	const isRetried = canRetry(state, admission.request, attempt, ending, admission.attempts, now);
 	return chain(
 		state,
 		current => removeAttempt(current, admission, attempt, ending),
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -3,7 +3,7 @@
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {findService} from '../../configuration/queries.js';
-import {mayFormGroup} from '../../groups/queries.js';
+import {canFormGroup} from '../../groups/queries.js';
 import {route} from '../../routing/queries.js';
 import {getQueue, selectNext} from '../queries.js';
 import {
@@ -31,7 +31,7 @@
 
 function sendOrSpill(state: State, requestedService: Service, admission: Admission, context: Context): Step | undefined {
 	const found = route(state, {
-		request: admission.request, wanted: requestedService, failureDomain: state.self.failureDomain, avoided: admission.failedUpstreams,
+		request: admission.request, requestedService: requestedService, failureDomain: state.self.failureDomain, failedUpstreams: admission.failedUpstreams,
 	}, context);
 	if (found.type === 'send') {
 		return send(state, admission, found.choice, context);
@@ -44,7 +44,7 @@
 
 function requestGroup(state: State, admission: Admission, {now}: Context): Step | undefined {
 	const {request} = admission;
-	return mayFormGroup(state, request.service, now)
+	return canFormGroup(state, request.service, now)
 		? {
 			state: putAdmission(dequeue(state, admission), {...admission, progress: {type: 'holding', since: now}}),
 			effects: [{type: 'raise', event: {type: 'group-wanted', request}}],
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -3,8 +3,8 @@
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {findUpstream as configured} from '../../configuration/queries.js';
-import {outstanding, view} from '../../upstreams/queries.js';
-import {prefillRate} from '../../work/queries.js';
+import {estimateOutstanding, getView} from '../../upstreams/queries.js';
+import {getPrefillRate} from '../../work/queries.js';
 import {send} from './attempts.js';
 import {putAdmission} from './conclude.js';
 import {enqueue} from './lanes.js';
@@ -23,7 +23,7 @@
 		return withoutEffects(state);
 	}
 
-	const work = outstanding(view(state, upstream.id), context.now, prefillRate(state, upstream));
+	const work = estimateOutstanding(getView(state, upstream.id), context.now, getPrefillRate(state, upstream));
 	return send(state, admission, {
 		upstream,
 		cached: 0,
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -2,9 +2,9 @@
 import {type FailureDomain} from '../../../types/configuration.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
 import {listDomainUpstreams, findService} from '../../configuration/queries.js';
-import {draw} from '../../routing/candidates.js';
+import {sample} from '../../routing/candidates.js';
 import {route} from '../../routing/queries.js';
-import {view} from '../../upstreams/queries.js';
+import {getView} from '../../upstreams/queries.js';
 import {type Admission} from '../types.js';
 import {send} from './attempts.js';
 
@@ -16,13 +16,13 @@
 	const domains = state.configuration.inForce?.failureDomains ?? [];
 	const region = domains.find(each => each.id === state.self.failureDomain)?.region;
 	const otherDomains = domains.filter(each => each.id !== state.self.failureDomain);
-	return draw(otherDomains, otherDomains.length, context)
+	return sample(otherDomains, otherDomains.length, context)
 		.toSorted((a, b) => Number(b.region === region) - Number(a.region === region));
 }
 
 function hasSpillRoom(state: State, id: string, failureDomain: string): boolean {
 	const upstreams = listDomainUpstreams(state, id, failureDomain);
-	const running = upstreams.reduce((sum, each) => sum + view(state, each.id).requests, 0);
+	const running = upstreams.reduce((sum, each) => sum + getView(state, each.id).requests, 0);
 	return running < Math.max(upstreams.length * maxSpillsPerUpstream, 1);
 }
 
@@ -46,7 +46,7 @@
 		}
 
 		const found = route(state, {
-			request, wanted: requestedService, failureDomain: domain.id, avoided: admission.failedUpstreams,
+			request, requestedService: requestedService, failureDomain: domain.id, failedUpstreams: admission.failedUpstreams,
 		}, context);
 		if (found.type === 'send') {
 			const choice = {...found.choice, reason: `spilled to ${domain.id}: ${found.choice.reason}`};
--- a/src/core/features/requests/prediction.ts
+++ b/src/core/features/requests/prediction.ts
@@ -3,16 +3,16 @@
 import {type Request} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {findOrganisation, findService} from '../configuration/queries.js';
-import {fill} from '../groups/queries.js';
+import {maxFillRatio} from '../groups/queries.js';
 import {isLegacy, upstreamsFor} from '../takeover/queries.js';
 import {listServingHosts} from '../membership/queries.js';
-import {cachedTokens} from '../prefixes/queries.js';
+import {findCachedTokens} from '../prefixes/queries.js';
 import {isUsable} from '../routing/candidates.js';
 import {needsGroup} from '../routing/queries.js';
-import {classOf, segments} from '../routing/segments.js';
-import {outstanding, view} from '../upstreams/queries.js';
+import {getLengthClass, computeSegments} from '../routing/segments.js';
+import {estimateOutstanding, getView} from '../upstreams/queries.js';
 import {
-	cautiousDecodeTime, cautiousPrefillTime, decodeTime, estimate, prefillRate, prefillTime,
+	estimateConservativeDecodeTime, estimateConservativePrefillTime, estimateDecodeTime, estimateWork, getPrefillRate, estimatePrefillTime,
 } from '../work/queries.js';
 import {getQueue} from './queries.js';
 import {type OrganisationBacklog, type Queue, type QueueName} from './types.js';
@@ -33,7 +33,7 @@
 };
 
 function queueNameOf(state: State, request: Request): QueueName {
-	return needsGroup(state, request) ? 'group' : classOf(findService(state, request.service), request.promptTokens);
+	return needsGroup(state, request) ? 'group' : getLengthClass(findService(state, request.service), request.promptTokens);
 }
 
 /** Returns the upstreams that serve the requests of a queue. */
@@ -41,7 +41,7 @@
 	const requestedService = findService(state, request.service);
 	const all = upstreamsFor(state, request);
 	const isSplit = requestedService?.kind === 'model' && requestedService.policy === 'cost' && name !== 'group' && !isLegacy(state, request);
-	const assigned = isSplit ? segments(state, requestedService, all, now)[name] : all;
+	const assigned = isSplit ? computeSegments(state, requestedService, all, now)[name] : all;
 	const usable = assigned.filter(each => isUsable(state, each, now));
 	return usable.length === 0 ? all.filter(each => isUsable(state, each, now)) : usable;
 }
@@ -78,8 +78,8 @@
 function timeUntilFree(state: State, upstreams: readonly Upstream[], name: QueueName, now: number): number {
 	let earliest = Number.POSITIVE_INFINITY;
 	for (const each of upstreams) {
-		const work = outstanding(view(state, each.id), now, prefillRate(state, each));
-		earliest = Math.min(earliest, prefillTime(state, each, name === 'short' ? work.urgent : work.prefill));
+		const work = estimateOutstanding(getView(state, each.id), now, getPrefillRate(state, each));
+		earliest = Math.min(earliest, estimatePrefillTime(state, each, name === 'short' ? work.urgent : work.prefill));
 	}
 
 	return Number.isFinite(earliest) ? earliest : 0;
@@ -91,7 +91,7 @@
 
 /** Returns how many engines prefill segments of the prompt in parallel. */
 function countEngines(typical: Upstream, prefill: number): number {
-	return typical.kind === 'engine' ? Math.max(Math.floor(prefill / (typical.memory * fill)), 1) : 1;
+	return typical.kind === 'engine' ? Math.max(Math.floor(prefill / (typical.memory * maxFillRatio)), 1) : 1;
 }
 
 /** Returns the number of upstreams that each serving host of the failure domain can count on, since they share them. */
@@ -112,18 +112,18 @@
 		return undefined;
 	}
 
-	const cached = Math.max(0, ...cachedTokens(state, request).values());
-	const {prefill, decode} = estimate(state, request, cached);
+	const cached = Math.max(0, ...findCachedTokens(state, request).values());
+	const {prefill, decode} = estimateWork(state, request, cached);
 	const engines = name === 'group' ? countEngines(typical, prefill) : 1;
-	const prefilling = prefillTime(state, typical, prefill) / engines;
-	const cautiousPrefilling = cautiousPrefillTime(state, typical, prefill) / engines;
-	const decoding = decodeTime(state, typical, decode);
+	const prefilling = estimatePrefillTime(state, typical, prefill) / engines;
+	const cautiousPrefilling = estimateConservativePrefillTime(state, typical, prefill) / engines;
+	const decoding = estimateDecodeTime(state, typical, decode);
 	const cost = prefilling + (decoding / batchSizeOf(typical));
 	const queued = queuedBefore(state, getQueue(state, request.service, name), request);
 	return {
 		queue: name,
 		cost,
-		run: (cautiousPrefilling + cautiousDecodeTime(state, request, typical)) * runTimeMargin,
+		run: (cautiousPrefilling + estimateConservativeDecodeTime(state, request, typical)) * runTimeMargin,
 		wait: (timeUntilFree(state, upstreams, name, now) + (queued / capacityPerHost(state, upstreams))) * waitTimeMargin,
 	};
 }
--- a/src/core/features/retries/queries.ts
+++ b/src/core/features/retries/queries.ts
@@ -4,7 +4,7 @@
 import {assertNever} from '../../utils/common.js';
 import {codes} from '../../errors.js';
 import {findService, findUpstream} from '../configuration/queries.js';
-import {estimate, prefillTime} from '../work/queries.js';
+import {estimateWork, estimatePrefillTime} from '../work/queries.js';
 
 /** Attempts of one request, including the first. */
 const maxAttempts = 3;
@@ -49,7 +49,7 @@
 
 function hasTime(state: State, request: Request, attempt: Attempt, now: number): boolean {
 	const target = findUpstream(state, attempt.upstream);
-	const minDuration = target === undefined ? 0 : prefillTime(state, target, estimate(state, request).prefill);
+	const minDuration = target === undefined ? 0 : estimatePrefillTime(state, target, estimateWork(state, request).prefill);
 	return now + minDuration < request.deadline;
 }
 
@@ -62,7 +62,7 @@
  * @param now - Time in milliseconds.
  * @returns Whether the request may be sent again.
  */
-export function mayRetry(state: State, request: Request, attempt: Attempt, ending: Ending, attempts: number, now: number): boolean {
+export function canRetry(state: State, request: Request, attempt: Attempt, ending: Ending, attempts: number, now: number): boolean {
 	return isSafeToRepeat(request, attempt, ending)
 		&& attempts < maxAttempts
 		&& getBudget(state, request.service) >= 1
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -6,11 +6,11 @@
 import {canAttempt} from '../circuits/queries.js';
 import {isStopping} from '../stops/queries.js';
 import {canRunAt} from '../suspicion/queries.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 import {
 	isIdle, assessUpstream, type Prompt, type Assessment,
 } from './score.js';
-import {getModelLengthClass, segments} from './segments.js';
+import {getModelLengthClass, computeSegments} from './segments.js';
 import {type Search} from './types.js';
 
 /** A segment of at most this many engines is scored whole; of a larger one, this many are sampled. */
@@ -38,8 +38,8 @@
  * @returns Whether it is reachable, ready and not stopping; an upstream without a report counts as ready.
  */
 export function isUp(state: State, upstream: Upstream): boolean {
-	const known = view(state, upstream.id);
-	return known.reachable && known.report?.ready !== false && !isStopping(state, upstream.id);
+	const upstreamView = getView(state, upstream.id);
+	return upstreamView.reachable && upstreamView.report?.ready !== false && !isStopping(state, upstream.id);
 }
 
 /**
@@ -53,10 +53,10 @@
  * @returns Upstreams that can take the request; empty if there are none.
  */
 export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
-	const {request, avoided} = search;
+	const {request, failedUpstreams: failedUpstreams} = search;
 	const available = upstreams.filter(each => isUp(state, each) && canRunAt(state, request, each.id, context));
 	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
-	const untried = allowed.filter(each => !avoided.includes(each.id));
+	const untried = allowed.filter(each => !failedUpstreams.includes(each.id));
 	return [untried, allowed, available].find(each => each.length > 0) ?? [];
 }
 
@@ -66,7 +66,7 @@
  * @param context - Random source.
  * @returns Up to `size` items without repeats, in random order.
  */
-export function draw<T>(items: readonly T[], size: number, context: Context): readonly T[] {
+export function sample<T>(items: readonly T[], size: number, context: Context): readonly T[] {
 	const remaining = [...items];
 	const sampled: T[] = [];
 	while (sampled.length < size && remaining.length > 0) {
@@ -127,7 +127,7 @@
 
 /** Samples engines of longer prompts: any for a short prompt, which has precedence there, only idle ones for a middle one. */
 function sampleLongerSegments(search: EngineSearch, engines: readonly Upstream[]): readonly Assessment[] {
-	return draw(engines, borrowedSampleSize, search.context)
+	return sample(engines, borrowedSampleSize, search.context)
 		.map(each => assessFor(search, each))
 		.filter(each => each.length === 'short' || isIdle(each));
 }
@@ -157,12 +157,12 @@
 export function findEngineCandidates(search: EngineSearch): readonly Assessment[] {
 	const {state, requestedService, request, context} = search;
 	const usableIds = new Map(search.usable.map(each => [each.id, each]));
-	const engineSegments = segments(state, requestedService, search.all, context.now);
+	const engineSegments = computeSegments(state, requestedService, search.all, context.now);
 	const {length} = search.prompt;
 	const filterUsable = (engines: readonly Upstream[]) => engines.filter(each => usableIds.has(each.id));
 	const dedicated = filterUsable(engineSegments[length]);
 	const eligible = dedicated.length === 0 ? search.usable : dedicated;
-	const sampled = eligible.length <= sampleSize ? eligible : [...findHomes(request, eligible), ...draw(eligible, sampleSize, context)];
+	const sampled = eligible.length <= sampleSize ? eligible : [...findHomes(request, eligible), ...sample(eligible, sampleSize, context)];
 	const longer = {short: [...engineSegments.middle, ...engineSegments.long], middle: engineSegments.long, long: []}[length];
 	const assessments = [
 		...sampled.map(each => assessFor(search, each)),
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -4,15 +4,15 @@
 import {type Context, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {listDomainUpstreams, findService} from '../configuration/queries.js';
-import {cachedTokens} from '../prefixes/queries.js';
+import {findCachedTokens} from '../prefixes/queries.js';
 import {isLegacy, upstreamsFor} from '../takeover/queries.js';
-import {view} from '../upstreams/queries.js';
+import {getView} from '../upstreams/queries.js';
 import {estimateOutput} from '../work/queries.js';
-import {draw, findEngineCandidates, findUsable} from './candidates.js';
+import {sample, findEngineCandidates, findUsable} from './candidates.js';
 import {
 	countTokensAhead, hasRoom, assessUpstream, scoreUpstream, type Prompt, type Assessment,
 } from './score.js';
-import {classOf} from './segments.js';
+import {getLengthClass} from './segments.js';
 import {type Choice, type Route, type Search} from './types.js';
 
 /** Candidates written to the decision log. */
@@ -26,7 +26,7 @@
  * @param request - Request.
  * @returns KV memory that the request will need, in tokens.
  */
-export function footprint(state: State, request: Request): number {
+export function estimateFootprint(state: State, request: Request): number {
 	return request.promptTokens + estimateOutput(state, request);
 }
 
@@ -65,42 +65,42 @@
 };
 
 function describePrompt(state: State, search: Search): Prompt {
-	const {request, wanted} = search;
+	const {request, requestedService: requestedService} = search;
 	return {
 		tokens: request.promptTokens,
-		length: classOf(wanted, request.promptTokens),
-		cached: wanted.kind === 'model' ? cachedTokens(state, request) : new Map(),
+		length: getLengthClass(requestedService, request.promptTokens),
+		cached: requestedService.kind === 'model' ? findCachedTokens(state, request) : new Map(),
 	};
 }
 
 function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: Context): Choice | undefined {
-	const {request, wanted} = search;
+	const {request, requestedService: requestedService} = search;
 	const prompt = describePrompt(state, search);
-	if (wanted.kind === 'plain' || isLegacy(state, request)) {
-		const assessments = draw(usable, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
-		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), wanted, 'least work of those sampled');
+	if (requestedService.kind === 'plain' || isLegacy(state, request)) {
+		const assessments = sample(usable, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
+		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), requestedService, 'least work of those sampled');
 	}
 
 	const assessments = findEngineCandidates({
-		state, request, requestedService: wanted, all, usable, prompt, context,
+		state, request, requestedService: requestedService, all, usable, prompt, context,
 	});
-	const needed = footprint(state, request);
-	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), wanted, 'lowest cost');
+	const needed = estimateFootprint(state, request);
+	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), requestedService, 'lowest cost');
 }
 
 /** Baseline policies ignore whether the upstream has room: requests queue at the upstream instead of at the host. */
 function chooseBaseline(state: State, search: Search, upstream: Upstream | undefined, {now}: Context): Choice | undefined {
 	const assessments = upstream === undefined ? [] : [assessUpstream(state, upstream, describePrompt(state, search), now)];
-	return chooseBest(state, assessments, search.wanted, search.wanted.policy);
+	return chooseBest(state, assessments, search.requestedService, search.requestedService.policy);
 }
 
 function findLeastLoaded(state: State, upstreams: readonly Upstream[], context: Context): Upstream | undefined {
-	return draw(upstreams, upstreams.length, context)
-		.toSorted((a, b) => view(state, a.id).requests - view(state, b.id).requests)[0];
+	return sample(upstreams, upstreams.length, context)
+		.toSorted((a, b) => getView(state, a.id).requests - getView(state, b.id).requests)[0];
 }
 
 function choose(state: State, search: Search, upstreams: SearchedUpstreams, context: Context): Choice | undefined {
-	const {policy} = search.wanted;
+	const {policy} = search.requestedService;
 	const {usable} = upstreams;
 	switch (policy) {
 		case 'cost': {
@@ -108,11 +108,11 @@
 		}
 
 		case 'random': {
-			return chooseBaseline(state, search, draw(usable, 1, context)[0], context);
+			return chooseBaseline(state, search, sample(usable, 1, context)[0], context);
 		}
 
 		case 'round-robin': {
-			const turn = state.routing.turns.get(search.wanted.id) ?? 0;
+			const turn = state.routing.turns.get(search.requestedService.id) ?? 0;
 			return chooseBaseline(state, search, usable[turn % usable.length], context);
 		}
 
@@ -127,12 +127,12 @@
 }
 
 /** Lists the upstreams of the search's failure domain. Legacy requests run only at legacy upstreams of this domain. */
-function listUpstreams(state: State, {request, wanted, failureDomain}: Search): readonly Upstream[] {
+function listUpstreams(state: State, {request, requestedService: requestedService, failureDomain}: Search): readonly Upstream[] {
 	if (failureDomain === state.self.failureDomain) {
 		return upstreamsFor(state, request);
 	}
 
-	return isLegacy(state, request) ? [] : listDomainUpstreams(state, wanted.id, failureDomain);
+	return isLegacy(state, request) ? [] : listDomainUpstreams(state, requestedService.id, failureDomain);
 }
 
 /**
@@ -143,7 +143,7 @@
  */
 export function route(state: State, search: Search, context: Context): Route {
 	const all = listUpstreams(state, search);
-	const needed = footprint(state, search.request);
+	const needed = estimateFootprint(state, search.request);
 	const fitting = all.filter(each => canFit(each, needed));
 	const usable = findUsable(state, fitting, search, context);
 	if (usable.length === 0) {
@@ -165,7 +165,7 @@
 		return false;
 	}
 
-	const needed = footprint(state, request);
+	const needed = estimateFootprint(state, request);
 	const engines = upstreamsFor(state, request)
 		.filter((each): each is Engine => each.kind === 'engine');
 	return engines.length > 0 && engines.every(each => each.memory < needed);
--- a/src/core/features/routing/score.ts
+++ b/src/core/features/routing/score.ts
@@ -3,9 +3,9 @@
 import {type LengthClass} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
-import {outstanding, view} from '../upstreams/queries.js';
+import {estimateOutstanding, getView} from '../upstreams/queries.js';
 import {type UpstreamView, type Work} from '../upstreams/types.js';
-import {decodeTime, prefillRate} from '../work/queries.js';
+import {estimateDecodeTime, getPrefillRate} from '../work/queries.js';
 
 /**
  * Size of the chunks in which engines prefill a prompt; a chunk is not interrupted. An engine is sent more work while it has
@@ -44,13 +44,13 @@
  * @returns The assessment of the upstream for this prompt.
  */
 export function assessUpstream(state: State, upstream: Upstream, prompt: Prompt, now: number): Assessment {
-	const rate = prefillRate(state, upstream);
-	const known = view(state, upstream.id);
+	const rate = getPrefillRate(state, upstream);
+	const known = getView(state, upstream.id);
 	const cached = prompt.cached.get(upstream.id) ?? 0;
 	return {
 		upstream,
 		known,
-		work: outstanding(known, now, rate),
+		work: estimateOutstanding(known, now, rate),
 		cached,
 		prefill: Math.max(prompt.tokens - cached, 1),
 		length: prompt.length,
@@ -112,7 +112,7 @@
 	const wait = countTokensAhead(assessment) * 1000 / rate;
 	const ownPrefillTime = prefill * 1000 / rate;
 	const interference = ownPrefillTime * known.waiting;
-	const batchDelay = work.requests * decodeTime(state, upstream, 1);
+	const batchDelay = work.requests * estimateDecodeTime(state, upstream, 1);
 	return (requestedService.weights.firstToken * (wait + ownPrefillTime)) + (requestedService.weights.slowdown * interference) + wait + batchDelay;
 }
 
@@ -128,5 +128,5 @@
 export function scoreUpstream(state: State, assessment: Assessment, requestedService: Service): number {
 	return requestedService.kind === 'model'
 		? scoreEngine(state, assessment, requestedService)
-		: assessment.work.requests * decodeTime(state, assessment.upstream, 1);
+		: assessment.work.requests * estimateDecodeTime(state, assessment.upstream, 1);
 }
--- a/src/core/features/routing/segments.ts
+++ b/src/core/features/routing/segments.ts
@@ -49,7 +49,7 @@
  * @param promptTokens - Length of a prompt.
  * @returns Its length class; always `short` for a plain or unknown service.
  */
-export function classOf(requestedService: Service | undefined, promptTokens: number): LengthClass {
+export function getLengthClass(requestedService: Service | undefined, promptTokens: number): LengthClass {
 	return requestedService?.kind === 'model' ? getModelLengthClass(requestedService, promptTokens) : 'short';
 }
 
@@ -58,7 +58,7 @@
  * @param now - Time in milliseconds.
  * @returns Arrival rates of this host by service and length, as published to peers.
  */
-export function ownMixes(state: State, now: number): readonly Mix[] {
+export function getOwnMixes(state: State, now: number): readonly Mix[] {
 	return [...state.routing.arrivals.entries()].map(([service, arrivals]) => ({
 		service,
 		short: Math.round(getRatePerSecond(arrivals.short, now, arrivalWindowMs)),
@@ -136,7 +136,7 @@
  * @param now - Time in milliseconds.
  * @returns Engines by the length of the prompts that they are reserved for.
  */
-export function segments(state: State, requestedService: ModelService, upstreams: readonly Upstream[], now: number): Segments {
+export function computeSegments(state: State, requestedService: ModelService, upstreams: readonly Upstream[], now: number): Segments {
 	const engines = rankEngines(requestedService, upstreams);
 	if (engines.length < minSegmentedEngines) {
 		return {short: engines, middle: engines, long: engines.slice(0, 1)};
--- a/src/core/features/routing/types.ts
+++ b/src/core/features/routing/types.ts
@@ -22,11 +22,11 @@
 /** A search for an upstream that can take a request. */
 export type Search = {
 	readonly request: Request;
-	readonly wanted: Service;
+	readonly requestedService: Service;
 	/** Domain whose upstreams are searched. */
 	readonly failureDomain: string;
 	/** Upstreams where the request failed before. */
-	readonly avoided: readonly string[];
+	readonly failedUpstreams: readonly string[];
 };
 
 /** An upstream chosen for a request. */
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -5,8 +5,8 @@
 import {type Report} from '../../types/upstream.js';
 import {type State} from '../../types/state.js';
 import {findUpstream as configured} from '../configuration/queries.js';
-import {prefillRate} from '../work/queries.js';
-import {view, estimatePrefilled} from './queries.js';
+import {getPrefillRate} from '../work/queries.js';
+import {getView, estimatePrefilled} from './queries.js';
 import {type UpstreamView, type Work} from './types.js';
 
 const noLoads: Table<string, Load> = Table();
@@ -17,12 +17,12 @@
 
 function findPrefillRate(state: State, upstream: string): number {
 	const found = configured(state, upstream);
-	return found === undefined ? 0 : prefillRate(state, found);
+	return found === undefined ? 0 : getPrefillRate(state, found);
 }
 
 /** Brings `prefilled` up to date, which must be done before work is added or removed. */
 function updatePrefilled(state: State, upstream: string, now: number): UpstreamView {
-	const before = view(state, upstream);
+	const before = getView(state, upstream);
 	const done = estimatePrefilled(before, now, findPrefillRate(state, upstream));
 	return {...before, prefilled: Math.min(done, before.prefill), prefilledAsOf: now};
 }
@@ -105,7 +105,7 @@
 export function endWork(state: State, request: Request, attempt: Attempt, now: number): State {
 	let next = attempt.firstFrame === undefined ? finishPrefill(state, attempt, now) : state;
 	for (const {upstream} of getPrefillParts(attempt)) {
-		const before = view(next, upstream);
+		const before = getView(next, upstream);
 		const isDecoder = upstream === attempt.upstream;
 		next = setView(next, {
 			...before,
@@ -143,7 +143,7 @@
  * @returns The next state.
  */
 export function markUnreachable(state: State, upstream: string): State {
-	return setView(state, {...view(state, upstream), reachable: false});
+	return setView(state, {...getView(state, upstream), reachable: false});
 }
 
 function adjustPeerLoad(state: State, load: Load, sign: 1 | -1, now: number): State {
--- a/src/core/features/upstreams/feature.ts
+++ b/src/core/features/upstreams/feature.ts
@@ -6,10 +6,10 @@
 import {
 	beginWork, updatePeerLoads, endWork, finishPrefill, markUnreachable, applyReport,
 } from './commands.js';
-import {view} from './queries.js';
+import {getView} from './queries.js';
 
 function handleReport(state: State, received: Report, now: number): Step {
-	const known = view(state, received.upstream).report?.incarnation;
+	const known = getView(state, received.upstream).report?.incarnation;
 	const next = applyReport(state, received, now);
 	if (known === undefined || known === received.incarnation) {
 		return withoutEffects(next);
--- a/src/core/features/upstreams/queries.ts
+++ b/src/core/features/upstreams/queries.ts
@@ -13,7 +13,7 @@
  * @param upstream - Upstream.
  * @returns The view; an empty one if nothing is known of the upstream.
  */
-export function view(state: State, upstream: string): UpstreamView {
+export function getView(state: State, upstream: string): UpstreamView {
 	return state.upstreams.views.get(upstream) ?? {
 		upstream,
 		requests: 0,
@@ -67,7 +67,7 @@
  * @param rate - Prefill tokens per second there.
  * @returns Requests in flight, and the prefill and decode tokens that remain.
  */
-export function outstanding(view: UpstreamView, now: number, rate: number): Work {
+export function estimateOutstanding(view: UpstreamView, now: number, rate: number): Work {
 	const isFresh = view.reportedAt !== undefined && now - view.reportedAt <= maxReportAgeMs;
 	return {
 		requests: view.requests + view.peers.requests + (isFresh ? view.unattributed.requests : 0),
--- a/src/core/features/work/queries.ts
+++ b/src/core/features/work/queries.ts
@@ -28,7 +28,7 @@
  * @param upstream - Upstream.
  * @returns Prefill tokens per second, measured or configured; practically unlimited for an upstream that has no prefill.
  */
-export function prefillRate(state: State, upstream: Upstream): number {
+export function getPrefillRate(state: State, upstream: Upstream): number {
 	switch (upstream.kind) {
 		case 'engine': {
 			return state.work.speeds.get(upstream.id)?.prefill?.value ?? upstream.prefillRate;
@@ -51,8 +51,8 @@
  * @param tokens - Prefill tokens.
  * @returns Expected duration of the prefill, in milliseconds.
  */
-export function prefillTime(state: State, upstream: Upstream, tokens: number): number {
-	return tokens * 1000 / prefillRate(state, upstream);
+export function estimatePrefillTime(state: State, upstream: Upstream, tokens: number): number {
+	return tokens * 1000 / getPrefillRate(state, upstream);
 }
 
 /**
@@ -61,8 +61,8 @@
  * @param tokens - Prefill tokens.
  * @returns Conservative duration of the prefill, in milliseconds, since other prompts slow it down at times.
  */
-export function cautiousPrefillTime(state: State, upstream: Upstream, tokens: number): number {
-	const rate = prefillRate(state, upstream);
+export function estimateConservativePrefillTime(state: State, upstream: Upstream, tokens: number): number {
+	const rate = getPrefillRate(state, upstream);
 	const spread = state.work.speeds.get(upstream.id)?.prefill?.spread ?? 0;
 	return tokens * 1000 / Math.max(rate - spread, rate * minRateShare);
 }
@@ -73,7 +73,7 @@
  * @param tokens - Tokens of an answer.
  * @returns Time from its first to its last token, or of the whole call at an upstream that is not an engine, in milliseconds.
  */
-export function decodeTime(state: State, upstream: Upstream, tokens: number): number {
+export function estimateDecodeTime(state: State, upstream: Upstream, tokens: number): number {
 	const speed = state.work.speeds.get(upstream.id);
 	return upstream.kind === 'engine'
 		? tokens * (speed?.interval?.value ?? upstream.decodeInterval)
@@ -109,13 +109,13 @@
  * @param upstream - Upstream.
  * @returns Conservative time from the first to the last token of its answer, in milliseconds.
  */
-export function cautiousDecodeTime(state: State, request: Request, upstream: Upstream): number {
+export function estimateConservativeDecodeTime(state: State, request: Request, upstream: Upstream): number {
 	const {speeds, outputs} = state.work;
 	const expected = estimateOutput(state, request);
 	const longer = expected + (conservativeSpreads * (outputs.get(createOutputKey(request.service))?.spread ?? 0));
 	const tokens = Math.min(longer, request.outputLimit ?? longer);
 	const speed = speeds.get(upstream.id);
-	return decodeTime(state, upstream, tokens)
+	return estimateDecodeTime(state, upstream, tokens)
 		+ (upstream.kind === 'engine' ? tokens * (speed?.interval?.spread ?? 0) : speed?.duration?.spread ?? 0);
 }
 
@@ -125,7 +125,7 @@
  * @param cached - Prompt tokens that the upstream is believed to cache.
  * @returns Expected work at that upstream.
  */
-export function estimate(state: State, request: Request, cached = 0): WorkEstimate {
+export function estimateWork(state: State, request: Request, cached = 0): WorkEstimate {
 	return {
 		prefill: Math.max(request.promptTokens - cached, 1),
 		decode: estimateOutput(state, request),
--- a/src/core/index.ts
+++ b/src/core/index.ts
@@ -10,7 +10,7 @@
 	texts,
 } from './errors.js';
 export type {Code, CodeName} from './errors.js';
-export {ownEngines, readingsDue} from './features/polling/queries.js';
+export {getOwnEngines, findEnginesDue} from './features/polling/queries.js';
 export {keepsAnswer} from './features/tickets/queries.js';
 export {initialState, step} from './step.js';
 export * from './types/configuration.js';
--- a/src/entry/watch/engines.ts
+++ b/src/entry/watch/engines.ts
@@ -3,8 +3,8 @@
  * the number of engines.
  */
 import {
-	ownEngines,
-	readingsDue,
+	getOwnEngines,
+	findEnginesDue,
 	type Engine,
 	type Event,
 	type State,
@@ -57,7 +57,7 @@
 	async #iterate(): Promise<number> {
 		const {clock, interval, state} = this.#options;
 		const now = clock.now();
-		const engine = readingsDue(state(), now, interval)
+		const engine = findEnginesDue(state(), now, interval)
 			.find(({id}) => !this.#busyEngines.has(id) && now - (this.#lastReportRequests.get(id) ?? 0) >= interval);
 		if (engine !== undefined) {
 			this.#lastReportRequests.set(engine.id, now);
@@ -72,7 +72,7 @@
 	}
 
 	#readRoundRobin(iterations: number, read: (engine: Engine) => Promise<void>): void {
-		const engines = ownEngines(this.#options.state());
+		const engines = getOwnEngines(this.#options.state());
 		const engine = engines[(this.#iteration / iterations) % Math.max(engines.length, 1)];
 		if (this.#iteration % iterations === 0 && engine !== undefined) {
 			void this.#runRead(engine, async () => read(engine));
