--- a/bench/fuzz/mutations.ts
+++ b/bench/fuzz/mutations.ts
@@ -72,13 +72,13 @@
 	},
 	{
 		name: 'young hosts vouch for old keys',
-		state: state => state.keys.joined ? withKeys(state, {vouchFrom: 0}) : state,
+		state: state => state.keys.isJoined ? withKeys(state, {knowledgeCompleteFrom: 0}) : state,
 	},
 	{
 		name: 'hosts run keys before they are introduced',
-		state: (state, host) => state.keys.joined
+		state: (state, host) => state.keys.isJoined
 			? state
-			: withKeys(state, {joined: true, vouchFrom: host.member.incarnation.started, acquaintances: state.keys.acquaintances.clear()}),
+			: withKeys(state, {isJoined: true, knowledgeCompleteFrom: host.member.incarnation.started, knownPeers: state.keys.knownPeers.clear()}),
 	},
 	{
 		name: 'answers are given to whoever waits',
--- a/src/core/__tests__/keys.test.ts
+++ b/src/core/__tests__/keys.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {codes, type Event, type State} from '../index.js';
-import {mintedAt} from '../features/keys/queries.js';
+import {parseMintTime} from '../features/keys/queries.js';
 import {keyOf} from '../../../bench/fuzz/callers.js';
 import {
 	applyEvents, contextAt, createMember, createRequest, createServingState, effectsOf,
@@ -25,8 +25,8 @@
 
 describe('an idempotency key without a ticket', () => {
 	it('carries its creation time only as a UUID of version 7', () => {
-		expect(mintedAt(keyOf(contextAt(5).wall, 7))).toBe(contextAt(5).wall);
-		expect(mintedAt('0f8fad5b-d9cb-469f-a165-70867728950e')).toBeUndefined();
+		expect(parseMintTime(keyOf(contextAt(5).wall, 7))).toBe(contextAt(5).wall);
+		expect(parseMintTime('0f8fad5b-d9cb-469f-a165-70867728950e')).toBeUndefined();
 	});
 
 	it('runs after every other host has promised not to run it, and is sealed otherwise', () => {
--- a/src/core/__tests__/regressions.test.ts
+++ b/src/core/__tests__/regressions.test.ts
@@ -1,6 +1,6 @@
 /** Faults found by fuzzing, each reproduced as a fixed scenario. */
 import {describe, expect, it} from 'vitest';
-import {ticketLife} from '../features/tickets/types.js';
+import {ticketLifetimeMs} from '../features/tickets/types.js';
 import {run} from '../../../bench/fuzz/run.js';
 import {isConvicted, isSuspect} from '../features/suspicion/queries.js';
 import {
@@ -88,14 +88,14 @@
 		);
 		const [sent] = effectsOf(ran.effects, 'send');
 		const ended = applyEvents(ran.state, 2, {type: 'attempt-ended', attempt: sent!.attempt, ending: {type: 'done', tokens: 1}});
-		const swept = applyEvents(ended.state, ticketLife, {type: 'tick'});
+		const swept = applyEvents(ended.state, ticketLifetimeMs, {type: 'tick'});
 		const seal: Event = {
 			type: 'peer-message', from: 'a2', message: {
 				type: 'seal', id: 'r2', right: 't/1', expires: ticket.expires, keeper: self.incarnation,
 			},
 		};
 		expect(swept.state.tickets.entries.size).toBe(0);
-		expect(effectsOf(applyEvents(swept.state, ticketLife, seal).effects, 'peer-send')).toMatchObject([{message: {type: 'sealed', answer: {type: 'used'}}}]);
+		expect(effectsOf(applyEvents(swept.state, ticketLifetimeMs, seal).effects, 'peer-send')).toMatchObject([{message: {type: 'sealed', answer: {type: 'used'}}}]);
 	});
 });
 
--- a/src/core/__tests__/takeover.test.ts
+++ b/src/core/__tests__/takeover.test.ts
@@ -2,7 +2,7 @@
 import {
 	type Configuration, type Effect, type Ending, type Request, type Takeover, type Ticket,
 } from '../index.js';
-import {servedBy} from '../features/takeover/queries.js';
+import {findServingSystem} from '../features/takeover/queries.js';
 import {
 	createConfiguration, createMember, createRequest, createServingState,
 } from './fixtures.js';
@@ -32,7 +32,7 @@
 		[[{service: 'other', servedBy: 'legacy'}], 'cranberrytide'],
 	] as const)('is that of the most specific rule (%#)', (takeovers, expected) => {
 		const state = createServingState(createMember('a1'), createTakeoverDocument(1, takeovers));
-		expect(servedBy(state, {service: 'bookings', organisation: 'paper'})).toBe(expected);
+		expect(findServingSystem(state, {service: 'bookings', organisation: 'paper'})).toBe(expected);
 	});
 });
 
--- a/src/core/__tests__/tickets.test.ts
+++ b/src/core/__tests__/tickets.test.ts
@@ -3,8 +3,8 @@
 	codes, type Event, type State, type Ticket,
 } from '../index.js';
 import {isIdle} from '../features/requests/queries.js';
-import {dispatchRefusal, mayDispatch} from '../features/tickets/queries.js';
-import {ticketLife} from '../features/tickets/types.js';
+import {findDispatchRefusal, canDispatch} from '../features/tickets/queries.js';
+import {ticketLifetimeMs} from '../features/tickets/types.js';
 import {
 	applyEvents, contextAt, createMember, createRequest, createServingState, effectsOf,
 } from './fixtures.js';
@@ -78,10 +78,10 @@
 		const {state, ticket} = issueTicket(createServingState(self));
 		const wanted = createRequest('r1', {type: 'ticket', ticket});
 		const {state: running} = applyEvents(state, 1, {type: 'request-arrived', request: wanted});
-		expect(mayDispatch(running, wanted, contextAt(2))).toBe(true);
-		expect(dispatchRefusal(running, wanted, contextAt(ticketLife))).toBe('expiredTicket');
-		expect(mayDispatch(state, wanted, contextAt(2))).toBe(false);
-		const late = applyEvents(state, ticketLife, createArrival('r2', ticket));
+		expect(canDispatch(running, wanted, contextAt(2))).toBe(true);
+		expect(findDispatchRefusal(running, wanted, contextAt(ticketLifetimeMs))).toBe('expiredTicket');
+		expect(canDispatch(state, wanted, contextAt(2))).toBe(false);
+		const late = applyEvents(state, ticketLifetimeMs, createArrival('r2', ticket));
 		expect(effectsOf(late.effects, 'answer')[0]?.outcome).toMatchObject({type: 'unknown', code: codes.expiredTicket});
 	});
 
@@ -103,7 +103,7 @@
 describe('a request whose ticket another host keeps', () => {
 	const keeper = createMember('a2', 5);
 	const ticket: Ticket = {
-		keeper: keeper.incarnation, failureDomain: 'a', address: keeper.callerAddress, sequence: 1, organisation: 'paper', expires: contextAt(ticketLife).wall,
+		keeper: keeper.incarnation, failureDomain: 'a', address: keeper.callerAddress, sequence: 1, organisation: 'paper', expires: contextAt(ticketLifetimeMs).wall,
 	};
 
 	function createLinkedState(): State {
--- a/src/core/features/keys/commands/claims.ts
+++ b/src/core/features/keys/commands/claims.ts
@@ -12,7 +12,7 @@
 import {
 	claimLimit, keyLifetimeMs, waitingPerClaimLimit, type Claim, type ClaimProgress,
 } from '../types.js';
-import {updateKeys} from './acquaintances.js';
+import {updateKeys} from './known-peers.js';
 
 const retryIntervalMs = 100;
 
--- a/src/core/features/keys/commands/acquaintances.ts
+++ b/src/core/features/keys/commands/known-peers.ts
@@ -30,7 +30,7 @@
 
 function putKnownPeer(state: State, knownPeer: KnownPeer): State {
 	const {host} = knownPeer.member.incarnation;
-	return updateKeys(state, {acquaintances: state.keys.acquaintances.set(host, knownPeer)});
+	return updateKeys(state, {knownPeers: state.keys.knownPeers.set(host, knownPeer)});
 }
 
 /**
@@ -41,9 +41,9 @@
  */
 export function addKnownPeer(state: State, member: Member): State {
 	const {host, started} = member.incarnation;
-	const known = state.keys.acquaintances.get(host);
+	const known = state.keys.knownPeers.get(host);
 	const isOld = known !== undefined && known.member.incarnation.started >= started;
-	if (host === state.self.incarnation.host || isOld || (known === undefined && state.keys.acquaintances.size >= knownPeerLimit)) {
+	if (host === state.self.incarnation.host || isOld || (known === undefined && state.keys.knownPeers.size >= knownPeerLimit)) {
 		return state;
 	}
 
@@ -57,7 +57,7 @@
  * @returns The next state.
  */
 export function markEnded(state: State, incarnation: Incarnation): State {
-	const known = state.keys.acquaintances.get(incarnation.host);
+	const known = state.keys.knownPeers.get(incarnation.host);
 	return known === undefined || known.ended || known.member.incarnation.started !== incarnation.started
 		? state
 		: putKnownPeer(state, {...known, ended: true});
@@ -69,7 +69,7 @@
  */
 export function markAnswered(state: State, member: Member): State {
 	const next = addKnownPeer(state, member);
-	const known = next.keys.acquaintances.get(member.incarnation.host);
+	const known = next.keys.knownPeers.get(member.incarnation.host);
 	return known === undefined || known.hasAnswered || known.member.incarnation.started !== member.incarnation.started
 		? next
 		: updateKeys(putKnownPeer(next, {...known, hasAnswered: true}), {rounds: 0});
@@ -91,8 +91,8 @@
  */
 export function handleHandshake(state: State, member: Member, peerDigest: number): Step {
 	const next = addKnownPeer(state, member);
-	const knownPeers = digestKnownPeers(next) === peerDigest ? [] : [...next.keys.acquaintances.values()];
-	const known = next.keys.acquaintances.get(member.incarnation.host);
+	const knownPeers = digestKnownPeers(next) === peerDigest ? [] : [...next.keys.knownPeers.values()];
+	const known = next.keys.knownPeers.get(member.incarnation.host);
 	const isKnown = known?.ended === false && isSameIncarnation(known.member.incarnation, member.incarnation);
 	return isKnown
 		? {
@@ -118,9 +118,9 @@
 		? {...claim, progress: {...claim.progress, isNotRunConfirmed: false}}
 		: claim);
 	return updateKeys(state, {
-		joined: false,
-		vouchFrom: Number.MAX_SAFE_INTEGER,
-		acquaintances: state.keys.acquaintances.map(each => ({...each, hasAnswered: false})),
+		isJoined: false,
+		knowledgeCompleteFrom: Number.MAX_SAFE_INTEGER,
+		knownPeers: state.keys.knownPeers.map(each => ({...each, hasAnswered: false})),
 		claims,
 		rounds: 0,
 		nextHandshakeAt: 0,
@@ -134,7 +134,7 @@
 
 function joinIfReady(state: State, {wall}: Context): State {
 	const isReady = isServing(state) && state.keys.hasHostList && listActivePeers(state).every(each => each.hasAnswered);
-	return !state.keys.joined && isReady ? updateKeys(state, {joined: true, vouchFrom: wall}) : state;
+	return !state.keys.isJoined && isReady ? updateKeys(state, {isJoined: true, knowledgeCompleteFrom: wall}) : state;
 }
 
 /**
--- a/src/core/features/keys/commands/promises.ts
+++ b/src/core/features/keys/commands/promises.ts
@@ -5,7 +5,7 @@
 import {isSameIncarnation} from '../../tickets/queries.js';
 import {canConfirmNotRun, sendToHost} from '../queries.js';
 import {keyLifetimeMs, maxCallerClockLeadMs, type Claim} from '../types.js';
-import {addKnownPeer} from './acquaintances.js';
+import {addKnownPeer} from './known-peers.js';
 import {hasClaimRoom, yieldClaim} from './claims.js';
 
 /** A claim as received from another host. */
@@ -34,7 +34,7 @@
 }
 
 function isOutdated(state: State, claimant: Member): boolean {
-	const known = state.keys.acquaintances.get(claimant.incarnation.host);
+	const known = state.keys.knownPeers.get(claimant.incarnation.host);
 	return known !== undefined && known.member.incarnation.started > claimant.incarnation.started;
 }
 
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -17,13 +17,13 @@
 import {getEntry, keyRight} from '../tickets/queries.js';
 import {
 	addKnownPeer, handleHandshake, markAnswered, markEnded, resetHandshakes, runHandshakes, updateKeys,
-} from './commands/acquaintances.js';
+} from './commands/known-peers.js';
 import {
 	beginClaim, handleKeyAnswer, hasClaimRoom, retryClaims, waitForClaim, type PresentedKey,
 } from './commands/claims.js';
 import {handleClaim} from './commands/promises.js';
 import {
-	canConfirmNotRun, deliver, hasLink, listActivePeers, mintedAt,
+	canConfirmNotRun, deliver, hasLink, listActivePeers, parseMintTime,
 } from './queries.js';
 import {
 	keyLifetimeMs, maxCallerClockLeadMs, maxHostClockSkewMs, type Claim,
@@ -80,7 +80,7 @@
 			: answerUnknown(state, request, 'outcomeUnknown', 'key from the future');
 	}
 
-	if (!isServing(state) || !state.keys.joined) {
+	if (!isServing(state) || !state.keys.isJoined) {
 		return forwardToPeer(state, request, right);
 	}
 
@@ -94,7 +94,7 @@
 }
 
 function handleArrival(state: State, request: Request, key: string, context: Context): Step {
-	const minted = mintedAt(key);
+	const minted = parseMintTime(key);
 	const requestedService = findService(state, request.service);
 	if (minted === undefined || requestedService?.ticketRule === 'ticket') {
 		return requireTicket(state, request, context);
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -12,7 +12,7 @@
  * @param key - Idempotency key.
  * @returns When the key was minted, in milliseconds since 1970; undefined if it isn't a version 7 UUID.
  */
-export function mintedAt(key: string): number | undefined {
+export function parseMintTime(key: string): number | undefined {
 	return uuidVersionSeven.test(key) ? Number.parseInt(key.replaceAll('-', '').slice(0, timestampDigits), 16) : undefined;
 }
 
@@ -24,13 +24,13 @@
  * @returns Whether this host would know if the key had run at another host.
  */
 export function canConfirmNotRun(state: State, minted: number): boolean {
-	const {joined, vouchFrom} = state.keys;
-	return joined && vouchFrom + maxCallerClockLeadMs + maxHostClockSkewMs < minted;
+	const {isJoined: isJoined, knowledgeCompleteFrom: knowledgeCompleteFrom} = state.keys;
+	return isJoined && knowledgeCompleteFrom + maxCallerClockLeadMs + maxHostClockSkewMs < minted;
 }
 
 /** @returns Peers whose promise this host needs before it runs a key. */
 export function listActivePeers(state: State): readonly KnownPeer[] {
-	return [...state.keys.acquaintances.values()].filter(each => !each.ended);
+	return [...state.keys.knownPeers.values()].filter(each => !each.ended);
 }
 
 /** @returns Whether this host has a link to the other host. */
--- a/src/core/features/keys/types.ts
+++ b/src/core/features/keys/types.ts
@@ -60,13 +60,13 @@
 
 export type KeysState = {
 	/** Keyed by host name. */
-	readonly acquaintances: Table<string, KnownPeer>;
+	readonly knownPeers: Table<string, KnownPeer>;
 	/** Whether the platform's host list was received since the start. */
 	readonly hasHostList: boolean;
 	/** Whether every known peer has answered this host's handshake. Only then does this host run keys. */
-	readonly joined: boolean;
+	readonly isJoined: boolean;
 	/** This host knows of every run of a key minted well after this wall-clock time. */
-	readonly vouchFrom: number;
+	readonly knowledgeCompleteFrom: number;
 	/** Keyed by right. */
 	readonly claims: Table<string, Claim>;
 	/** Rights that this host is claiming. */
@@ -80,10 +80,10 @@
 };
 
 export const initialKeys: KeysState = {
-	acquaintances: Table(),
+	knownPeers: Table(),
 	hasHostList: false,
-	joined: false,
-	vouchFrom: Number.MAX_SAFE_INTEGER,
+	isJoined: false,
+	knowledgeCompleteFrom: Number.MAX_SAFE_INTEGER,
 	claims: Table(),
 	claiming: [],
 	rounds: 0,
--- a/src/core/features/limits/queries.ts
+++ b/src/core/features/limits/queries.ts
@@ -6,7 +6,7 @@
 import {getRatePerSecond} from '../../utils/rates.js';
 import {findOrganisation} from '../configuration/queries.js';
 import {type Peer} from '../membership/types.js';
-import {runningOf} from '../requests/queries.js';
+import {countUnanswered} from '../requests/queries.js';
 import {demandWindowMs, noAccount, type Account} from './types.js';
 
 /** Organisations whose demand one host publishes; those with the largest demand are kept. */
@@ -146,6 +146,6 @@
 	return Math.ceil(Math.max(
 		limits.requestsPerSecond === undefined ? 0 : computeWait(account.requestDebt, limits.requestsPerSecond * share, 1),
 		limits.tokensPerSecond === undefined ? 0 : computeWait(account.tokenDebt, limits.tokensPerSecond * share, 1),
-		runningOf(state, request.organisation) >= concurrent ? 1000 : 0,
+		countUnanswered(state, request.organisation) >= concurrent ? 1000 : 0,
 	));
 }
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -14,7 +14,7 @@
 import {type Admission, type QueueName} from '../types.js';
 import {findSendRefusal} from './attempts.js';
 import {defaultRetryAfterMs, putAdmission, refuse} from './conclude.js';
-import {enqueue} from './lanes.js';
+import {enqueue} from './queues.js';
 import {spillNew} from './spill.js';
 
 /**
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -12,13 +12,13 @@
 import {getLengthClass} from '../../routing/segments.js';
 import {type Choice} from '../../routing/types.js';
 import {isConvicted} from '../../suspicion/queries.js';
-import {dispatchRefusal} from '../../tickets/queries.js';
+import {findDispatchRefusal} from '../../tickets/queries.js';
 import {getView} from '../../upstreams/queries.js';
 import {estimateWork} from '../../work/queries.js';
 import {admissionOf} from '../queries.js';
 import {type Admission} from '../types.js';
 import {conclude, putAdmission, toOutcome} from './conclude.js';
-import {dequeue, enqueue} from './lanes.js';
+import {dequeue, enqueue} from './queues.js';
 
 function lengthClassOf(state: State, request: Request): LengthClass {
 	return getLengthClass(findService(state, request.service), request.promptTokens);
@@ -62,7 +62,7 @@
 export function findSendRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	return isConvicted(state, request.fingerprint, context)
 		? 'convicted'
-		: dispatchRefusal(state, request, context);
+		: findDispatchRefusal(state, request, context);
 }
 
 /**
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -3,9 +3,9 @@
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
 import {type State, type Step} from '../../../types/state.js';
 import {assertNever} from '../../../utils/common.js';
-import {runningOf} from '../queries.js';
+import {countUnanswered} from '../queries.js';
 import {type Admission} from '../types.js';
-import {removeFromQueue} from './lanes.js';
+import {removeFromQueue} from './queues.js';
 
 /** Retry delay for callers when no better estimate is known. */
 export const defaultRetryAfterMs = 1000;
@@ -21,7 +21,7 @@
 			...requests,
 			admissions: requests.admissions.set(request.id, admission),
 			organisations: isNew
-				? requests.organisations.set(request.organisation, runningOf(state, request.organisation) + 1)
+				? requests.organisations.set(request.organisation, countUnanswered(state, request.organisation) + 1)
 				: requests.organisations,
 			nextDue: Math.min(requests.nextDue, due),
 		},
@@ -30,7 +30,7 @@
 
 function removeAdmission(state: State, admission: Admission): State {
 	const {request} = admission;
-	const remaining = runningOf(state, request.organisation) - 1;
+	const remaining = countUnanswered(state, request.organisation) - 1;
 	const {requests} = state;
 	return {
 		...state,
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -11,7 +11,7 @@
 } from '../types.js';
 import {send} from './attempts.js';
 import {putAdmission} from './conclude.js';
-import {dequeue} from './lanes.js';
+import {dequeue} from './queues.js';
 import {spill} from './spill.js';
 
 /** Waiting for this fraction of the service's default deadline raises a request by one priority level. */
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -7,7 +7,7 @@
 import {getPrefillRate} from '../../work/queries.js';
 import {send} from './attempts.js';
 import {putAdmission} from './conclude.js';
-import {enqueue} from './lanes.js';
+import {enqueue} from './queues.js';
 
 /**
  * Sends a request to a group of engines; the last one decodes.
--- a/src/core/features/requests/prediction.ts
+++ b/src/core/features/requests/prediction.ts
@@ -4,7 +4,7 @@
 import {type State} from '../../types/state.js';
 import {findOrganisation, findService} from '../configuration/queries.js';
 import {maxFillRatio} from '../groups/queries.js';
-import {isLegacy, upstreamsFor} from '../takeover/queries.js';
+import {isServedByLegacy, upstreamsFor} from '../takeover/queries.js';
 import {listServingHosts} from '../membership/queries.js';
 import {findCachedTokens} from '../prefixes/queries.js';
 import {isUsable} from '../routing/candidates.js';
@@ -40,7 +40,7 @@
 function queueUpstreams(state: State, request: Request, name: QueueName, now: number): readonly Upstream[] {
 	const requestedService = findService(state, request.service);
 	const all = upstreamsFor(state, request);
-	const isSplit = requestedService?.kind === 'model' && requestedService.policy === 'cost' && name !== 'group' && !isLegacy(state, request);
+	const isSplit = requestedService?.kind === 'model' && requestedService.policy === 'cost' && name !== 'group' && !isServedByLegacy(state, request);
 	const assigned = isSplit ? computeSegments(state, requestedService, all, now)[name] : all;
 	const usable = assigned.filter(each => isUsable(state, each, now));
 	return usable.length === 0 ? all.filter(each => isUsable(state, each, now)) : usable;
--- a/src/core/features/requests/queries.ts
+++ b/src/core/features/requests/queries.ts
@@ -16,7 +16,7 @@
 }
 
 /** @returns Number of the organisation's requests that were admitted here and not answered yet. */
-export function runningOf(state: State, organisation: string): number {
+export function countUnanswered(state: State, organisation: string): number {
 	return state.requests.organisations.get(organisation) ?? 0;
 }
 
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -5,7 +5,7 @@
 import {assertNever} from '../../utils/common.js';
 import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {findCachedTokens} from '../prefixes/queries.js';
-import {isLegacy, upstreamsFor} from '../takeover/queries.js';
+import {isServedByLegacy, upstreamsFor} from '../takeover/queries.js';
 import {getView} from '../upstreams/queries.js';
 import {estimateOutput} from '../work/queries.js';
 import {sample, findEngineCandidates, findUsable} from './candidates.js';
@@ -76,7 +76,7 @@
 function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: Context): Choice | undefined {
 	const {request, requestedService: requestedService} = search;
 	const prompt = describePrompt(state, search);
-	if (requestedService.kind === 'plain' || isLegacy(state, request)) {
+	if (requestedService.kind === 'plain' || isServedByLegacy(state, request)) {
 		const assessments = sample(usable, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
 		return chooseBest(state, assessments.filter(each => hasRoom(each, 0)), requestedService, 'least work of those sampled');
 	}
@@ -132,7 +132,7 @@
 		return upstreamsFor(state, request);
 	}
 
-	return isLegacy(state, request) ? [] : listDomainUpstreams(state, requestedService.id, failureDomain);
+	return isServedByLegacy(state, request) ? [] : listDomainUpstreams(state, requestedService.id, failureDomain);
 }
 
 /**
--- a/src/core/features/takeover/queries.ts
+++ b/src/core/features/takeover/queries.ts
@@ -17,7 +17,7 @@
  *
  * @returns The system that serves the request at this host.
  */
-export function servedBy(state: State, request: Pick<Request, 'service' | 'organisation'>): ServingSystem {
+export function findServingSystem(state: State, request: Pick<Request, 'service' | 'organisation'>): ServingSystem {
 	const {failureDomain} = state.self;
 	const rules = (state.configuration.inForce?.takeovers ?? []).filter(rule =>
 		rule.service === request.service
@@ -35,11 +35,11 @@
 }
 
 /** @returns Whether the legacy scripts serve the request. */
-export function isLegacy(state: State, request: Pick<Request, 'service' | 'organisation'>): boolean {
-	return servedBy(state, request) === 'legacy';
+export function isServedByLegacy(state: State, request: Pick<Request, 'service' | 'organisation'>): boolean {
+	return findServingSystem(state, request) === 'legacy';
 }
 
 /** @returns Upstreams in reach that may run the request: those of the service, or the legacy endpoints. */
 export function upstreamsFor(state: State, request: Pick<Request, 'service' | 'organisation'>): readonly Upstream[] {
-	return isLegacy(state, request) ? legacyUpstreams(state, request.service) : listOwnUpstreams(state, request.service);
+	return isServedByLegacy(state, request) ? legacyUpstreams(state, request.service) : listOwnUpstreams(state, request.service);
 }
--- a/src/core/features/tickets/commands/answers.ts
+++ b/src/core/features/tickets/commands/answers.ts
@@ -2,7 +2,7 @@
 import {codes, type CodeName} from '../../../errors.js';
 import {type Outcome, type Request, type Ticket} from '../../../types/request.js';
 import {type Context, type State, type Step} from '../../../types/state.js';
-import {ticketLife} from '../types.js';
+import {ticketLifetimeMs} from '../types.js';
 
 /** Retry delay that callers receive with a refusal. */
 const retryAfterMs = 1000;
@@ -60,7 +60,7 @@
 			address: self.callerAddress,
 			sequence: tickets.nextSequence,
 			organisation,
-			expires: wall + ticketLife,
+			expires: wall + ticketLifetimeMs,
 		},
 	};
 }
--- a/src/core/features/tickets/queries.ts
+++ b/src/core/features/tickets/queries.ts
@@ -40,7 +40,7 @@
  * @param request - Request that was answered.
  * @returns Whether its answer may be requested again here, until the effect `forget`.
  */
-export function keepsAnswer(state: State, request: Request): boolean {
+export function isAnswerKept(state: State, request: Request): boolean {
 	const {proof} = request;
 	switch (proof.type) {
 		case 'ticket': {
@@ -74,7 +74,7 @@
  * @param request - Request about to be sent.
  * @returns The code of the reason why it must not be sent; undefined if it may.
  */
-export function dispatchRefusal(state: State, request: Request, context: Context): CodeName | undefined {
+export function findDispatchRefusal(state: State, request: Request, context: Context): CodeName | undefined {
 	if (request.proof.type === 'idempotent') {
 		return undefined;
 	}
@@ -89,8 +89,8 @@
 }
 
 /** @returns Whether the request may be sent now. */
-export function mayDispatch(state: State, request: Request, context: Context): boolean {
-	return dispatchRefusal(state, request, context) === undefined;
+export function canDispatch(state: State, request: Request, context: Context): boolean {
+	return findDispatchRefusal(state, request, context) === undefined;
 }
 
 /**
--- a/src/core/features/tickets/types.ts
+++ b/src/core/features/tickets/types.ts
@@ -4,7 +4,7 @@
 import {type Outcome, type Request} from '../../types/request.js';
 
 /** Time in which a caller may use a ticket. */
-export const ticketLife = 600_000;
+export const ticketLifetimeMs = 600_000;
 
 /** Used rights stored at one host. */
 export const entryLimit = 100_000;
--- a/src/entry/executor.ts
+++ b/src/entry/executor.ts
@@ -1,7 +1,7 @@
 /** Executes the core's effects. */
 import {
 	assertNever,
-	keepsAnswer,
+	isAnswerKept,
 	type Address,
 	type Effect,
 	type Event,
@@ -169,7 +169,7 @@
 
 	#sendAnswer({request, outcome, ticket}: EffectOf<'answer'>): void {
 		const {exchanges, state} = this.#options;
-		exchanges.end(request, {outcome, ticket: ticket && signTicket(this.#getTokenKeys(), ticket)}, original => keepsAnswer(state(), original));
+		exchanges.end(request, {outcome, ticket: ticket && signTicket(this.#getTokenKeys(), ticket)}, original => isAnswerKept(state(), original));
 	}
 
 	#getTokenKeys() {
--- a/src/protocol/__tests__/keys-scale.test.ts
+++ b/src/protocol/__tests__/keys-scale.test.ts
@@ -18,7 +18,7 @@
 		network.list(...hosts);
 		network.publish(documentOf(1), ...hosts);
 		network.run(endMs);
-		const joined = hosts.filter(host => network.state(host).keys.joined);
+		const joined = hosts.filter(host => network.state(host).keys.isJoined);
 		expect(joined).toEqual(hosts);
 		const bytes = network.sent
 			.filter(({at, message}) => at > settledAfterMs && (message.type.startsWith('key-') || message.type === 'relay'))
