--- a/bench/fuzz/hosts.ts
+++ b/bench/fuzz/hosts.ts
@@ -1,6 +1,6 @@
 /** A simulated host: runs the core on events, and returns the effects that an entry daemon would execute. */
 import {
-	initialState, step, type Context, type Effect, type Event, type Member, type Request, type State,
+	initialState, step, type StepContext, type Effect, type Event, type Member, type Request, type State,
 } from '../../src/core/index.js';
 import {type SeededRandom} from './random.js';
 import {type Ledger, type HostRequest} from './ledger.js';
@@ -97,7 +97,7 @@
 
 	#step(event: Event, now: number): readonly Effect[] {
 		const {random, ledger, mutation} = this.#options;
-		const context: Context = {now, wall: this.getWallTime(now), random};
+		const context: StepContext = {now, wall: this.getWallTime(now), random};
 		const changed = mutation?.event?.(event, this) ?? [event];
 		const effects: Effect[] = [];
 		for (const each of changed) {
--- a/src/core/__tests__/adoption.test.ts
+++ b/src/core/__tests__/adoption.test.ts
@@ -1,28 +1,28 @@
 import {describe, expect, it} from 'vitest';
 import {codes, type Effect} from '../index.js';
-import {documentOf, Network} from './network.js';
+import {createDocument, SimulatedNetwork} from './network.js';
 
 const hosts = ['a1', 'a2', 'b1', 'b2', 'c1'];
 
 function createFleet(seed = 1) {
-	const network = new Network(seed);
+	const network = new SimulatedNetwork(seed);
 	for (const host of hosts) {
-		network.add(host, host[0]!);
+		network.addHost(host, host[0]!);
 	}
 
-	network.list(...hosts);
+	network.sendHostList(...hosts);
 	return network;
 }
 
-function revisionOf(network: Network, host: string) {
+function revisionOf(network: SimulatedNetwork, host: string) {
 	return network.state(host).configuration.inForce?.revision ?? 0;
 }
 
-function isAdoptedEverywhere(network: Network, revision: number) {
+function isAdoptedEverywhere(network: SimulatedNetwork, revision: number) {
 	return hosts.every(host => revisionOf(network, host) === revision);
 }
 
-function refusalCodes(network: Network): readonly number[] {
+function refusalCodes(network: SimulatedNetwork): readonly number[] {
 	const codesOf = (effect: Effect) => effect.type === 'log' && effect.decision.type === 'configuration' && !effect.decision.accepted
 		? [effect.decision.code]
 		: [];
@@ -33,9 +33,9 @@
 	it('reaches every host from one, through a failure domain that links two others', () => {
 		const network = createFleet();
 		network.partition((x, y) => (x.failureDomain === 'a' && y.failureDomain === 'c') || (x.failureDomain === 'c' && y.failureDomain === 'a'));
-		network.publish(documentOf(1), 'a1');
+		network.publishConfiguration(createDocument(1), 'a1');
 		expect(network.run(10_000, () => isAdoptedEverywhere(network, 1))).toBe(true);
-		network.publish(documentOf(2), 'a1');
+		network.publishConfiguration(createDocument(2), 'a1');
 		expect(network.run(2000, () => isAdoptedEverywhere(network, 2))).toBe(true);
 	});
 
@@ -43,11 +43,11 @@
 		const network = createFleet();
 		network.run(5000);
 		expect(network.effects.some(({effect}) => effect.type === 'ready')).toBe(false);
-		network.publish(documentOf(7), 'a1');
+		network.publishConfiguration(createDocument(7), 'a1');
 		network.run(5000);
-		network.add('b1', 'b', 5_000_000);
-		network.list('b1');
-		network.publish(documentOf(3), 'b1');
+		network.addHost('b1', 'b', 5_000_000);
+		network.sendHostList('b1');
+		network.publishConfiguration(createDocument(3), 'b1');
 		const from = network.effects.length;
 		const isReady = () => network.effects.slice(from).some(({host, effect}) => host === 'b1' && effect.type === 'ready');
 		expect(isReady()).toBe(false);
@@ -58,25 +58,25 @@
 	it('serves after a bounded wait when no listed peer answers', () => {
 		const network = createFleet();
 		network.partition(() => true);
-		network.publish(documentOf(1), 'a1');
+		network.publishConfiguration(createDocument(1), 'a1');
 		expect(network.run(4000, () => network.state('a1').membership.phase === 'serving')).toBe(true);
 	});
 
 	it.each([1, 2, 3])('never reverts to a lower revision over 200 changes with stale reads and restarts (seed %i)', seed => {
 		const network = createFleet(seed);
-		network.publish(documentOf(1), ...hosts);
+		network.publishConfiguration(createDocument(1), ...hosts);
 		network.run(4000);
 		const serving = new Map<string, number>();
 		let reversions = 0;
 		for (let revision = 2; revision <= 200; revision++) {
 			const reader = hosts[revision % hosts.length]!;
-			network.publish(documentOf(revision), reader);
-			network.publish(documentOf(Math.max(1, revision - 5)), hosts[(revision + 2) % hosts.length]!);
+			network.publishConfiguration(createDocument(revision), reader);
+			network.publishConfiguration(createDocument(Math.max(1, revision - 5)), hosts[(revision + 2) % hosts.length]!);
 			if (revision % 10 === 0) {
 				const restarted = hosts[(revision / 10) % hosts.length]!;
-				network.add(restarted, restarted[0]!);
-				network.list(...hosts);
-				network.publish(documentOf(Math.max(1, revision - 9)), restarted);
+				network.addHost(restarted, restarted[0]!);
+				network.sendHostList(...hosts);
+				network.publishConfiguration(createDocument(Math.max(1, revision - 9)), restarted);
 			}
 
 			for (let turn = 0; turn < 10; turn++) {
@@ -93,7 +93,7 @@
 
 		expect(reversions).toBe(0);
 		// The last reader may have restarted before it sent the document to a peer; the platform still has it.
-		network.publish(documentOf(200), 'b2');
+		network.publishConfiguration(createDocument(200), 'b2');
 		expect(network.run(5000, () => isAdoptedEverywhere(network, 200))).toBe(true);
 		expect(new Set(refusalCodes(network))).toEqual(new Set([codes.staleRevision]));
 	});
@@ -101,8 +101,8 @@
 	it('reports a peer that has other content for the same revision, and keeps its own', () => {
 		const network = createFleet();
 		network.partition(() => true);
-		network.publish(documentOf(2), 'a1', 'a2');
-		network.publish(documentOf(2, {failureDomains: [{id: 'z', region: 'z'}]}), 'b1');
+		network.publishConfiguration(createDocument(2), 'a1', 'a2');
+		network.publishConfiguration(createDocument(2, {failureDomains: [{id: 'z', region: 'z'}]}), 'b1');
 		network.partition(() => false);
 		network.run(20_000);
 		expect(refusalCodes(network)).toContain(codes.sameRevisionOtherContent);
@@ -112,7 +112,7 @@
 
 	it('parses only documents that it requested, and pauses requests to a peer that sent a bad one', () => {
 		const network = createFleet();
-		network.publish(documentOf(1), ...hosts);
+		network.publishConfiguration(createDocument(1), ...hosts);
 		network.run(4000);
 		const parses = () => network.effects.filter(({host, effect}) => host === 'a1' && effect.type === 'parse-configuration').length;
 		const before = parses();
--- a/src/core/__tests__/configuration.test.ts
+++ b/src/core/__tests__/configuration.test.ts
@@ -4,7 +4,7 @@
 	initialState,
 	step,
 	type Configuration,
-	type Context,
+	type StepContext,
 	type State,
 } from '../index.js';
 
@@ -14,7 +14,7 @@
 	peerAddress: {host: '127.0.0.1', port: 1},
 	callerAddress: {host: '127.0.0.1', port: 2},
 };
-const context: Context = {now: 0, wall: 0, random: {integer: least => least}};
+const context: StepContext = {now: 0, wall: 0, random: {integer: least => least}};
 
 function createDocument(revision: number): Configuration {
 	return {
--- a/src/core/__tests__/fixtures.ts
+++ b/src/core/__tests__/fixtures.ts
@@ -1,12 +1,12 @@
 /** Fixtures for tests of the core: a small configuration, requests, and helpers that apply events. */
 import {
-	initialState, step, type Configuration, type Context, type Effect, type Event, type Member, type Proof, type Request, type State,
+	initialState, step, type Configuration, type StepContext, type Effect, type Event, type Member, type Proof, type Request, type State,
 } from '../index.js';
 
 export const startWallTimeMs = 1_700_000_000_000;
 
 /** Returns the context at a time, in milliseconds after the start. */
-export function contextAt(now: number): Context {
+export function contextAt(now: number): StepContext {
 	return {now, wall: startWallTimeMs + now, random: {integer: least => least}};
 }
 
--- a/src/core/__tests__/membership.test.ts
+++ b/src/core/__tests__/membership.test.ts
@@ -8,37 +8,37 @@
 } from '../features/membership/queries.js';
 import {type Attempt} from '../types/request.js';
 import {maxRouteHops, findNextHop} from '../features/membership/routes.js';
-import {documentOf, Network} from './network.js';
+import {createDocument, SimulatedNetwork} from './network.js';
 
 function createFleet(sizes: Readonly<Record<string, number>>, seed = 1) {
-	const network = new Network(seed);
+	const network = new SimulatedNetwork(seed);
 	const hosts: string[] = [];
 	for (const [domain, size] of Object.entries(sizes)) {
 		for (let index = 1; index <= size; index++) {
 			const host = `${domain}${index}`;
-			network.add(host, domain);
+			network.addHost(host, domain);
 			hosts.push(host);
 		}
 	}
 
-	network.list(...hosts);
-	network.publish(documentOf(1), ...hosts);
+	network.sendHostList(...hosts);
+	network.publishConfiguration(createDocument(1), ...hosts);
 	return {network, hosts};
 }
 
-function statusOf(network: Network, host: string, peer: string) {
+function statusOf(network: SimulatedNetwork, host: string, peer: string) {
 	return network.state(host).membership.peers.get(peer)?.status;
 }
 
-function areAllLive(network: Network, hosts: readonly string[]) {
+function areAllLive(network: SimulatedNetwork, hosts: readonly string[]) {
 	return hosts.every(host => listLivePeers(network.state(host)).length === hosts.length - 1);
 }
 
 describe('membership', () => {
 	it('discovers every host from a seed list with one', () => {
-		const network = new Network();
+		const network = new SimulatedNetwork();
 		for (const host of ['a1', 'a2', 'a3', 'b1', 'b2']) {
-			network.add(host, host[0]!);
+			network.addHost(host, host[0]!);
 		}
 
 		const hosts = [...network.nodes.keys()];
@@ -47,7 +47,7 @@
 			network.dispatch(host, {type: 'seeds-given', addresses: [seed.peerAddress]});
 		}
 
-		network.publish(documentOf(1), 'a1');
+		network.publishConfiguration(createDocument(1), 'a1');
 		expect(network.run(10_000, () => areAllLive(network, hosts))).toBe(true);
 		expect(listReachableDomains(network.state('b2'))).toEqual(['a', 'b']);
 	});
@@ -79,9 +79,9 @@
 		const {network} = createFleet({a: 3, b: 2});
 		network.run(5000);
 		const old = network.nodes.get('a2')!.member.incarnation;
-		network.add('a2', 'a');
-		network.list('a2', 'a1');
-		network.publish(documentOf(1), 'a2');
+		network.addHost('a2', 'a');
+		network.sendHostList('a2', 'a1');
+		network.publishConfiguration(createDocument(1), 'a2');
 		network.run(5000);
 		for (const host of ['a1', 'a3', 'b1', 'b2']) {
 			expect(isSuperseded(network.state(host), old)).toBe(true);
@@ -106,7 +106,7 @@
 		network.partition((a, b) => a.failureDomain !== b.failureDomain);
 		network.run(120_000);
 		expect(listLivePeers(network.state('a1'))).toHaveLength(2);
-		network.publish(documentOf(2), 'c1');
+		network.publishConfiguration(createDocument(2), 'c1');
 		network.partition(() => false);
 		expect(network.run(10_000, () => areAllLive(network, hosts))).toBe(true);
 		expect(hosts.map(host => network.state(host).configuration.inForce?.revision)).toEqual(hosts.map(() => 2));
@@ -150,7 +150,7 @@
 		const {network} = createFleet({a: 3});
 		network.run(3000);
 		const attempt: Attempt = {
-			id: 'r.1', request: 'r', upstream: 'e', began: 0, prefill: 700, decode: 300, ahead: 0, length: 'short', written: false, received: 0,
+			id: 'r.1', request: 'r', upstream: 'e', began: 0, prefill: 700, decode: 300, prefillAhead: 0, length: 'short', written: false, received: 0,
 		};
 		const request = {
 			id: 'r', organisation: 'o', service: 's', priority: 1, arrival: 0, deadline: 1e9, promptTokens: 700, blocks: [], proof: {type: 'idempotent'}, fingerprint: 'f',
--- a/src/core/__tests__/network.ts
+++ b/src/core/__tests__/network.ts
@@ -32,7 +32,7 @@
 /** Wall-clock time at the start of a simulation. */
 export const startWallTimeMs = 1_000_000;
 
-export function documentOf(revision: number, changes: Partial<Configuration> = {}): Configuration {
+export function createDocument(revision: number, changes: Partial<Configuration> = {}): Configuration {
 	return {
 		schema: 1,
 		revision,
@@ -52,7 +52,7 @@
 	return hashText(text).toString(16).padStart(64, '0').slice(-8).padEnd(64, '0');
 }
 
-export class Network {
+export class SimulatedNetwork {
 	now = 0;
 	readonly nodes = new Map<string, Node>();
 	readonly effects: Array<{readonly at: number; readonly host: string; readonly effect: Effect}> = [];
@@ -75,7 +75,7 @@
 		this.handleEffect = () => undefined;
 	}
 
-	add(host: string, failureDomain: string, started = startWallTimeMs + this.now): Member {
+	addHost(host: string, failureDomain: string, started = startWallTimeMs + this.now): Member {
 		const port = this.#nextPort++;
 		const member = {
 			incarnation: {host, started}, failureDomain, peerAddress: {host: '127.0.0.1', port}, callerAddress: {host: '127.0.0.1', port: 10_000 + port},
@@ -105,14 +105,14 @@
 		return this.nodes.get(host)!.state;
 	}
 
-	list(...hosts: readonly string[]) {
+	sendHostList(...hosts: readonly string[]) {
 		const members = [...this.nodes.values()].map(node => node.member);
 		for (const host of hosts) {
 			this.dispatch(host, {type: 'hosts-listed', members, leaving: []});
 		}
 	}
 
-	publish(document: Configuration, ...hosts: readonly string[]) {
+	publishConfiguration(document: Configuration, ...hosts: readonly string[]) {
 		for (const host of hosts) {
 			this.dispatch(host, {
 				type: 'configuration-received', source: {type: 'platform'}, configuration: document, digest: digestOf(JSON.stringify(document)), text: JSON.stringify(document),
--- a/src/core/__tests__/placement.test.ts
+++ b/src/core/__tests__/placement.test.ts
@@ -5,12 +5,12 @@
 	type Engine,
 	type Order,
 	type OrderNumber,
-	type Report,
+	type LoadReport,
 	type Target,
 } from '../index.js';
 import {createControllerLookup} from '../features/placement/queries.js';
 import {isStopping} from '../features/stops/queries.js';
-import {documentOf, Network, startWallTimeMs} from './network.js';
+import {createDocument, SimulatedNetwork, startWallTimeMs} from './network.js';
 
 const loadTimeMs = 1000;
 
@@ -40,7 +40,7 @@
 	const service = modelServiceSchema.parse({
 		kind: 'model', id: 's', model: 'm', deadline: {default: 1000, most: 1000}, idempotent: true, readyEngines,
 	});
-	return documentOf(revision, {
+	return createDocument(revision, {
 		services: [service],
 		upstreams: engines,
 		...(loadsPerSecond !== undefined && {weightStore: {address: {host: '127.0.0.1', port: 2}, loadsPerSecond}}),
@@ -86,7 +86,7 @@
 	}
 }
 
-function createReport(upstream: string, engine: FakeEngine): Report {
+function createReport(upstream: string, engine: FakeEngine): LoadReport {
 	return {
 		upstream,
 		incarnation: '1',
@@ -104,7 +104,7 @@
 }
 
 class PlacementSimulation {
-	readonly network = new Network();
+	readonly network = new SimulatedNetwork();
 	readonly engines = new Map<string, FakeEngine>();
 	readonly hosts = ['a1', 'a2', 'a3'];
 	/** Orders sent by the delayed host that have not arrived. */
@@ -117,10 +117,10 @@
 		}
 
 		for (const host of this.hosts) {
-			this.network.add(host, 'a');
+			this.network.addHost(host, 'a');
 		}
 
-		this.network.list(...this.hosts);
+		this.network.sendHostList(...this.hosts);
 		this.network.handleEffect = (host, effect) => {
 			this.#handleEffect(host, effect);
 		};
@@ -199,7 +199,7 @@
 describe('placement', () => {
 	it('loads each empty engine once, through one orderer', () => {
 		const simulation = new PlacementSimulation(createFakeEngines(8, undefined));
-		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1')), ...simulation.hosts);
+		simulation.network.publishConfiguration(createPlacementDocument(1, engineConfigurations(simulation, 'v1')), ...simulation.hosts);
 		expect(simulation.run(20_000, () => simulation.isDeployed('v1'))).toBe(true);
 		expect([...simulation.engines.values()].map(engine => engine.loads.length)).toEqual(Array.from({length: 8}, () => 1));
 		expect(new Set([...simulation.engines.values()].map(engine => engine.loads[0]!.host)).size).toBeGreaterThan(1);
@@ -207,9 +207,9 @@
 
 	it('keeps enough engines ready while the version changes, and sends no new work to engines that change', () => {
 		const simulation = new PlacementSimulation(createFakeEngines(6, createTarget('v1')));
-		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 5), ...simulation.hosts);
+		simulation.network.publishConfiguration(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 5), ...simulation.hosts);
 		simulation.run(6000);
-		simulation.network.publish(createPlacementDocument(2, engineConfigurations(simulation, 'v2'), 5), 'a2');
+		simulation.network.publishConfiguration(createPlacementDocument(2, engineConfigurations(simulation, 'v2'), 5), 'a2');
 		let least = 6;
 		let isMarked = true;
 		simulation.run(60_000, () => {
@@ -228,14 +228,14 @@
 
 	it('changes nothing when all engines must stay ready', () => {
 		const simulation = new PlacementSimulation(createFakeEngines(3, createTarget('v1')));
-		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v2'), 3), ...simulation.hosts);
+		simulation.network.publishConfiguration(createPlacementDocument(1, engineConfigurations(simulation, 'v2'), 3), ...simulation.hosts);
 		simulation.run(15_000);
 		expect([...simulation.engines.values()].flatMap(engine => engine.loads)).toEqual([]);
 	});
 
 	it.each([[2], [4]])('stays within the weight store\'s limit of %i loads per second', loadsPerSecond => {
 		const simulation = new PlacementSimulation(createFakeEngines(12, undefined));
-		simulation.network.publish(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 1, loadsPerSecond), ...simulation.hosts);
+		simulation.network.publishConfiguration(createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 1, loadsPerSecond), ...simulation.hosts);
 		expect(simulation.run(120_000, () => simulation.isDeployed('v1'))).toBe(true);
 		const times = [...simulation.engines.values()].flatMap(engine => engine.loads.map(load => load.at)).toSorted((a, b) => a - b);
 		for (const [index, time] of times.entries()) {
@@ -247,16 +247,16 @@
 	it.each([true, false])('refuses or corrects an order that arrives after its sender was paused and replaced (fencing: %s)', fencing => {
 		const simulation = new PlacementSimulation(createFakeEngines(1, createTarget('v0'), fencing));
 		const first = createPlacementDocument(1, [createEngine('e0', 'v0', fencing)], 0);
-		simulation.network.publish(first, ...simulation.hosts);
+		simulation.network.publishConfiguration(first, ...simulation.hosts);
 		simulation.run(8000);
 		const paused = simulation.findOrderer(first, 'e0');
 		const others = simulation.hosts.filter(host => host !== paused);
 		simulation.delayedHost = paused;
-		simulation.network.publish(createPlacementDocument(2, [createEngine('e0', 'v1', fencing)], 0), ...simulation.hosts);
+		simulation.network.publishConfiguration(createPlacementDocument(2, [createEngine('e0', 'v1', fencing)], 0), ...simulation.hosts);
 		expect(simulation.run(10_000, () => simulation.delayedOrders.some(({effect}) => effect.order.type === 'load'))).toBe(true);
 		const late = simulation.delayedOrders.find(({effect}) => effect.order.type === 'load')!;
 		simulation.network.pause(paused);
-		simulation.network.publish(createPlacementDocument(3, [createEngine('e0', 'v2', fencing)], 0), ...others);
+		simulation.network.publishConfiguration(createPlacementDocument(3, [createEngine('e0', 'v2', fencing)], 0), ...others);
 		expect(simulation.run(30_000, () => simulation.isDeployed('v2'))).toBe(true);
 		expect(simulation.deliverOrder(paused, late.effect)).toBe(!fencing);
 		simulation.delayedHost = undefined;
@@ -271,7 +271,7 @@
 	it('seals the engine when another host takes over its orders, even without a target change', () => {
 		const simulation = new PlacementSimulation(createFakeEngines(1, createTarget('v1')));
 		const document = createPlacementDocument(1, engineConfigurations(simulation, 'v1'), 0);
-		simulation.network.publish(document, ...simulation.hosts);
+		simulation.network.publishConfiguration(document, ...simulation.hosts);
 		simulation.run(8000);
 		const engine = simulation.engines.get('e0')!;
 		const before = engine.highest!;
@@ -292,7 +292,7 @@
 				id: `s${index}`, target: {kind: 'upstream', id}, notBefore: startWallTimeMs + 5000, grace: 4000,
 			} as const)),
 		};
-		simulation.network.publish(document, ...simulation.hosts);
+		simulation.network.publishConfiguration(document, ...simulation.hosts);
 		const seen: string[] = [];
 		const stoppingAt = (host: string) => [...simulation.engines.keys()].filter(id => isStopping(simulation.network.state(host), id)).join(',');
 		simulation.run(20_000, () => {
@@ -307,19 +307,19 @@
 	});
 
 	it('stop hosts of a failure domain one after another, each once the previous one serves again', () => {
-		const network = new Network();
+		const network = new SimulatedNetwork();
 		const hosts = ['a1', 'a2', 'a3', 'b1'];
 		for (const host of hosts) {
-			network.add(host, host[0]!);
+			network.addHost(host, host[0]!);
 		}
 
-		network.list(...hosts);
-		const document = documentOf(1, {
+		network.sendHostList(...hosts);
+		const document = createDocument(1, {
 			plannedStops: hosts.map(id => ({
 				id: `stop ${id}`, target: {kind: 'host', id}, notBefore: startWallTimeMs + 6000, grace: 3000,
 			} as const)),
 		});
-		network.publish(document, ...hosts);
+		network.publishConfiguration(document, ...hosts);
 		network.run(6000);
 		const order: string[] = [];
 		let most = 0;
@@ -329,9 +329,9 @@
 			for (const host of hosts) {
 				if (!network.nodes.has(host)) {
 					order.push(host);
-					network.add(host, host[0]!);
-					network.list(...hosts);
-					network.publish(document, host);
+					network.addHost(host, host[0]!);
+					network.sendHostList(...hosts);
+					network.publishConfiguration(document, host);
 				}
 			}
 
--- a/src/core/__tests__/regressions.test.ts
+++ b/src/core/__tests__/regressions.test.ts
@@ -18,7 +18,7 @@
 		const crash = (fingerprint: string, upstream: string, now: number): readonly Event[] => {
 			const poisonRequest = createRequest(fingerprint, {type: 'idempotent'}, {fingerprint});
 			const attempt: Attempt = {
-				id: `${fingerprint}.${upstream}`, request: poisonRequest.id, upstream, began: now, prefill: 1, decode: 1, ahead: 0, length: 'short', written: true, received: 0,
+				id: `${fingerprint}.${upstream}`, request: poisonRequest.id, upstream, began: now, prefill: 1, decode: 1, prefillAhead: 0, length: 'short', written: true, received: 0,
 			};
 			return [
 				{type: 'attempt-began', request: poisonRequest, attempt},
@@ -50,7 +50,7 @@
 				began,
 				prefill: 1,
 				decode: 1,
-				ahead: 0,
+				prefillAhead: 0,
 				length: 'short',
 				written: true,
 				received: 0,
--- a/src/core/__tests__/suspicion.test.ts
+++ b/src/core/__tests__/suspicion.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {
-	type Attempt, type Ending, type Event, type Report, type Request, type State,
+	type Attempt, type Ending, type Event, type LoadReport, type Request, type State,
 } from '../index.js';
 import {
 	isConvicted, isSuspect, canRunAt, listPublishedSuspicions, listSuspectUpstreams,
@@ -22,7 +22,7 @@
 
 function createAttempt(request: Request, upstream: string, began: number): Attempt {
 	return {
-		id: `${request.id}.${upstream}.${began}`, request: request.id, upstream, began, upstreamIncarnation: 'i1', prefill: 1, decode: 1, ahead: 0, length: 'short', written: true, received: 0,
+		id: `${request.id}.${upstream}.${began}`, request: request.id, upstream, began, upstreamIncarnation: 'i1', prefill: 1, decode: 1, prefillAhead: 0, length: 'short', written: true, received: 0,
 	};
 }
 
@@ -37,7 +37,7 @@
 }
 
 function createReport(upstream: string, incarnation: string): Event {
-	const received: Report = {
+	const received: LoadReport = {
 		upstream, incarnation, age: 0, ready: true, running: 0, waiting: 0, queuedPrefill: 0, usedMemory: 0, memory: 1,
 	};
 	return {type: 'report-received', report: received};
--- a/src/core/__tests__/takeover.test.ts
+++ b/src/core/__tests__/takeover.test.ts
@@ -6,7 +6,7 @@
 import {
 	createConfiguration, createMember, createRequest, createServingState,
 } from './fixtures.js';
-import {Network} from './network.js';
+import {SimulatedNetwork} from './network.js';
 
 function createTakeoverDocument(revision: number, takeovers: readonly Takeover[]): Configuration {
 	const base = createConfiguration();
@@ -44,7 +44,7 @@
 
 /** Hosts that forward requests to each other and send them to upstreams with random outcomes. */
 class TakeoverSimulation {
-	readonly network: Network;
+	readonly network: SimulatedNetwork;
 	readonly runs: Run[] = [];
 	readonly tickets: Ticket[] = [];
 	readonly hosts = ['a1', 'a2', 'a3'];
@@ -54,7 +54,7 @@
 	#nextId = 0;
 
 	constructor(seed: number) {
-		this.network = new Network(seed);
+		this.network = new SimulatedNetwork(seed);
 		let value = seed;
 		this.#random = most => {
 			value = (value * 48_271) % 2_147_483_647;
@@ -62,14 +62,14 @@
 		};
 
 		for (const host of this.hosts) {
-			this.network.add(host, 'a');
+			this.network.addHost(host, 'a');
 		}
 
 		this.network.handleEffect = (host, effect) => {
 			this.#handleEffect(host, effect);
 		};
 
-		this.network.list(...this.hosts);
+		this.network.sendHostList(...this.hosts);
 	}
 
 	/** Sends a request with a ticket or key, which may have been used before, to a random host. */
@@ -149,7 +149,7 @@
 		const sides = new Set<string>();
 		for (let seed = 1; seed <= 20; seed++) {
 			const simulation = new TakeoverSimulation(seed);
-			simulation.network.publish(createTakeoverDocument(1, toLegacy), ...simulation.hosts);
+			simulation.network.publishConfiguration(createTakeoverDocument(1, toLegacy), ...simulation.hosts);
 			simulation.network.run(3000);
 			// One host stays at the old revision: it receives documents neither from the platform nor from its peers.
 			const outdatedHost = simulation.hosts[simulation.randomBelow(3)]!;
@@ -167,7 +167,7 @@
 				simulation.network.run(50);
 				if (round === 10) {
 					simulation.network.limitRevision(outdatedHost, 1);
-					simulation.network.publish(createTakeoverDocument(2, []), ...simulation.hosts.filter(host => host !== outdatedHost));
+					simulation.network.publishConfiguration(createTakeoverDocument(2, []), ...simulation.hosts.filter(host => host !== outdatedHost));
 				}
 
 				if (round === 30) {
--- a/src/core/features/configuration/commands/adopt.ts
+++ b/src/core/features/configuration/commands/adopt.ts
@@ -1,7 +1,7 @@
 /** Adopts valid documents with a higher revision than the one in force. */
 import {codes} from '../../../errors.js';
-import {type EventOf, type Source} from '../../../types/event.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type EventOf, type ConfigurationSource} from '../../../types/event.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {getRevision} from '../queries.js';
 
@@ -9,7 +9,7 @@
  * @param source - Origin of a document.
  * @returns Its description for the log.
  */
-function describeSource(source: Source): string {
+function describeSource(source: ConfigurationSource): string {
 	return source.type === 'peer' ? `from peer ${source.host}` : `from ${source.type}`;
 }
 
@@ -20,7 +20,7 @@
  * @param reason - Reason, for people.
  * @returns A step that logs and counts the refusal.
  */
-export function refuseDocument(state: State, offered: number, code: number, reason: string): Step {
+export function refuseDocument(state: State, offered: number, code: number, reason: string): StepResult {
 	return {
 		state,
 		effects: [
@@ -41,7 +41,7 @@
  * @param event - A parsed and validated document.
  * @returns The next step.
  */
-export function adoptDocument(state: State, event: EventOf<'configuration-received'>): Step {
+export function adoptDocument(state: State, event: EventOf<'configuration-received'>): StepResult {
 	const {
 		configuration, digest, text, source,
 	} = event;
--- a/src/core/features/configuration/commands/relay.ts
+++ b/src/core/features/configuration/commands/relay.ts
@@ -1,7 +1,7 @@
 /** Relays documents between peers: a host that sees a higher revision at a peer requests the document, from one peer at a time. */
 import {codes} from '../../../errors.js';
 import {type PeerMessage} from '../../../types/peer.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {getRevision} from '../queries.js';
 import {type DocumentRequest} from '../types.js';
@@ -20,7 +20,7 @@
 	return documentRequest !== undefined && documentRequest.revision >= offered && now - documentRequest.at < requestTimeoutMs;
 }
 
-function requestDocument(state: State, host: string, offered: number, now: number): Step {
+function requestDocument(state: State, host: string, offered: number, now: number): StepResult {
 	const {documentRequest, refusedUntil} = state.configuration;
 	if (isPending(documentRequest, offered, now) || now < (refusedUntil.get(host) ?? 0)) {
 		return withoutEffects(state);
@@ -33,7 +33,7 @@
 }
 
 /** Logs and counts different content of the revision in force, unless the last mismatch was at the same peer and revision. */
-function checkDigest(state: State, host: string, offered: number, digest: string): Step {
+function checkDigest(state: State, host: string, offered: number, digest: string): StepResult {
 	const mismatch = `${host}/${offered}`;
 	if (digest === '' || state.configuration.digest.startsWith(digest) || state.configuration.reportedMismatch === mismatch) {
 		return withoutEffects(state);
@@ -54,7 +54,7 @@
 	readonly digest: string;
 };
 
-function handlePeerRevision(state: State, {host, revision: offered, digest}: PeerRevision, now: number): Step {
+function handlePeerRevision(state: State, {host, revision: offered, digest}: PeerRevision, now: number): StepResult {
 	const ownRevision = getRevision(state);
 	if (offered > ownRevision) {
 		return requestDocument(state, host, offered, now);
@@ -63,14 +63,14 @@
 	return offered === ownRevision && ownRevision > 0 ? checkDigest(state, host, offered, digest) : withoutEffects(state);
 }
 
-function sendDocument(state: State, host: string, above: number): Step {
+function sendDocument(state: State, host: string, above: number): StepResult {
 	return getRevision(state) > above
 		? {state, effects: [{type: 'peer-send', to: host, message: {type: 'configuration', text: state.configuration.text}}]}
 		: withoutEffects(state);
 }
 
 /** Ignores documents from other peers than the requested one, so that no host can make this one parse unrequested text. */
-function parseDocument(state: State, host: string, text: string): Step {
+function parseDocument(state: State, host: string, text: string): StepResult {
 	return state.configuration.documentRequest?.host === host
 		? {state, effects: [{type: 'parse-configuration', source: {type: 'peer', host}, text}]}
 		: withoutEffects(state);
@@ -83,7 +83,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function handlePeerMessage(state: State, from: string, message: PeerMessage, now: number): Step {
+export function handlePeerMessage(state: State, from: string, message: PeerMessage, now: number): StepResult {
 	switch (message.type) {
 		case 'hello': {
 			return handlePeerRevision(state, {host: from, revision: message.revision, digest: ''}, now);
--- a/src/core/features/groups/commands/release.ts
+++ b/src/core/features/groups/commands/release.ts
@@ -1,5 +1,5 @@
 /** Releases holds; the holds feature repeats each release until the engine confirms it. */
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {type Group, type GroupPart} from '../types.js';
 
@@ -14,7 +14,7 @@
  * @param reason - Reason, for the log.
  * @returns A step that releases them.
  */
-export function releaseHolds(state: State, holds: ReadonlyArray<Pick<GroupPart, 'hold' | 'upstream'>>, reason: string): Step {
+export function releaseHolds(state: State, holds: ReadonlyArray<Pick<GroupPart, 'hold' | 'upstream'>>, reason: string): StepResult {
 	return {
 		state,
 		effects: holds.flatMap(({hold, upstream}) => [
@@ -34,7 +34,7 @@
  * @param reason - Reason, for the log.
  * @returns The next step, which releases all holds of the group.
  */
-export function dissolveGroup(state: State, request: string, reason: string): Step {
+export function dissolveGroup(state: State, request: string, reason: string): StepResult {
 	const group = state.groups.groups.get(request);
 	if (group === undefined) {
 		return withoutEffects(state);
--- a/src/core/features/groups/commands/reserve.ts
+++ b/src/core/features/groups/commands/reserve.ts
@@ -2,7 +2,7 @@
 import {type EventOf} from '../../../types/event.js';
 import {type Effect} from '../../../types/effect.js';
 import {type Request} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {findUpstream as configured} from '../../configuration/queries.js';
 import {findGroupByHold, planGroup} from '../queries.js';
@@ -26,11 +26,11 @@
 	return {...state, groups: {...state.groups, groups: state.groups.groups.set(group.request.id, group)}};
 }
 
-function requestCurrentPart(state: State, group: Group, context: Context): readonly Effect[] {
+function requestCurrentPart(state: State, group: Group, context: StepContext): readonly Effect[] {
 	return group.progress.type === 'asking' ? requestLease(state, group.parts[group.progress.index]!, context) : [];
 }
 
-function requestLease(state: State, {hold, upstream, tokens}: GroupPart, {wall}: Context): readonly Effect[] {
+function requestLease(state: State, {hold, upstream, tokens}: GroupPart, {wall}: StepContext): readonly Effect[] {
 	const address = configured(state, upstream)?.address;
 	const deadline = wall + leaseDurationMs;
 	return address === undefined
@@ -40,12 +40,12 @@
 		}];
 }
 
-function requestPart(state: State, group: Group, index: number, context: Context): Step {
+function requestPart(state: State, group: Group, index: number, context: StepContext): StepResult {
 	const next: Group = {...group, progress: {type: 'asking', index, since: context.now}};
 	return {state: setGroup(state, next), effects: requestCurrentPart(state, next, context)};
 }
 
-function failGroup(state: State, request: Request, context: Context, reason: string): Step {
+function failGroup(state: State, request: Request, context: StepContext, reason: string): StepResult {
 	const until = context.now + context.random.integer(retryIntervalMs, maxBackoffMs);
 	const backoffDeadlines = state.groups.backoffDeadlines.set(request.service, until);
 	return chain(
@@ -61,7 +61,7 @@
  * @param context - Time and random source.
  * @returns The next step, which requests memory at the first engine, or fails if the usable engines are too few.
  */
-export function formGroup(state: State, request: Request, context: Context): Step {
+export function formGroup(state: State, request: Request, context: StepContext): StepResult {
 	const parts = planGroup(state, request, context);
 	const counted = {...state, groups: {...state.groups, attempts: state.groups.attempts + 1}};
 	return parts === undefined
@@ -71,7 +71,7 @@
 		}, 0, context);
 }
 
-function handleGrant(state: State, group: Group, index: number, context: Context): Step {
+function handleGrant(state: State, group: Group, index: number, context: StepContext): StepResult {
 	if (index + 1 < group.parts.length) {
 		return requestPart(state, group, index + 1, context);
 	}
@@ -98,7 +98,7 @@
  * @param context - Time and random source.
  * @returns The next step; memory granted to a group that no longer exists is released.
  */
-export function handleHoldAnswer(state: State, event: EventOf<'hold-answered'>, context: Context): Step {
+export function handleHoldAnswer(state: State, event: EventOf<'hold-answered'>, context: StepContext): StepResult {
 	const group = findGroupByHold(state, event.hold);
 	if (group === undefined) {
 		return event.granted ? releaseHolds(state, [event], 'no longer needed') : withoutEffects(state);
@@ -114,7 +114,7 @@
 		: withoutEffects(setGroup(state, {...group, progress: {...progress, retryAt: context.now + retryIntervalMs}}));
 }
 
-function advanceGroup(state: State, group: Group, context: Context): Step {
+function advanceGroup(state: State, group: Group, context: StepContext): StepResult {
 	const {progress, request} = group;
 	if (progress.type !== 'asking') {
 		return withoutEffects(state);
@@ -137,7 +137,7 @@
 }
 
 /** Renews a group's leases when due. A lease that expired while this process was paused is not renewed: others may hold the memory. */
-function renewLeases(state: State, request: string, context: Context): Step {
+function renewLeases(state: State, request: string, context: StepContext): StepResult {
 	const group = state.groups.groups.get(request);
 	const age = context.now - (group?.renewedAt ?? context.now);
 	if (group === undefined || age < renewalIntervalMs || age >= leaseDurationMs) {
@@ -155,7 +155,7 @@
  * @param context - Time and random source.
  * @returns The next step, which requests refused holds again, abandons groups that waited too long, and renews leases.
  */
-export function advanceGroups(state: State, context: Context): Step {
+export function advanceGroups(state: State, context: StepContext): StepResult {
 	return chain(
 		state,
 		...[...state.groups.groups.values()].flatMap(group => [
@@ -171,7 +171,7 @@
  * @param context - Time and random source.
  * @returns The next step, which abandons groups that are still being formed with it; running ones end with their attempt.
  */
-export function handleEngineLoss(state: State, upstream: string, context: Context): Step {
+export function handleEngineLoss(state: State, upstream: string, context: StepContext): StepResult {
 	const affected = [...state.groups.groups.values()].filter(group =>
 		group.progress.type === 'asking' && group.parts.some(part => part.upstream === upstream));
 	return chain(
--- a/src/core/features/groups/feature.ts
+++ b/src/core/features/groups/feature.ts
@@ -19,7 +19,7 @@
 			}
 
 			case 'attempt-over': {
-				return event.attempt.parts === undefined
+				return event.attempt.prefillShares === undefined
 					? withoutEffects(state)
 					: dissolveGroup(state, event.request.id, 'attempt over');
 			}
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -1,7 +1,7 @@
 /** Plans groups of engines: which engines take part, and which segment of the prompt each holds. */
 import {type Engine} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {findUsable} from '../routing/candidates.js';
 import {getView} from '../upstreams/queries.js';
@@ -67,7 +67,7 @@
  * @param context - Time.
  * @returns The parts, or undefined if the usable engines are too few.
  */
-export function planGroup(state: State, request: Request, context: Context): readonly GroupPart[] | undefined {
+export function planGroup(state: State, request: Request, context: StepContext): readonly GroupPart[] | undefined {
 	const requestedService = findService(state, request.service);
 	if (requestedService === undefined) {
 		return undefined;
--- a/src/core/features/holds/commands.ts
+++ b/src/core/features/holds/commands.ts
@@ -1,7 +1,7 @@
 /** Releases holds at engines and retries until the engine confirms. */
 import {type Effect} from '../../types/effect.js';
 import {type Hold} from '../../types/upstream.js';
-import {type Context, type State, type Step} from '../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../types/state.js';
 import {chain, withoutEffects} from '../../utils/common.js';
 import {findUpstream as upstreamOf} from '../configuration/queries.js';
 import {isSuperseded} from '../membership/queries.js';
@@ -17,7 +17,7 @@
 	return {...state, holds: {releases}};
 }
 
-function sendRelease(state: State, hold: string, release: Release, now: number): Step {
+function sendRelease(state: State, hold: string, release: Release, now: number): StepResult {
 	const target = upstreamOf(state, release.upstream);
 	const interval = Math.min(maxRetryIntervalMs, minRetryIntervalMs * (2 ** release.attempts));
 	const effects: readonly Effect[] = target === undefined
@@ -38,7 +38,7 @@
  * @param upstream - Engine that has it.
  * @returns The next state and the first release request.
  */
-export function requestRelease(state: State, hold: string, upstream: string, {now}: Context): Step {
+export function requestRelease(state: State, hold: string, upstream: string, {now}: StepContext): StepResult {
 	const {releases} = state.holds;
 	return releases.has(hold) || releases.size >= releaseLimit
 		? withoutEffects(state)
@@ -57,7 +57,7 @@
 	return wall > hold.deadline + holdGraceMs ? 'its deadline is over' : undefined;
 }
 
-function reviewHold(state: State, hold: Hold, context: Context): Step {
+function reviewHold(state: State, hold: Hold, context: StepContext): StepResult {
 	const reason = findStaleReason(state, hold, context.wall);
 	if (reason === undefined || state.holds.releases.has(hold.id)) {
 		return withoutEffects(state);
@@ -86,7 +86,7 @@
  * @param holds - All holds of the engine.
  * @returns The next state and the release requests.
  */
-export function reviewHolds(state: State, upstream: string, holds: readonly Hold[], context: Context): Step {
+export function reviewHolds(state: State, upstream: string, holds: readonly Hold[], context: StepContext): StepResult {
 	const listed = new Set(holds.map(each => each.id));
 	const releases = state.holds.releases.filter((each, hold) => each.upstream !== upstream || listed.has(hold));
 	return chain(
@@ -120,7 +120,7 @@
  *
  * @returns The next state and the release requests.
  */
-export function retryReleases(state: State, {now}: Context): Step {
+export function retryReleases(state: State, {now}: StepContext): StepResult {
 	if (state.holds.releases.isEmpty()) {
 		return withoutEffects(state);
 	}
--- a/src/core/features/keys/commands/claims.ts
+++ b/src/core/features/keys/commands/claims.ts
@@ -1,7 +1,7 @@
 /** Claims: before a host runs a key, it asks every other host to promise never to run it. */
 import {type KeyMessage, type Member} from '../../../types/peer.js';
 import {type Request} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {assertNever, chain, withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {answerUnknown} from '../../tickets/commands/answers.js';
@@ -50,7 +50,7 @@
 	return state.keys.claims.size < claimLimit;
 }
 
-function sendClaim(state: State, right: string, minted: number, hosts: readonly string[]): Step {
+function sendClaim(state: State, right: string, minted: number, hosts: readonly string[]): StepResult {
 	return {
 		state,
 		effects: hosts.flatMap(host => sendToHost(state, host, {
@@ -59,7 +59,7 @@
 	};
 }
 
-function forEachWaiting(state: State, waiting: readonly Request[], handleRequest: (state: State, request: Request) => Step): Step {
+function forEachWaiting(state: State, waiting: readonly Request[], handleRequest: (state: State, request: Request) => StepResult): StepResult {
 	return chain(state, ...waiting.map(request => (current: State) => handleRequest(current, request)));
 }
 
@@ -71,13 +71,13 @@
  * @param to - The key's keeper.
  * @returns The next state and the forwards.
  */
-export function yieldClaim(state: State, right: string, claim: Claim, to: Member): Step {
+export function yieldClaim(state: State, right: string, claim: Claim, to: Member): StepResult {
 	const waiting = claim.progress.type === 'claiming' ? claim.progress.waiting : [];
 	const yielded = putClaim(state, right, {...claim, progress: {type: 'yielded', to}});
 	return forEachWaiting(yielded, waiting, (current, request) => forwardToKeeper(current, request, right, to));
 }
 
-function markDoubtful(state: State, right: string, claim: Claim, progress: Claiming): Step {
+function markDoubtful(state: State, right: string, claim: Claim, progress: Claiming): StepResult {
 	const next = putClaim(state, right, {...claim, progress: {type: 'doubtful'}});
 	return forEachWaiting(next, progress.waiting, (current, request) =>
 		answerUnknown(current, request, 'outcomeUnknown', 'no host is sure that the key never ran'));
@@ -87,7 +87,7 @@
  * Ends a claim. This host runs the key if every host has promised. If promises are missing, it seals the key, which needs no
  * promise. If a host refused to promise, or none confirmed that the key has never run, the outcome is unknown.
  */
-function settleClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
+function settleClaim(state: State, right: string, claim: Claim, progress: Claiming): StepResult {
 	if (!progress.isNotRunConfirmed || (progress.refused && progress.pending.length > 0)) {
 		return markDoubtful(state, right, claim, progress);
 	}
@@ -99,7 +99,7 @@
 		useRight(current, {right, request, expires}));
 }
 
-function advanceClaim(state: State, right: string, claim: Claim, progress: Claiming): Step {
+function advanceClaim(state: State, right: string, claim: Claim, progress: Claiming): StepResult {
 	return progress.pending.length === 0
 		? settleClaim(state, right, claim, progress)
 		: withoutEffects(putClaim(state, right, {...claim, progress}));
@@ -109,7 +109,7 @@
  * @param key - A key that this host has no claim for.
  * @returns The next state and the claims sent; the request is cleared at once if there is no other host.
  */
-export function beginClaim(state: State, {right, minted, request}: PresentedKey, {now}: Context): Step {
+export function beginClaim(state: State, {right, minted, request}: PresentedKey, {now}: StepContext): StepResult {
 	const pending = listActivePeers(state).map(each => each.member.incarnation.host);
 	const progress: Claiming = {
 		type: 'claiming',
@@ -132,7 +132,7 @@
  * @param request - Another request with the same key.
  * @returns The next state, with the request waiting, or answered if too many wait already.
  */
-export function waitForClaim(state: State, right: string, request: Request): Step {
+export function waitForClaim(state: State, right: string, request: Request): StepResult {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return withoutEffects(state);
@@ -148,7 +148,7 @@
  * Handles the answer of a host that has promised the key to another one. The answering host never runs it either, so it counts
  * as promised, and the other host has to answer itself. If that host has ended, only it could have known the key's outcome.
  */
-function handleKeptAnswer(state: State, from: string, right: string, keeper: Member): Step {
+function handleKeptAnswer(state: State, from: string, right: string, keeper: Member): StepResult {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return withoutEffects(state);
@@ -169,7 +169,7 @@
  * @param message - Its answer.
  * @returns The next state. If it was the last missing answer, the waiting requests are cleared, forwarded or answered.
  */
-export function handleKeyAnswer(state: State, from: string, message: AnswerMessage): Step {
+export function handleKeyAnswer(state: State, from: string, message: AnswerMessage): StepResult {
 	const {id: right, claimant, answer} = message;
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming' || !isSameIncarnation(claimant, state.self.incarnation)) {
@@ -199,7 +199,7 @@
 	}
 }
 
-function retryClaim(state: State, right: string, {now}: Context): Step {
+function retryClaim(state: State, right: string, {now}: StepContext): StepResult {
 	const claim = state.keys.claims.get(right);
 	if (claim?.progress.type !== 'claiming') {
 		return withoutEffects(state);
@@ -225,6 +225,6 @@
  *
  * @returns The next state and the effects.
  */
-export function retryClaims(state: State, context: Context): Step {
+export function retryClaims(state: State, context: StepContext): StepResult {
 	return chain(state, ...state.keys.claiming.map(right => (current: State) => retryClaim(current, right, context)));
 }
--- a/src/core/features/keys/commands/known-peers.ts
+++ b/src/core/features/keys/commands/known-peers.ts
@@ -4,7 +4,7 @@
  */
 import {type Member} from '../../../types/peer.js';
 import {type Incarnation} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
 import {hashText} from '../../../utils/hashes.js';
@@ -89,7 +89,7 @@
  * @param peerDigest - Digest of the sender's known peers.
  * @returns The next state and the answer. There is no answer if the sender can't be added or has ended.
  */
-export function handleHandshake(state: State, member: Member, peerDigest: number): Step {
+export function handleHandshake(state: State, member: Member, peerDigest: number): StepResult {
 	const next = addKnownPeer(state, member);
 	const knownPeers = digestKnownPeers(next) === peerDigest ? [] : [...next.keys.knownPeers.values()];
 	const known = next.keys.knownPeers.get(member.incarnation.host);
@@ -132,7 +132,7 @@
 	return peer?.phase === 'leaving' && peer.member.incarnation.started === member.incarnation.started;
 }
 
-function joinIfReady(state: State, {wall}: Context): State {
+function joinIfReady(state: State, {wall}: StepContext): State {
 	const isReady = isServing(state) && state.keys.hasHostList && listActivePeers(state).every(each => each.hasAnswered);
 	return !state.keys.isJoined && isReady ? updateKeys(state, {isJoined: true, knowledgeCompleteFrom: wall}) : state;
 }
@@ -142,7 +142,7 @@
  *
  * @returns The next state and the handshakes.
  */
-export function runHandshakes(state: State, context: Context): Step {
+export function runHandshakes(state: State, context: StepContext): StepResult {
 	if (context.now < state.keys.nextHandshakeAt) {
 		return withoutEffects(state);
 	}
--- a/src/core/features/keys/commands/promises.ts
+++ b/src/core/features/keys/commands/promises.ts
@@ -1,6 +1,6 @@
 /** Promises: answers to hosts that claim a key. */
 import {type KeyAnswer, type Member} from '../../../types/peer.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {assertNever, chain} from '../../../utils/common.js';
 import {isSameIncarnation} from '../../tickets/queries.js';
 import {canConfirmNotRun, sendToHost} from '../queries.js';
@@ -15,7 +15,7 @@
 	readonly claimant: Member;
 };
 
-function sendReply(state: State, {right, claimant}: IncomingClaim, answer: KeyAnswer): Step {
+function sendReply(state: State, {right, claimant}: IncomingClaim, answer: KeyAnswer): StepResult {
 	return {
 		state,
 		effects: sendToHost(state, claimant.incarnation.host, {
@@ -24,7 +24,7 @@
 	};
 }
 
-function givePromise(state: State, incoming: IncomingClaim, claim: Claim): Step {
+function givePromise(state: State, incoming: IncomingClaim, claim: Claim): StepResult {
 	const answer: KeyAnswer = {type: canConfirmNotRun(state, incoming.minted) ? 'yielded' : 'unsure'};
 	return chain(
 		state,
@@ -43,13 +43,13 @@
 	return minted <= wall - keyLifetimeMs || minted > wall + maxCallerClockLeadMs;
 }
 
-function handleClaimOfNewKey(state: State, incoming: IncomingClaim): Step {
+function handleClaimOfNewKey(state: State, incoming: IncomingClaim): StepResult {
 	return hasClaimRoom(state)
 		? givePromise(state, incoming, {minted: incoming.minted, progress: {type: 'doubtful'}})
 		: sendReply(state, incoming, {type: 'refused'});
 }
 
-function handleClaimOfKnownKey(state: State, incoming: IncomingClaim, claim: Claim): Step {
+function handleClaimOfKnownKey(state: State, incoming: IncomingClaim, claim: Claim): StepResult {
 	const {claimant} = incoming;
 	const {progress} = claim;
 	switch (progress.type) {
@@ -79,7 +79,7 @@
  * @param incoming - The claim.
  * @returns The next state, in which a promise is recorded before it is sent, and the answer.
  */
-export function handleClaim(state: State, incoming: IncomingClaim, context: Context): Step {
+export function handleClaim(state: State, incoming: IncomingClaim, context: StepContext): StepResult {
 	const next = addKnownPeer(state, incoming.claimant);
 	const claim = next.keys.claims.get(incoming.right);
 	if (isOutdated(next, incoming.claimant) || isOutsideTimeWindow(incoming.minted, context.wall)) {
--- a/src/core/features/keys/feature.ts
+++ b/src/core/features/keys/feature.ts
@@ -4,7 +4,7 @@
 import {type KeyMessage, type Member, type PeerMessage} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
 import {
-	type Context, type Feature, type State, type Step,
+	type StepContext, type Feature, type State, type StepResult,
 } from '../../types/state.js';
 import {assertNever, chain, withoutEffects} from '../../utils/common.js';
 import {findService} from '../configuration/queries.js';
@@ -32,14 +32,14 @@
 const sweepIntervalMs = 5000;
 
 /** Forwards a request to a peer that may be able to claim the key, since this host can't. */
-function forwardToPeer(state: State, request: Request, right: string): Step {
+function forwardToPeer(state: State, request: Request, right: string): StepResult {
 	const peer = listActivePeers(state).find(each => each.hasAnswered && hasLink(state, each.member.incarnation.host));
 	return peer === undefined
 		? answerUnknown(state, request, 'outcomeUnknown', 'this host cannot tell whether the key ran')
 		: forwardToKeeper(state, request, right, peer.member);
 }
 
-function handleKnownKey(state: State, request: Request, right: string, claim: Claim): Step {
+function handleKnownKey(state: State, request: Request, right: string, claim: Claim): StepResult {
 	const {progress} = claim;
 	switch (progress.type) {
 		case 'claiming': {
@@ -66,7 +66,7 @@
 	}
 }
 
-function handleNewKey(state: State, presented: PresentedKey, context: Context): Step {
+function handleNewKey(state: State, presented: PresentedKey, context: StepContext): StepResult {
 	const {request, right, minted} = presented;
 	const {wall} = context;
 	if (minted <= wall - keyLifetimeMs) {
@@ -93,7 +93,7 @@
 	return beginClaim(state, presented, context);
 }
 
-function handleArrival(state: State, request: Request, key: string, context: Context): Step {
+function handleArrival(state: State, request: Request, key: string, context: StepContext): StepResult {
 	const minted = parseMintTime(key);
 	const requestedService = findService(state, request.service);
 	if (minted === undefined || requestedService?.ticketRule === 'ticket') {
@@ -120,7 +120,7 @@
 	return next;
 }
 
-function handleKeyMessage(state: State, from: string, message: KeyMessage, context: Context): Step {
+function handleKeyMessage(state: State, from: string, message: KeyMessage, context: StepContext): StepResult {
 	switch (message.type) {
 		case 'key-join': {
 			return handleHandshake(state, message.member, message.digest);
@@ -153,7 +153,7 @@
 	return next;
 }
 
-function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
+function handlePeerMessage(state: State, from: string, message: PeerMessage, context: StepContext): StepResult {
 	switch (message.type) {
 		case 'hello': {
 			return withoutEffects(addKnownPeer(state, message.member));
@@ -182,7 +182,7 @@
 	}
 }
 
-function sweepClaims(state: State, {now, wall}: Context): Step {
+function sweepClaims(state: State, {now, wall}: StepContext): StepResult {
 	if (now < state.keys.sweepAt) {
 		return withoutEffects(state);
 	}
@@ -192,7 +192,7 @@
 	return withoutEffects(updateKeys(state, {claims, sweepAt: now + sweepIntervalMs}));
 }
 
-function handleHostList(state: State, event: EventOf<'hosts-listed'>): Step {
+function handleHostList(state: State, event: EventOf<'hosts-listed'>): StepResult {
 	return withoutEffects(updateKeys(addKnownPeers(state, event.members), {hasHostList: true}));
 }
 
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -1,6 +1,6 @@
 /** Reads idempotency keys and the known peers that may run them. */
 import {type Effect} from '../../types/effect.js';
-import {type RelayedMessage} from '../../types/peer.js';
+import {type RelayableMessage} from '../../types/peer.js';
 import {type State} from '../../types/state.js';
 import {maxRouteHops, findNextHop} from '../membership/routes.js';
 import {maxCallerClockLeadMs, maxHostClockSkewMs, type KnownPeer} from './types.js';
@@ -44,7 +44,7 @@
 	readonly to: string;
 	/** Number of hosts that have relayed it. */
 	readonly hops: number;
-	readonly message: RelayedMessage;
+	readonly message: RelayableMessage;
 };
 
 /**
@@ -78,7 +78,7 @@
  *
  * @param to - Recipient.
  */
-export function sendToHost(state: State, to: string, message: RelayedMessage): readonly Effect[] {
+export function sendToHost(state: State, to: string, message: RelayableMessage): readonly Effect[] {
 	return deliver(state, {
 		from: state.self.incarnation.host, to, hops: 0, message,
 	});
--- a/src/core/features/membership/commands/peers.ts
+++ b/src/core/features/membership/commands/peers.ts
@@ -1,7 +1,7 @@
 /** Adds, updates and removes peers, and keeps the sum of the work that live peers have in flight. */
 import {Map as Table} from 'immutable';
 import {type Load, type Member} from '../../../types/peer.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {removeOldest} from '../../../utils/bounded.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {peerLimit, replacedGraceMs} from '../constants.js';
@@ -100,7 +100,7 @@
 }
 
 /** Removes a host with an earlier start at the same address: two processes cannot listen at one address. */
-function removeAtSameAddress(state: State, member: Member): Step {
+function removeAtSameAddress(state: State, member: Member): StepResult {
 	const {host, port} = member.peerAddress;
 	const old = [...state.membership.peers.values()].find(peer =>
 		peer.member.peerAddress.port === port
@@ -116,7 +116,7 @@
 	return {state: next, effects: createDepartureEffects(incarnation.host, incarnation.started, `${member.incarnation.host} is at its address`)};
 }
 
-function insertMember(state: State, member: Member, now: number): Step {
+function insertMember(state: State, member: Member, now: number): StepResult {
 	const {host, started} = member.incarnation;
 	const before = state.membership.peers.get(host);
 	const newestStarts = removeOldest(state.membership.newestStarts.set(host, started), peerLimit * 2, value => value);
@@ -132,7 +132,7 @@
 }
 
 /** Makes this host leave, as a stop request does, when a newer incarnation took its name while it was paused. */
-function leaveAsReplaced(state: State, member: Member): Step {
+function leaveAsReplaced(state: State, member: Member): StepResult {
 	return state.membership.phase === 'leaving'
 		? withoutEffects(state)
 		: {
@@ -152,7 +152,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function addMember(state: State, member: Member, now: number): Step {
+export function addMember(state: State, member: Member, now: number): StepResult {
 	const {host, started} = member.incarnation;
 	const {peers, newestStarts} = state.membership;
 	if (host === state.self.incarnation.host) {
--- a/src/core/features/membership/commands/phase.ts
+++ b/src/core/features/membership/commands/phase.ts
@@ -1,5 +1,5 @@
 /** Changes the phase of this host: starting, serving, leaving. */
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {getRevision} from '../../configuration/queries.js';
 import {isIdle} from '../../requests/queries.js';
@@ -34,7 +34,7 @@
  * @param context - Time.
  * @returns The next step.
  */
-export function serveWhenReady(state: State, context: Context): Step {
+export function serveWhenReady(state: State, context: StepContext): StepResult {
 	if (state.membership.phase !== 'starting' || getRevision(state) === 0 || !hasConsultedPeers(state, context.now)) {
 		return withoutEffects(state);
 	}
@@ -54,7 +54,7 @@
  * @param context - Time.
  * @returns The next step.
  */
-export function startLeaving(state: State, grace: number, context: Context): Step {
+export function startLeaving(state: State, grace: number, context: StepContext): StepResult {
 	const {now} = context;
 	if (state.membership.phase === 'leaving') {
 		return withoutEffects(state);
@@ -84,7 +84,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns A step that stops this host once it is leaving and drained, or its grace has passed.
  */
-export function stopWhenDrained(state: State, now: number): Step {
+export function stopWhenDrained(state: State, now: number): StepResult {
 	const {leaving} = state.membership;
 	if (leaving === undefined) {
 		return withoutEffects(state);
--- a/src/core/features/membership/commands/receive.ts
+++ b/src/core/features/membership/commands/receive.ts
@@ -1,9 +1,9 @@
 /** Applies messages from peers: their own state, and the state of others that they relay. */
 import {Map as Table} from 'immutable';
 import {
-	type Digest, type Load, type PeerMessage, type Phase,
+	type HeartbeatSummary, type Load, type PeerMessage, type HostPhase,
 } from '../../../types/peer.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {type Heartbeat} from '../heartbeat.js';
 import {type Peer} from '../types.js';
@@ -28,7 +28,7 @@
 }
 
 /** Marks a peer live after a message from it or about it. A peer that is leaving never returns to an earlier phase. */
-function markLive(state: State, peer: Peer, phase: Phase, now: number): Step {
+function markLive(state: State, peer: Peer, phase: HostPhase, now: number): StepResult {
 	const {host} = peer.member.incarnation;
 	const newPhase = peer.phase === 'leaving' ? 'leaving' : phase;
 	const next = putPeer(state, {
@@ -47,7 +47,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function applyHello(state: State, hello: Hello, now: number): Step {
+export function applyHello(state: State, hello: Hello, now: number): StepResult {
 	const {member, phase, revision} = hello;
 	const {host, started} = member.incarnation;
 	return chain(
@@ -76,7 +76,7 @@
 }
 
 /** Ignores heartbeats unless the known incarnation is linked: the link of an older one may still be open. */
-function applyOwnState(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
+function applyOwnState(state: State, from: string, heartbeat: Heartbeat, now: number): StepResult {
 	const peer = state.membership.peers.get(from);
 	return peer?.connected !== true || heartbeat.sequence < peer.sequence
 		? withoutEffects(state)
@@ -84,7 +84,7 @@
 }
 
 /** Marks a peer suspect after another host lost its link to it and this host received nothing newer. */
-function markSuspect(state: State, peer: Peer, now: number): Step {
+function markSuspect(state: State, peer: Peer, now: number): StepResult {
 	return {
 		state: putPeer(state, {...peer, status: 'suspect', changed: now}),
 		effects: [createMemberLog(peer.member.incarnation.host, 'suspect', 'another host lost its link')],
@@ -92,7 +92,7 @@
 }
 
 /** Applies the relayed state of a peer that has no link to this host, if it is newer than the known one. */
-function applyDigest(state: State, digest: Digest, now: number): Step {
+function applyDigest(state: State, digest: HeartbeatSummary, now: number): StepResult {
 	const {host, started} = digest.incarnation;
 	const peer = state.membership.peers.get(host);
 	if (peer === undefined || peer.connected || peer.member.incarnation.started !== started) {
@@ -125,7 +125,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function applyHeartbeat(state: State, from: string, heartbeat: Heartbeat, now: number): Step {
+export function applyHeartbeat(state: State, from: string, heartbeat: Heartbeat, now: number): StepResult {
 	return chain(
 		state,
 		current => applyOwnState(current, from, heartbeat, now),
--- a/src/core/features/membership/commands/send-heartbeat.ts
+++ b/src/core/features/membership/commands/send-heartbeat.ts
@@ -2,7 +2,7 @@
 import {Map as Table} from 'immutable';
 import {type Effect} from '../../../types/effect.js';
 import {type Load} from '../../../types/peer.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {
 	heartbeatIntervalMs,
@@ -27,7 +27,7 @@
 	return isFull ? Table(entries) : before.merge(Table(entries)).filter(load => load.requests > 0);
 }
 
-function sendHeartbeat(state: State, context: Context, isUrgent: boolean): Step {
+function sendHeartbeat(state: State, context: StepContext, isUrgent: boolean): StepResult {
 	const {now} = context;
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	const sequence = state.membership.sequence + 1;
@@ -64,7 +64,7 @@
  * @param context - Time.
  * @returns The next step; unchanged before the next heartbeat is due.
  */
-export function sendDueHeartbeat(state: State, context: Context): Step {
+export function sendDueHeartbeat(state: State, context: StepContext): StepResult {
 	return context.now < state.membership.nextHeartbeat ? withoutEffects(state) : sendHeartbeat(state, context, false);
 }
 
@@ -73,7 +73,7 @@
  * @param context - Time.
  * @returns A step that sends a heartbeat to every linked peer at once, in other failure domains too.
  */
-export function sendHeartbeatNow(state: State, context: Context): Step {
+export function sendHeartbeatNow(state: State, context: StepContext): StepResult {
 	return sendHeartbeat(state, context, true);
 }
 
@@ -86,7 +86,7 @@
  * @param context - Time.
  * @returns The next step.
  */
-export function sendFirstHeartbeat(state: State, host: string, context: Context): Step {
+export function sendFirstHeartbeat(state: State, host: string, context: StepContext): StepResult {
 	const {peers, sentLoads} = state.membership;
 	const peer = peers.get(host);
 	if (peer === undefined) {
--- a/src/core/features/membership/commands/sweep.ts
+++ b/src/core/features/membership/commands/sweep.ts
@@ -2,7 +2,7 @@
 import {Set as Group} from 'immutable';
 import {type Effect} from '../../../types/effect.js';
 import {type Member} from '../../../types/peer.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {
 	linkedTimeoutMs,
@@ -46,7 +46,7 @@
 	return peer.status === 'known' ? 'known' : 'suspect';
 }
 
-function sweepPeer(state: State, peer: Peer, now: number): Step {
+function sweepPeer(state: State, peer: Peer, now: number): StepResult {
 	const {host} = peer.member.incarnation;
 	const removalTimeout = peer.phase === 'leaving' ? leftRemovalTimeoutMs : removalTimeoutMs;
 	if (now - peer.lastSeen > removalTimeout && state.membership.listed?.has(host) !== true) {
@@ -66,7 +66,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function updateLinks(state: State, now: number): Step {
+export function updateLinks(state: State, now: number): StepResult {
 	const {asked, linked} = state.membership;
 	const wanted = selectLinks(state, now);
 	const names = Group(wanted.map(member => member.incarnation.host));
@@ -99,7 +99,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step; unchanged before the next sweep is due.
  */
-export function sweep(state: State, now: number): Step {
+export function sweep(state: State, now: number): StepResult {
 	if (now < state.membership.nextSweep) {
 		return withoutEffects(state);
 	}
@@ -121,7 +121,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function applyHostList(state: State, members: readonly Member[], leaving: readonly string[], now: number): Step {
+export function applyHostList(state: State, members: readonly Member[], leaving: readonly string[], now: number): StepResult {
 	const listed = Group(members.map(member => member.incarnation.host));
 	const leavingHosts = new Set(leaving);
 	return chain(
--- a/src/core/features/membership/feature.ts
+++ b/src/core/features/membership/feature.ts
@@ -2,7 +2,7 @@
 import {type EventOf} from '../../types/event.js';
 import {type Address} from '../../types/configuration.js';
 import {
-	type Context, type Feature, type State, type Step,
+	type StepContext, type Feature, type State, type StepResult,
 } from '../../types/state.js';
 import {chain, withoutEffects} from '../../utils/common.js';
 import {sendDueHeartbeat, sendFirstHeartbeat, sendHeartbeatNow} from './commands/send-heartbeat.js';
@@ -15,12 +15,12 @@
 	return state.membership.began === undefined ? updateMembership(state, {began: now}) : state;
 }
 
-function handlePeerConnected(state: State, host: string): Step {
+function handlePeerConnected(state: State, host: string): StepResult {
 	return withoutEffects(updateMembership(state, {linked: state.membership.linked.add(host)}));
 }
 
 /** Marks the peer connected after its hello. A hello without a link only adds the host. */
-function completeHandshake(state: State, host: string, context: Context): Step {
+function completeHandshake(state: State, host: string, context: StepContext): StepResult {
 	const peer = state.membership.peers.get(host);
 	return peer === undefined || !state.membership.linked.has(host)
 		? withoutEffects(state)
@@ -28,7 +28,7 @@
 }
 
 /** Marks a peer suspect at once when its link breaks. Links that this host dropped itself are no longer in `linked`. */
-function handlePeerLost(state: State, host: string, now: number): Step {
+function handlePeerLost(state: State, host: string, now: number): StepResult {
 	const peer = state.membership.peers.get(host);
 	const next = updateMembership(state, {linked: state.membership.linked.delete(host)});
 	if (peer?.connected !== true) {
@@ -49,7 +49,7 @@
 	return `${host}:${port}`;
 }
 
-function dialSeeds(state: State, addresses: readonly Address[]): Step {
+function dialSeeds(state: State, addresses: readonly Address[]): StepResult {
 	const {host, port} = state.self.peerAddress;
 	const others = addresses.filter(each => each.host !== host || each.port !== port);
 	return {
@@ -59,7 +59,7 @@
 }
 
 /** Drops the link to a seed, which is dialed under its address, once the host there is known by name and dialed as such. */
-function resolveSeed(state: State, address: Address): Step {
+function resolveSeed(state: State, address: Address): StepResult {
 	const name = seedName(address);
 	const {seeds} = state.membership;
 	return seeds.has(name)
@@ -67,7 +67,7 @@
 		: withoutEffects(state);
 }
 
-function handleHello(state: State, event: EventOf<'peer-message'>, context: Context): Step {
+function handleHello(state: State, event: EventOf<'peer-message'>, context: StepContext): StepResult {
 	const {message, from} = event;
 	if (message.type !== 'hello') {
 		return withoutEffects(state);
@@ -81,7 +81,7 @@
 	);
 }
 
-function handlePeerMessage(state: State, event: EventOf<'peer-message'>, context: Context): Step {
+function handlePeerMessage(state: State, event: EventOf<'peer-message'>, context: StepContext): StepResult {
 	switch (event.message.type) {
 		case 'hello': {
 			return handleHello(state, event, context);
@@ -98,12 +98,12 @@
 }
 
 /** Restarts the silence of live peers: no message could be received while this host was paused. */
-function handleWoken(state: State, now: number): Step {
+function handleWoken(state: State, now: number): StepResult {
 	const peers = state.membership.peers.map(peer => peer.status === 'live' ? {...peer, lastSeen: now} : peer);
 	return withoutEffects(updateMembership(state, {peers}));
 }
 
-function handleTick(state: State, context: Context): Step {
+function handleTick(state: State, context: StepContext): StepResult {
 	const {now} = context;
 	return chain(
 		recordStart(state, now),
--- a/src/core/features/membership/heartbeat.ts
+++ b/src/core/features/membership/heartbeat.ts
@@ -1,8 +1,8 @@
 /** Composes heartbeats of bounded size: changes of this host's state, and the state of a few other peers. */
 import {
-	type Digest, type Load, type Member, type PeerMessage,
+	type HeartbeatSummary, type Load, type Member, type PeerMessage,
 } from '../../types/peer.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {hashText, mixHashes} from '../../utils/hashes.js';
 import {getRevision} from '../configuration/queries.js';
 import {getOwnDemands} from '../limits/queries.js';
@@ -74,7 +74,7 @@
 		.map(each => each.load);
 }
 
-function createDigest(peer: Peer, isForOtherDomain: boolean): Digest {
+function createDigest(peer: Peer, isForOtherDomain: boolean): HeartbeatSummary {
 	const loads = isForOtherDomain ? [] : [...peer.loads.values()].toSorted((a, b) => countTokens(b) - countTokens(a)).slice(0, maxRelayedLoads);
 	return {
 		incarnation: peer.member.incarnation,
@@ -163,7 +163,7 @@
  * @param contents - Loads and relayed peers.
  * @returns The heartbeat.
  */
-export function composeHeartbeat(state: State, context: Context, contents: HeartbeatContents): Heartbeat {
+export function composeHeartbeat(state: State, context: StepContext, contents: HeartbeatContents): Heartbeat {
 	const {loads, whole, relayed} = contents;
 	const {sequence} = state.membership;
 	return {
--- a/src/core/features/membership/types.ts
+++ b/src/core/features/membership/types.ts
@@ -1,7 +1,7 @@
 /** State of membership: the other hosts, and this host's own phase and links. */
 import {Map as Table, Set as Group} from 'immutable';
 import {
-	type Demand, type Load, type Member, type Mix, type Phase,
+	type Demand, type Load, type Member, type TrafficMix, type HostPhase,
 } from '../../types/peer.js';
 
 /**
@@ -12,7 +12,7 @@
 
 export type Peer = {
 	readonly member: Member;
-	readonly phase: Phase;
+	readonly phase: HostPhase;
 	readonly status: PeerStatus;
 	/** Whether this host has a link to it. */
 	readonly connected: boolean;
@@ -34,11 +34,11 @@
 	readonly loads: Table<string, Load>;
 	/** Arriving work at the peer, by organisation and by service. */
 	readonly demands: readonly Demand[];
-	readonly mixes: readonly Mix[];
+	readonly mixes: readonly TrafficMix[];
 };
 
 export type MembershipState = {
-	readonly phase: Phase;
+	readonly phase: HostPhase;
 	/** Monotonic time of the first tick, in milliseconds. */
 	readonly began?: number;
 	/** Monotonic times in milliseconds: when this host started to leave, and when it stops at the latest. */
--- a/src/core/features/placement/commands/orders.ts
+++ b/src/core/features/placement/commands/orders.ts
@@ -3,7 +3,7 @@
 import {type EventOf} from '../../../types/event.js';
 import {type Effect} from '../../../types/effect.js';
 import {type Order} from '../../../types/upstream.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {getRevision, findUpstream} from '../../configuration/queries.js';
 import {isBehind, nextNumber} from '../numbers.js';
@@ -57,7 +57,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns A step that asks the engine for its current orders, and reserves a load if one may follow.
  */
-export function requestOrders(state: State, control: ControlledEngine, engine: Engine, now: number): Step {
+export function requestOrders(state: State, control: ControlledEngine, engine: Engine, now: number): StepResult {
 	const reserved = control.isSealed ? 1 : 0;
 	return {
 		state: setProgress(spendCredit(state, reserved), control, {type: 'reading', since: now, reserved}),
@@ -65,7 +65,7 @@
 	};
 }
 
-function sendOrder(state: State, control: ControlledEngine, engine: Engine, details: {readonly order: Order; readonly now: number; readonly reason: string}): Step {
+function sendOrder(state: State, control: ControlledEngine, engine: Engine, details: {readonly order: Order; readonly now: number; readonly reason: string}): StepResult {
 	const effects: readonly Effect[] = [
 		{
 			type: 'log', decision: {
@@ -87,7 +87,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function handleOrdersRead(state: State, event: EventOf<'orders-read'>, now: number): Step {
+export function handleOrdersRead(state: State, event: EventOf<'orders-read'>, now: number): StepResult {
 	const control = state.placement.controlled.get(event.upstream);
 	const engine = findEngine(state, event.upstream);
 	if (control?.progress.type !== 'reading' || engine?.target === undefined) {
@@ -126,7 +126,7 @@
  * @param now - Monotonic time in milliseconds.
  * @returns The next step.
  */
-export function handleOrderAnswered(state: State, event: EventOf<'order-answered'>, now: number): Step {
+export function handleOrderAnswered(state: State, event: EventOf<'order-answered'>, now: number): StepResult {
 	const control = state.placement.controlled.get(event.upstream);
 	if (control?.progress.type !== 'ordering' || control.progress.number.counter !== event.order.number.counter) {
 		return withoutEffects(state);
--- a/src/core/features/placement/commands/reconcile.ts
+++ b/src/core/features/placement/commands/reconcile.ts
@@ -2,7 +2,7 @@
 import {Set as Group} from 'immutable';
 import {type Engine} from '../../../types/configuration.js';
 import {
-	type Context, type State, type Step,
+	type StepContext, type State, type StepResult,
 } from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {isServing} from '../../membership/queries.js';
@@ -62,7 +62,7 @@
 	return getView(state, engine.id).report?.ready === false || changeable.has(engine.id);
 }
 
-function reconcileEngine(state: State, engine: Engine, changeable: ReadonlySet<string>, now: number): Step {
+function reconcileEngine(state: State, engine: Engine, changeable: ReadonlySet<string>, now: number): StepResult {
 	const control = state.placement.controlled.get(engine.id);
 	if (control === undefined) {
 		return withoutEffects(state);
@@ -99,7 +99,7 @@
  * @param context - Time.
  * @returns The next step; without change until the next reconciliation is due.
  */
-export function reconcile(state: State, {now, wall}: Context): Step {
+export function reconcile(state: State, {now, wall}: StepContext): StepResult {
 	if (now < state.placement.nextReconciliation || state.configuration.inForce === undefined) {
 		return withoutEffects(state);
 	}
--- a/src/core/features/polling/feature.ts
+++ b/src/core/features/polling/feature.ts
@@ -1,8 +1,8 @@
 /** Shares load reports among the hosts of a failure domain, so that each host polls only some of the engines. */
 import {type Effect} from '../../types/effect.js';
 import {type Event} from '../../types/event.js';
-import {type Report} from '../../types/upstream.js';
-import {type Feature, type State, type Step} from '../../types/state.js';
+import {type LoadReport} from '../../types/upstream.js';
+import {type Feature, type State, type StepResult} from '../../types/state.js';
 import {withoutEffects} from '../../utils/common.js';
 import {listLivePeers} from '../membership/queries.js';
 import {getView} from '../upstreams/queries.js';
@@ -38,7 +38,7 @@
 		|| isChanged(report.usedMemory, before.usedMemory, report.memory);
 }
 
-function addUnpublished(state: State, report: Report, now: number): Step {
+function addUnpublished(state: State, report: LoadReport, now: number): StepResult {
 	const dated = {report, reportedAt: now - report.age};
 	const {unpublished, published} = state.polling;
 	return needsPublishing(dated, published.get(report.upstream))
@@ -46,7 +46,7 @@
 		: withoutEffects(state);
 }
 
-function publishReports(state: State, now: number): Step {
+function publishReports(state: State, now: number): StepResult {
 	const {unpublished, published, nextPublication} = state.polling;
 	if (now < nextPublication || unpublished.isEmpty()) {
 		return withoutEffects(state);
@@ -64,7 +64,7 @@
 }
 
 /** Skips reports older than the current one, which could restore an earlier incarnation of the engine. */
-function handleReports(state: State, reports: readonly Report[], now: number): Step {
+function handleReports(state: State, reports: readonly LoadReport[], now: number): StepResult {
 	const newer = reports.filter(report => now - report.age > (getView(state, report.upstream).reportedAt ?? Number.NEGATIVE_INFINITY));
 	return {
 		state,
--- a/src/core/features/polling/types.ts
+++ b/src/core/features/polling/types.ts
@@ -1,10 +1,10 @@
 /** State of the load reports that this host publishes to its peers. */
 import {Map as Table} from 'immutable';
-import {type Report} from '../../types/upstream.js';
+import {type LoadReport} from '../../types/upstream.js';
 
 /** A report with the time at which its figures were measured. */
 export type DatedReport = {
-	readonly report: Report;
+	readonly report: LoadReport;
 	/** Monotonic time in milliseconds. */
 	readonly reportedAt: number;
 };
--- a/src/core/features/prefixes/feature.ts
+++ b/src/core/features/prefixes/feature.ts
@@ -19,7 +19,7 @@
 		switch (event.type) {
 			case 'attempt-began': {
 				const {request, attempt} = event;
-				return withoutEffects(attempt.parts === undefined ? recordRequest(state, request, attempt.upstream) : state);
+				return withoutEffects(attempt.prefillShares === undefined ? recordRequest(state, request, attempt.upstream) : state);
 			}
 
 			case 'cache-changed': {
--- a/src/core/features/requests/commands/admit.ts
+++ b/src/core/features/requests/commands/admit.ts
@@ -2,7 +2,7 @@
 import {codes, type CodeName} from '../../../errors.js';
 import {type Service} from '../../../types/configuration.js';
 import {type Request} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {findOrganisation, findService} from '../../configuration/queries.js';
 import {maxFillRatio} from '../../groups/queries.js';
 import {getLimitDelay} from '../../limits/queries.js';
@@ -23,7 +23,7 @@
  */
 const overfillFactor = 2;
 
-function refuseWith(state: State, request: Request, code: CodeName, reason: string, retryAfter = defaultRetryAfterMs): Step {
+function refuseWith(state: State, request: Request, code: CodeName, reason: string, retryAfter = defaultRetryAfterMs): StepResult {
 	return refuse(state, request, {type: 'not-run', code: codes[code], retryAfter: Math.ceil(retryAfter)}, reason);
 }
 
@@ -75,7 +75,7 @@
 };
 
 /** Handles a request that this failure domain can't serve in time. */
-function spillOrRefuse(state: State, request: Request, prediction: Prediction | undefined, context: Context): Step {
+function spillOrRefuse(state: State, request: Request, prediction: Prediction | undefined, context: StepContext): StepResult {
 	const spilled = spillNew(state, createAdmission(request, prediction ?? emptyPrediction, context.now), context);
 	if (spilled !== undefined) {
 		return {...spilled, effects: [{type: 'raise', event: {type: 'request-admitted', request}}, ...spilled.effects]};
@@ -94,7 +94,7 @@
  * @param request - Request that may run here.
  * @returns The next state, with the request queued, sent to another failure domain or refused.
  */
-export function admit(state: State, request: Request, context: Context): Step {
+export function admit(state: State, request: Request, context: StepContext): StepResult {
 	const {now} = context;
 	if (!isServing(state)) {
 		return refuseWith(state, request, 'leaving', 'not serving');
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -5,7 +5,7 @@
 import {
 	type Attempt, type Ending, type LengthClass, type Outcome, type Request,
 } from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {findService, findUpstream as configured} from '../../configuration/queries.js';
 import {canRetry} from '../../retries/queries.js';
@@ -50,16 +50,16 @@
 		began: now,
 		upstreamIncarnation: getView(state, choice.upstream.id).report?.incarnation,
 		...estimateWork(state, request, choice.cached),
-		ahead: choice.ahead,
+		prefillAhead: choice.ahead,
 		length: lengthClassOf(state, request),
-		parts: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
+		prefillShares: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
 		written: false,
 		received: 0,
 	};
 }
 
 /** @returns Code of the reason why the request must not be admitted or sent, if there is one. */
-export function findSendRefusal(state: State, request: Request, context: Context): CodeName | undefined {
+export function findSendRefusal(state: State, request: Request, context: StepContext): CodeName | undefined {
 	return isConvicted(state, request.fingerprint, context)
 		? 'convicted'
 		: findDispatchRefusal(state, request, context);
@@ -71,7 +71,7 @@
  * @param segments - Segments of the prompt, if several engines share it.
  * @returns The next state and the effects.
  */
-export function send(state: State, admission: Admission, choice: Choice, context: Context, segments?: readonly Segment[]): Step {
+export function send(state: State, admission: Admission, choice: Choice, context: StepContext, segments?: readonly Segment[]): StepResult {
 	const {request} = admission;
 	const refusal = findSendRefusal(state, request, context);
 	if (refusal !== undefined) {
@@ -115,7 +115,7 @@
 	};
 }
 
-function removeAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
+function removeAttempt(state: State, admission: Admission, attempt: Attempt, ending: Ending): StepResult {
 	return {
 		state: {...state, requests: {...state.requests, attempts: state.requests.attempts.delete(attempt.id)}},
 		effects: [{
@@ -126,7 +126,7 @@
 	};
 }
 
-function retry(state: State, admission: Admission, attempt: Attempt, ending: Ending): Step {
+function retry(state: State, admission: Admission, attempt: Attempt, ending: Ending): StepResult {
 	const {request} = admission;
 	const hasPossiblyRun = ending.type !== 'not-run';
 	const next: Admission = {
@@ -164,7 +164,7 @@
  * @param now - Core clock, in milliseconds.
  * @returns The next state, with the request queued for a retry or answered.
  */
-export function endAttempt(state: State, id: string, ending: Ending, now: number): Step {
+export function endAttempt(state: State, id: string, ending: Ending, now: number): StepResult {
 	const admission = admissionOf(state, id);
 	if (admission?.progress.type !== 'running') {
 		return withoutEffects(state);
@@ -186,7 +186,7 @@
  * @param now - Core clock, in milliseconds.
  * @returns The next state.
  */
-export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): Step {
+export function recordProgress(state: State, event: EventOf<'attempt-progressed'>, now: number): StepResult {
 	const admission = admissionOf(state, event.attempt);
 	if (admission?.progress.type !== 'running') {
 		return withoutEffects(state);
@@ -221,7 +221,7 @@
  * @param waitingOutcome - Outcome for a request that has not run.
  * @returns The next state, the cancellation and the answer.
  */
-export function stopRequest(state: State, admission: Admission, runningOutcome: Outcome, waitingOutcome: Outcome): Step {
+export function stopRequest(state: State, admission: Admission, runningOutcome: Outcome, waitingOutcome: Outcome): StepResult {
 	if (admission.progress.type !== 'running') {
 		return conclude(state, admission, admission.lastOutcome ?? waitingOutcome);
 	}
--- a/src/core/features/requests/commands/conclude.ts
+++ b/src/core/features/requests/commands/conclude.ts
@@ -1,7 +1,7 @@
 /** Stores admissions and gives requests their final answer. */
 import {codes} from '../../../errors.js';
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {assertNever} from '../../../utils/common.js';
 import {countUnanswered} from '../queries.js';
 import {type Admission} from '../types.js';
@@ -78,7 +78,7 @@
 	}
 }
 
-function answerEffects(request: Request, outcome: Outcome): Step['effects'] {
+function answerEffects(request: Request, outcome: Outcome): StepResult['effects'] {
 	return [
 		{type: 'answer', request: request.id, outcome},
 		{type: 'raise', event: {type: 'request-concluded', request, outcome}},
@@ -91,7 +91,7 @@
  * @param outcome - Outcome for the caller.
  * @returns The next state and the answer.
  */
-export function conclude(state: State, admission: Admission, outcome: Outcome): Step {
+export function conclude(state: State, admission: Admission, outcome: Outcome): StepResult {
 	const {request} = admission;
 	const dequeued = admission.progress.type === 'queued' ? removeFromQueue(state, admission) : state;
 	return {
@@ -111,7 +111,7 @@
  * @param reason - Reason for the log.
  * @returns The unchanged state and the answer.
  */
-export function refuse(state: State, request: Request, outcome: Extract<Outcome, {readonly type: 'not-run'}>, reason: string): Step {
+export function refuse(state: State, request: Request, outcome: Extract<Outcome, {readonly type: 'not-run'}>, reason: string): StepResult {
 	const {organisation, service} = request;
 	return {
 		state,
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -1,6 +1,6 @@
 /** Sends queued requests when an upstream has room for them. */
 import {type Service} from '../../../types/configuration.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {findService} from '../../configuration/queries.js';
 import {canFormGroup} from '../../groups/queries.js';
@@ -29,7 +29,7 @@
 	return now - since > (admission.due - since) * spillWaitFraction;
 }
 
-function sendOrSpill(state: State, requestedService: Service, admission: Admission, context: Context): Step | undefined {
+function sendOrSpill(state: State, requestedService: Service, admission: Admission, context: StepContext): StepResult | undefined {
 	const found = route(state, {
 		request: admission.request, requestedService: requestedService, failureDomain: state.self.failureDomain, failedUpstreams: admission.failedUpstreams,
 	}, context);
@@ -42,7 +42,7 @@
 		: undefined;
 }
 
-function requestGroup(state: State, admission: Admission, {now}: Context): Step | undefined {
+function requestGroup(state: State, admission: Admission, {now}: StepContext): StepResult | undefined {
 	const {request} = admission;
 	return canFormGroup(state, request.service, now)
 		? {
@@ -52,7 +52,7 @@
 		: undefined;
 }
 
-function dispatchQueue(state: State, requestedService: Service, name: QueueName, context: Context): Step | undefined {
+function dispatchQueue(state: State, requestedService: Service, name: QueueName, context: StepContext): StepResult | undefined {
 	if (!state.requests.queues.has(queueKey(requestedService.id, name))) {
 		return undefined;
 	}
@@ -71,7 +71,7 @@
  * @param id - Service.
  * @returns The next state and the effects.
  */
-export function dispatch(state: State, id: string, context: Context): Step {
+export function dispatch(state: State, id: string, context: StepContext): StepResult {
 	const requestedService = findService(state, id);
 	if (requestedService === undefined) {
 		return withoutEffects(state);
@@ -88,7 +88,7 @@
 }
 
 /** @returns The unchanged state and a dispatch event for each service with queued requests. */
-export function requestDispatch(state: State): Step {
+export function requestDispatch(state: State): StepResult {
 	const services = new Set([...state.requests.queues.keys()].map(key => key.slice(0, key.indexOf('/'))));
 	return {
 		state,
--- a/src/core/features/requests/commands/expire.ts
+++ b/src/core/features/requests/commands/expire.ts
@@ -1,7 +1,7 @@
 /** Stops requests that are past their deadline or can no longer meet it, and those that were abandoned or sealed. */
 import {codes} from '../../../errors.js';
 import {type Outcome} from '../../../types/request.js';
-import {type State, type Step} from '../../../types/state.js';
+import {type State, type StepResult} from '../../../types/state.js';
 import {chain, withoutEffects} from '../../../utils/common.js';
 import {outlivesCaller} from '../../tickets/queries.js';
 import {type Admission} from '../types.js';
@@ -18,7 +18,7 @@
  * @param now - Core clock, in milliseconds.
  * @returns The next state, the cancellations and the answers.
  */
-export function expireRequests(state: State, now: number): Step {
+export function expireRequests(state: State, now: number): StepResult {
 	if (now < state.requests.nextDue) {
 		return withoutEffects(state);
 	}
@@ -46,7 +46,7 @@
  * @param id - Request.
  * @returns The next state and the effects.
  */
-export function abandonRequest(state: State, id: string): Step {
+export function abandonRequest(state: State, id: string): StepResult {
 	const admission = state.requests.admissions.get(id);
 	if (admission === undefined) {
 		return withoutEffects(state);
@@ -60,7 +60,7 @@
  * @param id - Request whose right was sealed before it was used.
  * @returns The next state and the effects.
  */
-export function stopSealed(state: State, id: string): Step {
+export function stopSealed(state: State, id: string): StepResult {
 	const admission = state.requests.admissions.get(id);
 	return admission === undefined
 		? withoutEffects(state)
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -1,6 +1,6 @@
 /** Sends requests that several engines hold together, or returns them to their queue. */
 import {type EventOf} from '../../../types/event.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {withoutEffects} from '../../../utils/common.js';
 import {findUpstream as configured} from '../../configuration/queries.js';
 import {estimateOutstanding, getView} from '../../upstreams/queries.js';
@@ -15,7 +15,7 @@
  * @param event - Request and the engines that hold memory for it.
  * @returns The next state and the effects.
  */
-export function sendToGroup(state: State, event: EventOf<'group-held'>, context: Context): Step {
+export function sendToGroup(state: State, event: EventOf<'group-held'>, context: StepContext): StepResult {
 	const admission = state.requests.admissions.get(event.request.id);
 	const last = event.segments.at(-1);
 	const upstream = last === undefined ? undefined : configured(state, last.upstream);
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -1,6 +1,6 @@
 /** Spills requests to upstreams of other failure domains when those of the own domain are full or unavailable. */
 import {type FailureDomain} from '../../../types/configuration.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {listDomainUpstreams, findService} from '../../configuration/queries.js';
 import {sample} from '../../routing/candidates.js';
 import {route} from '../../routing/queries.js';
@@ -12,7 +12,7 @@
 const maxSpillsPerUpstream = 0.5;
 
 /** Returns the other failure domains in random order, those of the own region first. */
-function listOtherDomains(state: State, context: Context): readonly FailureDomain[] {
+function listOtherDomains(state: State, context: StepContext): readonly FailureDomain[] {
 	const domains = state.configuration.inForce?.failureDomains ?? [];
 	const region = domains.find(each => each.id === state.self.failureDomain)?.region;
 	const otherDomains = domains.filter(each => each.id !== state.self.failureDomain);
@@ -33,7 +33,7 @@
  * @param admission - Request that is new or waits in its queue.
  * @returns The next state and the effects, or undefined if no other failure domain has room.
  */
-export function spill(state: State, admission: Admission, context: Context): Step | undefined {
+export function spill(state: State, admission: Admission, context: StepContext): StepResult | undefined {
 	const {request} = admission;
 	const requestedService = findService(state, request.service);
 	if (requestedService === undefined || admission.queue === 'group') {
@@ -66,6 +66,6 @@
  * @param admission - Request that is not in a queue.
  * @returns The next state and the effects, or undefined if no other failure domain has room.
  */
-export function spillNew(state: State, admission: Admission, context: Context): Step | undefined {
+export function spillNew(state: State, admission: Admission, context: StepContext): StepResult | undefined {
 	return spill(state, {...admission, progress: {type: 'holding', since: context.now}}, context);
 }
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -1,7 +1,7 @@
 /** Selects the upstreams that are scored for a request, so that the cost of routing does not grow with the fleet. */
 import {type ModelService, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {selectTopRanked, hashText} from '../../utils/hashes.js';
 import {canAttempt} from '../circuits/queries.js';
 import {isStopping} from '../stops/queries.js';
@@ -52,7 +52,7 @@
  * @param context - Time.
  * @returns Upstreams that can take the request; empty if there are none.
  */
-export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: Context): readonly Upstream[] {
+export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: StepContext): readonly Upstream[] {
 	const {request, failedUpstreams: failedUpstreams} = search;
 	const available = upstreams.filter(each => isUp(state, each) && canRunAt(state, request, each.id, context));
 	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
@@ -66,7 +66,7 @@
  * @param context - Random source.
  * @returns Up to `size` items without repeats, in random order.
  */
-export function sample<T>(items: readonly T[], size: number, context: Context): readonly T[] {
+export function sample<T>(items: readonly T[], size: number, context: StepContext): readonly T[] {
 	const remaining = [...items];
 	const sampled: T[] = [];
 	while (sampled.length < size && remaining.length > 0) {
@@ -117,7 +117,7 @@
 	/** The subset of `all` that can take the request. */
 	readonly usable: readonly Upstream[];
 	readonly prompt: Prompt;
-	readonly context: Context;
+	readonly context: StepContext;
 };
 
 function assessFor(search: EngineSearch, upstream: Upstream): Assessment {
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -1,7 +1,7 @@
 /** Chooses an upstream for a request according to the service's routing policy. */
 import {type Engine, type Service, type Upstream} from '../../types/configuration.js';
 import {type Request} from '../../types/request.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {listDomainUpstreams, findService} from '../configuration/queries.js';
 import {findCachedTokens} from '../prefixes/queries.js';
@@ -73,7 +73,7 @@
 	};
 }
 
-function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: Context): Choice | undefined {
+function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: StepContext): Choice | undefined {
 	const {request, requestedService: requestedService} = search;
 	const prompt = describePrompt(state, search);
 	if (requestedService.kind === 'plain' || isServedByLegacy(state, request)) {
@@ -89,17 +89,17 @@
 }
 
 /** Baseline policies ignore whether the upstream has room: requests queue at the upstream instead of at the host. */
-function chooseBaseline(state: State, search: Search, upstream: Upstream | undefined, {now}: Context): Choice | undefined {
+function chooseBaseline(state: State, search: Search, upstream: Upstream | undefined, {now}: StepContext): Choice | undefined {
 	const assessments = upstream === undefined ? [] : [assessUpstream(state, upstream, describePrompt(state, search), now)];
 	return chooseBest(state, assessments, search.requestedService, search.requestedService.policy);
 }
 
-function findLeastLoaded(state: State, upstreams: readonly Upstream[], context: Context): Upstream | undefined {
+function findLeastLoaded(state: State, upstreams: readonly Upstream[], context: StepContext): Upstream | undefined {
 	return sample(upstreams, upstreams.length, context)
 		.toSorted((a, b) => getView(state, a.id).requests - getView(state, b.id).requests)[0];
 }
 
-function choose(state: State, search: Search, upstreams: SearchedUpstreams, context: Context): Choice | undefined {
+function choose(state: State, search: Search, upstreams: SearchedUpstreams, context: StepContext): Choice | undefined {
 	const {policy} = search.requestedService;
 	const {usable} = upstreams;
 	switch (policy) {
@@ -141,7 +141,7 @@
  * @param context - Time and random source.
  * @returns The chosen upstream, or that the request must wait, or that no upstream there can run it.
  */
-export function route(state: State, search: Search, context: Context): Route {
+export function route(state: State, search: Search, context: StepContext): Route {
 	const all = listUpstreams(state, search);
 	const needed = estimateFootprint(state, search.request);
 	const fitting = all.filter(each => canFit(each, needed));
--- a/src/core/features/routing/segments.ts
+++ b/src/core/features/routing/segments.ts
@@ -5,7 +5,7 @@
 import {
 	type Engine, type ModelService, type Service, type Upstream,
 } from '../../types/configuration.js';
-import {type Mix} from '../../types/peer.js';
+import {type TrafficMix} from '../../types/peer.js';
 import {type LengthClass} from '../../types/request.js';
 import {type State} from '../../types/state.js';
 import {hashText, rank} from '../../utils/hashes.js';
@@ -58,7 +58,7 @@
  * @param now - Time in milliseconds.
  * @returns Arrival rates of this host by service and length, as published to peers.
  */
-export function getOwnMixes(state: State, now: number): readonly Mix[] {
+export function getOwnMixes(state: State, now: number): readonly TrafficMix[] {
 	return [...state.routing.arrivals.entries()].map(([service, arrivals]) => ({
 		service,
 		short: Math.round(getRatePerSecond(arrivals.short, now, arrivalWindowMs)),
--- a/src/core/features/stops/feature.ts
+++ b/src/core/features/stops/feature.ts
@@ -2,7 +2,7 @@
 import {Set as Group} from 'immutable';
 import {type Effect} from '../../types/effect.js';
 import {
-	type Context, type Feature, type State, type Step,
+	type StepContext, type Feature, type State, type StepResult,
 } from '../../types/state.js';
 import {chain, withoutEffects} from '../../utils/common.js';
 import {scheduleUpstreamStops} from './plan.js';
@@ -10,7 +10,7 @@
 
 const checkIntervalMs = 500;
 
-function updateStoppingUpstreams(state: State, wall: number): Step {
+function updateStoppingUpstreams(state: State, wall: number): StepResult {
 	const {inForce} = state.configuration;
 	const windows = inForce === undefined ? [] : scheduleUpstreamStops(inForce);
 	const upstreams = Group(windows.filter(each => each.from <= wall && wall < each.until).map(each => each.target));
@@ -19,7 +19,7 @@
 	return upstreams.equals(state.stops.upstreams) ? withoutEffects(state) : {state: {...state, stops: {...state.stops, upstreams}}, effects};
 }
 
-function stopOwnHost(state: State, {now, wall}: Context): Step {
+function stopOwnHost(state: State, {now, wall}: StepContext): StepResult {
 	if (state.membership.phase !== 'serving') {
 		return withoutEffects(state);
 	}
@@ -36,7 +36,7 @@
 		};
 }
 
-function checkStops(state: State, context: Context): Step {
+function checkStops(state: State, context: StepContext): StepResult {
 	return context.now < state.stops.nextCheck
 		? withoutEffects(state)
 		: chain(
--- a/src/core/features/suspicion/commands.ts
+++ b/src/core/features/suspicion/commands.ts
@@ -1,8 +1,8 @@
 /** Holds crashes of upstreams against the requests that ran there, and clears requests that did not cause them. */
 import {type Attempt, type Request} from '../../types/request.js';
 import {type Suspicion} from '../../types/peer.js';
-import {type Report} from '../../types/upstream.js';
-import {type Context, type State, type Step} from '../../types/state.js';
+import {type LoadReport} from '../../types/upstream.js';
+import {type StepContext, type State, type StepResult} from '../../types/state.js';
 import {withoutEffects} from '../../utils/common.js';
 import {getCrashIds, listPublishedSuspicions} from './queries.js';
 import {
@@ -16,7 +16,7 @@
 	return {...state, suspicion: {...state.suspicion, ...part}};
 }
 
-function createLogEffects(fingerprint: string, change: string, reason: string): Step['effects'] {
+function createLogEffects(fingerprint: string, change: string, reason: string): StepResult['effects'] {
 	return [{
 		type: 'log', decision: {
 			type: 'suspected', fingerprint, change, reason,
@@ -55,7 +55,7 @@
 	return updateSuspicion(state, {crashes});
 }
 
-function createCrash(attempt: Attempt, {now, wall}: Context): Crash {
+function createCrash(attempt: Attempt, {now, wall}: StepContext): Crash {
 	const {upstream, upstreamIncarnation: incarnation} = attempt;
 	const moment = incarnation ?? `at-${Math.floor(wall / crashWindowMs)}`;
 	return {
@@ -67,7 +67,7 @@
  * Whether an already convicted request explains the crash. A crash that was noticed before this attempt began does not, as the
  * attempt reached the upstream after it.
  */
-function isExplained(state: State, crash: Crash, {fingerprint, began}: {readonly fingerprint: string; readonly began: number}, context: Context): boolean {
+function isExplained(state: State, crash: Crash, {fingerprint, began}: {readonly fingerprint: string; readonly began: number}, context: StepContext): boolean {
 	return state.suspicion.crashes.some((list, other) => other !== fingerprint
 		&& list.some(each => each.id === crash.id && each.at >= began)
 		&& getCrashIds(state, other, context).size >= convictionThreshold);
@@ -83,7 +83,7 @@
  * @param context - Time and random source.
  * @returns The next state and the log effect; unchanged if the crash is known or explained, or there are too many suspects.
  */
-export function recordCrash(state: State, request: Request, attempt: Attempt, context: Context): Step {
+export function recordCrash(state: State, request: Request, attempt: Attempt, context: StepContext): StepResult {
 	const {fingerprint} = request;
 	const crash = createCrash(attempt, context);
 	const before = state.suspicion.crashes.get(fingerprint) ?? [];
@@ -112,7 +112,7 @@
  * @param context - Time and random source.
  * @returns The unchanged state, and the message to each linked peer.
  */
-export function broadcastSuspicion(state: State, fingerprint: string, context: Context): Step {
+export function broadcastSuspicion(state: State, fingerprint: string, context: StepContext): StepResult {
 	const suspicions = listPublishedSuspicions(state, context).filter(each => each.fingerprint === fingerprint);
 	const linked = [...state.membership.peers.values()].filter(peer => peer.connected);
 	return {
@@ -132,7 +132,7 @@
  * @param attempt - Attempt that answered it.
  * @returns The next state and the log effect.
  */
-export function clearSuspicion(state: State, request: Request, attempt: Attempt): Step {
+export function clearSuspicion(state: State, request: Request, attempt: Attempt): StepResult {
 	const {fingerprint} = request;
 	const wasSuspect = state.suspicion.crashes.has(fingerprint) || state.suspicion.peerSuspicions.has(fingerprint);
 	const remaining = filterCrashes(state, each => each.upstream !== attempt.upstream || each.at < attempt.began);
@@ -151,7 +151,7 @@
  * @param context - Time and random source.
  * @returns The next state.
  */
-export function acquit(state: State, report: Report, {now}: Context): State {
+export function acquit(state: State, report: LoadReport, {now}: StepContext): State {
 	const reportedAt = now - report.age;
 	const isDisproved = (crash: Crash): boolean => crash.upstream === report.upstream
 		&& crash.incarnation === report.incarnation
@@ -166,7 +166,7 @@
  * @param context - Time and random source.
  * @returns The state with the longer lifetime of a confirmed crash.
  */
-export function confirmCrash(state: State, upstream: string, before: string, {wall}: Context): State {
+export function confirmCrash(state: State, upstream: string, before: string, {wall}: StepContext): State {
 	const isSameCrash = (crash: Crash): boolean => crash.upstream === upstream && (crash.incarnation ?? before) === before;
 	const crashes = state.suspicion.crashes.map(list =>
 		list.some(crash => isSameCrash(crash))
@@ -181,7 +181,7 @@
  * @param context - Time and random source.
  * @returns The state with the suspicions merged.
  */
-export function mergePeerSuspicions(state: State, suspicions: readonly Suspicion[], {wall}: Context): State {
+export function mergePeerSuspicions(state: State, suspicions: readonly Suspicion[], {wall}: StepContext): State {
 	let {peerSuspicions} = state.suspicion;
 	for (const {fingerprint, crashes, expires} of suspicions) {
 		const before = peerSuspicions.get(fingerprint);
@@ -202,7 +202,7 @@
  * @param context - Time and random source.
  * @returns The state without expired crashes and suspicions.
  */
-export function removeExpired(state: State, {wall}: Context): State {
+export function removeExpired(state: State, {wall}: StepContext): State {
 	const {crashes, peerSuspicions} = state.suspicion;
 	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return state;
--- a/src/core/features/suspicion/feature.ts
+++ b/src/core/features/suspicion/feature.ts
@@ -5,14 +5,14 @@
  */
 import {type EventOf} from '../../types/event.js';
 import {
-	type Context, type Feature, type State, type Step,
+	type StepContext, type Feature, type State, type StepResult,
 } from '../../types/state.js';
 import {chain, withoutEffects} from '../../utils/common.js';
 import {
 	acquit, recordCrash, clearSuspicion, confirmCrash, addRunningAttempt, removeExpired, mergePeerSuspicions, removeRunningAttempt, broadcastSuspicion,
 } from './commands.js';
 
-function handleAttemptOver(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: Context): Step {
+function handleAttemptOver(state: State, {request, attempt, ending}: EventOf<'attempt-over'>, context: StepContext): StepResult {
 	const next = removeRunningAttempt(state, attempt.id);
 	switch (ending.type) {
 		case 'unknown': {
--- a/src/core/features/suspicion/queries.ts
+++ b/src/core/features/suspicion/queries.ts
@@ -2,7 +2,7 @@
 import {type Upstream} from '../../types/configuration.js';
 import {type Suspicion} from '../../types/peer.js';
 import {type Request} from '../../types/request.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {selectTopRanked, hashText} from '../../utils/hashes.js';
 import {upstreamsFor} from '../takeover/queries.js';
 import {convictionThreshold, suspectUpstreamLimit} from './types.js';
@@ -16,7 +16,7 @@
  * @param context - Time and random source.
  * @returns Ids of the distinct crashes held against it, by this host or by peers.
  */
-export function getCrashIds(state: State, fingerprint: string, {wall}: Context): ReadonlySet<string> {
+export function getCrashIds(state: State, fingerprint: string, {wall}: StepContext): ReadonlySet<string> {
 	const seen = state.suspicion.crashes.get(fingerprint) ?? [];
 	const peerSuspicion = state.suspicion.peerSuspicions.get(fingerprint);
 	return new Set([
@@ -31,7 +31,7 @@
  * @param context - Time and random source.
  * @returns Whether every host must refuse the request.
  */
-export function isConvicted(state: State, fingerprint: string, context: Context): boolean {
+export function isConvicted(state: State, fingerprint: string, context: StepContext): boolean {
 	return getCrashIds(state, fingerprint, context).size >= convictionThreshold;
 }
 
@@ -41,7 +41,7 @@
  * @param context - Time and random source.
  * @returns Whether an upstream crashed, or seemed to, while the request ran there.
  */
-export function isSuspect(state: State, fingerprint: string, context: Context): boolean {
+export function isSuspect(state: State, fingerprint: string, context: StepContext): boolean {
 	return getCrashIds(state, fingerprint, context).size > 0;
 }
 
@@ -53,7 +53,7 @@
  * @param context - Time and random source.
  * @returns Upstreams it may run at, best first; those that crashed with it only if there are no others.
  */
-export function listSuspectUpstreams(state: State, request: Request, context: Context): readonly Upstream[] {
+export function listSuspectUpstreams(state: State, request: Request, context: StepContext): readonly Upstream[] {
 	const crashed = new Set([...getCrashIds(state, request.fingerprint, context)].map(id => id.split('/')[0]));
 	const all = upstreamsFor(state, request);
 	const notCrashed = all.filter(each => !crashed.has(each.id));
@@ -71,7 +71,7 @@
  * @param context - Time and random source.
  * @returns Whether the request may run there now.
  */
-export function canRunAt(state: State, request: Request, upstream: string, context: Context): boolean {
+export function canRunAt(state: State, request: Request, upstream: string, context: StepContext): boolean {
 	const {runningAttempts, crashes, peerSuspicions} = state.suspicion;
 	if (crashes.isEmpty() && peerSuspicions.isEmpty()) {
 		return true;
@@ -98,7 +98,7 @@
  * @param context - Time and random source.
  * @returns Suspicions to publish to peers, those with the most crashes first.
  */
-export function listPublishedSuspicions(state: State, context: Context): readonly Suspicion[] {
+export function listPublishedSuspicions(state: State, context: StepContext): readonly Suspicion[] {
 	const fingerprints = new Set([...state.suspicion.crashes.keys(), ...state.suspicion.peerSuspicions.keys()]);
 	return [...fingerprints]
 		.map(fingerprint => ({
--- a/src/core/features/tickets/commands/answers.ts
+++ b/src/core/features/tickets/commands/answers.ts
@@ -1,7 +1,7 @@
 /** Answers requests without running them. */
 import {codes, type CodeName} from '../../../errors.js';
 import {type Outcome, type Request, type Ticket} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {ticketLifetimeMs} from '../types.js';
 
 /** Retry delay that callers receive with a refusal. */
@@ -14,7 +14,7 @@
  * @param reason - Reason for the log.
  * @returns The unchanged state and the answer.
  */
-export function answer(state: State, request: Request, outcome: Outcome, reason: string): Step {
+export function answer(state: State, request: Request, outcome: Outcome, reason: string): StepResult {
 	const code = outcome.type === 'done' ? codes.done : outcome.code;
 	return {
 		state,
@@ -35,7 +35,7 @@
  * @param reason - Reason for the log.
  * @returns The unchanged state and the answer.
  */
-export function answerNotRun(state: State, request: Request, code: CodeName, reason: string): Step {
+export function answerNotRun(state: State, request: Request, code: CodeName, reason: string): StepResult {
 	return answer(state, request, {type: 'not-run', code: codes[code], retryAfter: retryAfterMs}, reason);
 }
 
@@ -45,12 +45,12 @@
  * @param reason - Reason for the log.
  * @returns The unchanged state and the answer.
  */
-export function answerUnknown(state: State, request: Request, code: CodeName, reason: string): Step {
+export function answerUnknown(state: State, request: Request, code: CodeName, reason: string): StepResult {
 	return answer(state, request, {type: 'unknown', code: codes[code]}, reason);
 }
 
 /** Creates a ticket with the next sequence number. Nothing else is stored about a ticket until it is used. */
-function createTicket(state: State, organisation: string, {wall}: Context): {readonly state: State; readonly ticket: Ticket} {
+function createTicket(state: State, organisation: string, {wall}: StepContext): {readonly state: State; readonly ticket: Ticket} {
 	const {self, tickets} = state;
 	return {
 		state: {...state, tickets: {...tickets, nextSequence: tickets.nextSequence + 1}},
@@ -70,7 +70,7 @@
  * @param organisation - Organisation that may use it.
  * @returns The next state, with the sequence number taken, and the ticket.
  */
-export function issueTicket(state: State, request: string, organisation: string, context: Context): Step {
+export function issueTicket(state: State, request: string, organisation: string, context: StepContext): StepResult {
 	const issued = createTicket(state, organisation, context);
 	return {state: issued.state, effects: [{type: 'issue-ticket', request, ticket: issued.ticket}]};
 }
@@ -81,7 +81,7 @@
  * @param request - The request, which has not run.
  * @returns The next state, with a sequence number taken, and the answer with a new ticket.
  */
-export function requireTicket(state: State, request: Request, context: Context): Step {
+export function requireTicket(state: State, request: Request, context: StepContext): StepResult {
 	const issued = createTicket(state, request.organisation, context);
 	const outcome: Outcome = {type: 'not-run', code: codes.ticketRequired};
 	const refused = answer(issued.state, request, outcome, 'no ticket');
--- a/src/core/features/tickets/commands/forwards.ts
+++ b/src/core/features/tickets/commands/forwards.ts
@@ -6,7 +6,7 @@
 import {type Member, type SealAnswer} from '../../../types/peer.js';
 import {type Ending, type Outcome, type Request} from '../../../types/request.js';
 import {type Effect} from '../../../types/effect.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {assertNever, chain, withoutEffects} from '../../../utils/common.js';
 import {sendToHost} from '../../keys/queries.js';
 import {type Forward} from '../types.js';
@@ -27,7 +27,7 @@
 	return {...state, tickets: {...state.tickets, forwards: state.tickets.forwards.delete(request)}};
 }
 
-function finishForward(state: State, forward: Forward, outcome: Outcome): Step {
+function finishForward(state: State, forward: Forward, outcome: Outcome): StepResult {
 	return {
 		state: removeForward(state, forward.request.id),
 		effects: [
@@ -37,11 +37,11 @@
 	};
 }
 
-function finishUnreachable(state: State, forward: Forward): Step {
+function finishUnreachable(state: State, forward: Forward): StepResult {
 	return finishForward(state, forward, {type: 'unknown', code: codes.keeperUnreachable});
 }
 
-function sendForward(state: State, forward: Forward): Step {
+function sendForward(state: State, forward: Forward): StepResult {
 	const {request, keeper} = forward;
 	const to = keeper.incarnation.host;
 	return {
@@ -64,7 +64,7 @@
  * @param keeper - The keeper. Another incarnation may have its address by now; that one rejects the request.
  * @returns The next state and the forward, or the answer if a newer incarnation has replaced the keeper.
  */
-export function forwardToKeeper(state: State, request: Request, right: string, keeper: Member): Step {
+export function forwardToKeeper(state: State, request: Request, right: string, keeper: Member): StepResult {
 	const {incarnation} = keeper;
 	const isKeeperReplaced = incarnation.host === state.self.incarnation.host || isReplaced(state, keeper);
 	if (isKeeperReplaced) {
@@ -92,7 +92,7 @@
 	});
 }
 
-function beginSeal(state: State, forward: Forward, {now}: Context): Step {
+function beginSeal(state: State, forward: Forward, {now}: StepContext): StepResult {
 	if (isReplaced(state, forward.keeper)) {
 		return finishForward(state, forward, {type: 'unknown', code: codes.keeperGone});
 	}
@@ -114,7 +114,7 @@
  * @param ending - `done` if the keeper sent a complete answer, whatever its outcome.
  * @returns The next state, with the request answered, or the seal request.
  */
-export function endForward(state: State, id: string, ending: Ending, context: Context): Step {
+export function endForward(state: State, id: string, ending: Ending, context: StepContext): StepResult {
 	const forward = state.tickets.forwards.get(id);
 	if (forward === undefined) {
 		return withoutEffects(state);
@@ -137,7 +137,7 @@
  * @param sealAnswer - Its answer.
  * @returns The next state, with the request answered, or forwarded once more if its right was used.
  */
-export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): Step {
+export function handleSealAnswer(state: State, from: string, id: string, sealAnswer: SealAnswer): StepResult {
 	const forward = state.tickets.forwards.get(id);
 	if (forward?.seal === undefined || forward.keeper.incarnation.host !== from) {
 		return withoutEffects(state);
@@ -161,7 +161,7 @@
 	}
 }
 
-function retryForward(state: State, forward: Forward, now: number): Step {
+function retryForward(state: State, forward: Forward, now: number): StepResult {
 	if (forward.request.deadline <= now || (forward.seal !== undefined && forward.seal.timeoutAt <= now)) {
 		return finishUnreachable(state, forward);
 	}
@@ -181,7 +181,7 @@
  *
  * @returns The next state and the effects.
  */
-export function retryForwards(state: State, {now}: Context): Step {
+export function retryForwards(state: State, {now}: StepContext): StepResult {
 	const all = [...state.tickets.forwards.values()];
 	return chain(state, ...all.map(forward => (current: State) => retryForward(current, forward, now)));
 }
@@ -192,7 +192,7 @@
  *
  * @returns The next state and the answers.
  */
-export function answerKeyForwardsUnknown(state: State): Step {
+export function answerKeyForwardsUnknown(state: State): StepResult {
 	const keyForwards = [...state.tickets.forwards.values()].filter(({request}) => request.proof.type === 'key');
 	return chain(state, ...keyForwards.map(forward => (current: State) => finishForward(current, forward, {
 		type: 'unknown', code: codes.outcomeUnknown, detail: 'this host stood still while the keeper of the key was asked',
--- a/src/core/features/tickets/commands/rights.ts
+++ b/src/core/features/tickets/commands/rights.ts
@@ -1,7 +1,7 @@
 /** The table of rights. Each right runs at most once; a request that presents it again gets the recorded outcome. */
 import {codes} from '../../../errors.js';
 import {type Outcome, type Request} from '../../../types/request.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {assertNever, withoutEffects} from '../../../utils/common.js';
 import {getEntry} from '../queries.js';
 import {
@@ -41,7 +41,7 @@
 	return updateTickets(state, {entries: state.tickets.entries.set(right, value)});
 }
 
-function clearRequest(state: State, {right, request, expires}: PresentedRight): Step {
+function clearRequest(state: State, {right, request, expires}: PresentedRight): StepResult {
 	const recorded = putEntry(state, right, {
 		fingerprint: request.fingerprint, expires, progress: {type: 'running', request: request.id},
 	});
@@ -51,7 +51,7 @@
 	};
 }
 
-function attachFollower(state: State, {right, request}: PresentedRight, original: string): Step {
+function attachFollower(state: State, {right, request}: PresentedRight, original: string): StepResult {
 	if (state.tickets.followers.size >= followerLimit) {
 		return answerUnknown(state, request, 'outcomeUnknown', 'too many requests wait for others');
 	}
@@ -62,13 +62,13 @@
 	};
 }
 
-function replayOutcome(state: State, request: Request, original: string, outcome: Outcome): Step {
+function replayOutcome(state: State, request: Request, original: string, outcome: Outcome): StepResult {
 	return outcome.type === 'done'
 		? {state, effects: [{type: 'replay', request: request.id, original}]}
 		: answer(state, request, outcome, 'recorded end');
 }
 
-function clearUnused(state: State, presented: PresentedRight): Step {
+function clearUnused(state: State, presented: PresentedRight): StepResult {
 	return state.tickets.entries.size < entryLimit
 		? clearRequest(state, presented)
 		: answerNotRun(raiseFloor(state), presented.request, 'overloaded', 'too many rights in use');
@@ -88,7 +88,7 @@
  * @param presented - The right, which this host keeps and which has not expired.
  * @returns The next state, with the request cleared, attached or answered.
  */
-export function useRight(state: State, presented: PresentedRight): Step {
+export function useRight(state: State, presented: PresentedRight): StepResult {
 	const existing = getEntry(state, presented.right);
 	if (existing === undefined) {
 		return clearUnused(state, presented);
@@ -170,7 +170,7 @@
  *
  * @returns The next state and the answers.
  */
-export function expireFollowers(state: State, {now}: Context): Step {
+export function expireFollowers(state: State, {now}: StepContext): StepResult {
 	const expired = state.tickets.followers.filter(each => each.deadline <= now);
 	if (expired.isEmpty()) {
 		return withoutEffects(state);
@@ -188,7 +188,7 @@
  *
  * @returns The next state and the recorded answers that can be forgotten.
  */
-export function sweepEntries(state: State, {now, wall}: Context): Step {
+export function sweepEntries(state: State, {now, wall}: StepContext): StepResult {
 	if (now < state.tickets.sweepAt) {
 		return withoutEffects(state);
 	}
--- a/src/core/features/tickets/commands/seals.ts
+++ b/src/core/features/tickets/commands/seals.ts
@@ -5,7 +5,7 @@
  */
 import {type Incarnation} from '../../../types/request.js';
 import {type SealAnswer} from '../../../types/peer.js';
-import {type Context, type State, type Step} from '../../../types/state.js';
+import {type StepContext, type State, type StepResult} from '../../../types/state.js';
 import {chain} from '../../../utils/common.js';
 import {sendToHost} from '../../keys/queries.js';
 import {getEntry, isSameIncarnation, isTicketRight} from '../queries.js';
@@ -35,7 +35,7 @@
 	return !isTicketRight(right) || expires <= wall;
 }
 
-function sealEntry(state: State, {right, expires}: SealRequest, {wall}: Context): SealResult {
+function sealEntry(state: State, {right, expires}: SealRequest, {wall}: StepContext): SealResult {
 	const existing = getEntry(state, right);
 	if (existing === undefined && canBeForgotten(right, expires, wall)) {
 		return {state, answer: usedAnswer};
@@ -65,8 +65,8 @@
 	state: State,
 	from: string,
 	sealRequest: SealRequest,
-	context: Context,
-): Step {
+	context: StepContext,
+): StepResult {
 	const isKeeper = isSameIncarnation(sealRequest.keeper, state.self.incarnation);
 	const result: SealResult = isKeeper ? sealEntry(state, sealRequest, context) : {state, answer: usedAnswer};
 	const {request} = result;
--- a/src/core/features/tickets/feature.ts
+++ b/src/core/features/tickets/feature.ts
@@ -6,7 +6,7 @@
 import {type Member, type PeerMessage} from '../../types/peer.js';
 import {type Request, type Ticket} from '../../types/request.js';
 import {
-	type Context, type Feature, type State, type Step,
+	type StepContext, type Feature, type State, type StepResult,
 } from '../../types/state.js';
 import {assertNever, chain, withoutEffects} from '../../utils/common.js';
 import {
@@ -27,7 +27,7 @@
 	};
 }
 
-function handleTicketArrival(state: State, request: Request, ticket: Ticket, {wall}: Context): Step {
+function handleTicketArrival(state: State, request: Request, ticket: Ticket, {wall}: StepContext): StepResult {
 	if (ticket.organisation !== request.organisation) {
 		return answerNotRun(state, request, 'badTicket', 'another organisation\'s ticket');
 	}
@@ -48,7 +48,7 @@
 	return useRight(state, {right, request, expires: ticket.expires});
 }
 
-function handleArrival(state: State, request: Request, context: Context): Step {
+function handleArrival(state: State, request: Request, context: StepContext): StepResult {
 	switch (request.proof.type) {
 		case 'idempotent': {
 			return {state, effects: [{type: 'raise', event: {type: 'request-cleared', request}}]};
@@ -73,13 +73,13 @@
 	}
 }
 
-function handleAbandonedRequest(state: State, {request}: EventOf<'request-abandoned'>): Step {
+function handleAbandonedRequest(state: State, {request}: EventOf<'request-abandoned'>): StepResult {
 	const next = abandonForward(state, request);
 	const followers = next.tickets.followers.delete(request);
 	return withoutEffects({...next, tickets: {...next.tickets, followers}});
 }
 
-function handlePeerMessage(state: State, from: string, message: PeerMessage, context: Context): Step {
+function handlePeerMessage(state: State, from: string, message: PeerMessage, context: StepContext): StepResult {
 	switch (message.type) {
 		case 'seal': {
 			return handleSealRequest(state, from, message, context);
--- a/src/core/features/tickets/queries.ts
+++ b/src/core/features/tickets/queries.ts
@@ -1,7 +1,7 @@
 /** Reads the rights of requests to run. */
 import {type CodeName} from '../../errors.js';
 import {type Incarnation, type Request} from '../../types/request.js';
-import {type Context, type State} from '../../types/state.js';
+import {type StepContext, type State} from '../../types/state.js';
 import {assertNever} from '../../utils/common.js';
 import {type RightEntry} from './types.js';
 
@@ -74,7 +74,7 @@
  * @param request - Request about to be sent.
  * @returns The code of the reason why it must not be sent; undefined if it may.
  */
-export function findDispatchRefusal(state: State, request: Request, context: Context): CodeName | undefined {
+export function findDispatchRefusal(state: State, request: Request, context: StepContext): CodeName | undefined {
 	if (request.proof.type === 'idempotent') {
 		return undefined;
 	}
@@ -89,7 +89,7 @@
 }
 
 /** @returns Whether the request may be sent now. */
-export function canDispatch(state: State, request: Request, context: Context): boolean {
+export function canDispatch(state: State, request: Request, context: StepContext): boolean {
 	return findDispatchRefusal(state, request, context) === undefined;
 }
 
--- a/src/core/features/upstreams/commands.ts
+++ b/src/core/features/upstreams/commands.ts
@@ -2,7 +2,7 @@
 import {Map as Table} from 'immutable';
 import {type Load} from '../../types/peer.js';
 import {type Attempt, type Request} from '../../types/request.js';
-import {type Report} from '../../types/upstream.js';
+import {type LoadReport} from '../../types/upstream.js';
 import {type State} from '../../types/state.js';
 import {findUpstream as configured} from '../configuration/queries.js';
 import {getPrefillRate} from '../work/queries.js';
@@ -30,7 +30,7 @@
 type PrefillPart = {readonly upstream: string; readonly prefill: number};
 
 function getPrefillParts(attempt: Attempt): readonly PrefillPart[] {
-	return attempt.parts ?? [{upstream: attempt.upstream, prefill: attempt.prefill}];
+	return attempt.prefillShares ?? [{upstream: attempt.upstream, prefill: attempt.prefill}];
 }
 
 function getUrgentPrefill(attempt: Attempt, prefill: number): number {
@@ -75,7 +75,7 @@
 }
 
 function getFootprint(request: Request, attempt: Attempt, upstream: string): number {
-	const part = attempt.parts?.find(each => each.upstream === upstream);
+	const part = attempt.prefillShares?.find(each => each.upstream === upstream);
 	const output = upstream === attempt.upstream ? attempt.decode : 0;
 	return (part?.prefill ?? request.promptTokens) + output;
 }
@@ -124,7 +124,7 @@
  * @param now - Time in milliseconds.
  * @returns The next state.
  */
-export function applyReport(state: State, report: Report, now: number): State {
+export function applyReport(state: State, report: LoadReport, now: number): State {
 	const before = updatePrefilled(state, report.upstream, now);
 	const unattributed: Work = {
 		requests: Math.max(report.running + report.waiting - before.requests - before.peers.requests, 0),
--- a/src/core/features/upstreams/feature.ts
+++ b/src/core/features/upstreams/feature.ts
@@ -1,6 +1,6 @@
 /** Maintains a view of each upstream from its reports, this host's own attempts and the loads that peers publish. */
-import {type Report} from '../../types/upstream.js';
-import {type Feature, type State, type Step} from '../../types/state.js';
+import {type LoadReport} from '../../types/upstream.js';
+import {type Feature, type State, type StepResult} from '../../types/state.js';
 import {withoutEffects} from '../../utils/common.js';
 import {admissionOf} from '../requests/queries.js';
 import {
@@ -8,7 +8,7 @@
 } from './commands.js';
 import {getView} from './queries.js';
 
-function handleReport(state: State, received: Report, now: number): Step {
+function handleReport(state: State, received: LoadReport, now: number): StepResult {
 	const known = getView(state, received.upstream).report?.incarnation;
 	const next = applyReport(state, received, now);
 	if (known === undefined || known === received.incarnation) {
--- a/src/core/features/upstreams/types.ts
+++ b/src/core/features/upstreams/types.ts
@@ -1,7 +1,7 @@
 /** This host's view of each upstream. */
 import {Map as Table} from 'immutable';
 import {type Load} from '../../types/peer.js';
-import {type Report} from '../../types/upstream.js';
+import {type LoadReport} from '../../types/upstream.js';
 
 /** Work in flight at an upstream. */
 export type Work = {
@@ -37,7 +37,7 @@
 	readonly peers: Work;
 	/** Work in the last report beyond that of this host and its peers. */
 	readonly unattributed: Work;
-	readonly report?: Report;
+	readonly report?: LoadReport;
 	/** Monotonic time at which the report's figures were measured, in milliseconds. */
 	readonly reportedAt?: number;
 	readonly reachable: boolean;
--- a/src/core/features/work/commands.ts
+++ b/src/core/features/work/commands.ts
@@ -39,8 +39,8 @@
  * @returns The next state.
  */
 export function recordPrefill(state: State, attempt: Attempt, prefill: number, now: number): State {
-	const tokens = attempt.ahead + prefill;
-	if (tokens < minPrefillTokens || attempt.parts !== undefined) {
+	const tokens = attempt.prefillAhead + prefill;
+	if (tokens < minPrefillTokens || attempt.prefillShares !== undefined) {
 		return state;
 	}
 
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -39,10 +39,10 @@
 import {type Event} from './types/event.js';
 import {type Member} from './types/peer.js';
 import {
-	type Context,
+	type StepContext,
 	type Feature,
 	type State,
-	type Step,
+	type StepResult,
 } from './types/state.js';
 
 /** The order matters: features that update views of upstreams and members come before those that decide on them. */
@@ -103,7 +103,7 @@
  * @param context - Time and random source.
  * @returns The next state and the effects to run, in order.
  */
-export function step(state: State, event: Event, context: Context): Step {
+export function step(state: State, event: Event, context: StepContext): StepResult {
 	const pending: Event[] = [event];
 	const effects: Effect[] = [];
 	let current = state;
--- a/src/core/types/effect.ts
+++ b/src/core/types/effect.ts
@@ -3,7 +3,7 @@
 import {type Outcome, type Ticket} from './request.js';
 import {type Order} from './upstream.js';
 import {type PeerMessage} from './peer.js';
-import {type Event, type Source} from './event.js';
+import {type Event, type ConfigurationSource} from './event.js';
 
 /** Upstream considered for a request, with its score; lower is better. */
 export type Candidate = {
@@ -74,7 +74,7 @@
 	/** Reads an engine's current orders from the engine itself; answered by `orders-read`. */
 	| {readonly type: 'read-orders'; readonly upstream: string; readonly address: Address}
 	/** Parses and validates a document; answered by `configuration-received` or `configuration-refused` with the same source. */
-	| {readonly type: 'parse-configuration'; readonly source: Source; readonly text: string}
+	| {readonly type: 'parse-configuration'; readonly source: ConfigurationSource; readonly text: string}
 	| {readonly type: 'connect'; readonly host: string; readonly address: Address}
 	| {readonly type: 'disconnect'; readonly host: string}
 	| {readonly type: 'peer-send'; readonly to: string; readonly message: PeerMessage}
--- a/src/core/types/event.ts
+++ b/src/core/types/event.ts
@@ -5,12 +5,12 @@
 import {type Address, type Configuration, type Target} from './configuration.js';
 import {type Segment} from './effect.js';
 import {
-	type CacheChange, type Hold, type Order, type OrderNumber, type Report,
+	type CacheChange, type Hold, type Order, type OrderNumber, type LoadReport,
 } from './upstream.js';
 import {type Member, type PeerMessage} from './peer.js';
 
 /** Origin of a configuration document. */
-export type Source
+export type ConfigurationSource
 	= | {readonly type: 'platform'}
 		| {readonly type: 'peer'; readonly host: string}
 		| {readonly type: 'file'};
@@ -30,7 +30,7 @@
 		| {readonly type: 'forward-progressed'; readonly request: string}
 		| {readonly type: 'forward-ended'; readonly request: string; readonly ending: Ending}
 	// From upstreams.
-		| {readonly type: 'report-received'; readonly report: Report; /** Set if another host polled the upstream. */ readonly isRelayed?: true}
+		| {readonly type: 'report-received'; readonly report: LoadReport; /** Set if another host polled the upstream. */ readonly isRelayed?: true}
 		| {readonly type: 'upstream-unreachable'; readonly upstream: string}
 		| {readonly type: 'cache-changed'; readonly upstream: string; readonly incarnation: string; readonly changes: readonly CacheChange[]; readonly gap: boolean}
 		| {readonly type: 'holds-listed'; readonly upstream: string; readonly holds: readonly Hold[]}
@@ -47,8 +47,8 @@
 			readonly loading?: Target;
 		}
 	// From the platform.
-		| {readonly type: 'configuration-received'; readonly source: Source; readonly configuration: Configuration; readonly digest: string; readonly text: string}
-		| {readonly type: 'configuration-refused'; readonly source: Source; readonly code: number; readonly detail: string}
+		| {readonly type: 'configuration-received'; readonly source: ConfigurationSource; readonly configuration: Configuration; readonly digest: string; readonly text: string}
+		| {readonly type: 'configuration-refused'; readonly source: ConfigurationSource; readonly code: number; readonly detail: string}
 		| {readonly type: 'hosts-listed'; readonly members: readonly Member[]; readonly leaving: readonly string[]}
 		| {readonly type: 'platform-unreachable'}
 	// From the settings.
--- a/src/core/types/peer.ts
+++ b/src/core/types/peer.ts
@@ -1,9 +1,9 @@
 /** Messages between hosts. */
 import {type Address} from './configuration.js';
 import {type Incarnation} from './request.js';
-import {type Report} from './upstream.js';
+import {type LoadReport} from './upstream.js';
 
-export type Phase = 'starting' | 'serving' | 'leaving';
+export type HostPhase = 'starting' | 'serving' | 'leaving';
 
 /** Work of a host in flight at one upstream, in tokens. */
 export type Load = {
@@ -23,7 +23,7 @@
 };
 
 /** Arrival rate of one model service at a host, in tokens per second for each length class of prompts. */
-export type Mix = {
+export type TrafficMix = {
 	readonly service: string;
 	readonly short: number;
 	readonly middle: number;
@@ -50,27 +50,27 @@
 };
 
 /** Last known state of a host, relayed to peers that have no link to it. */
-export type Digest = {
+export type HeartbeatSummary = {
 	readonly incarnation: Incarnation;
 	/** Sequence number of the last heartbeat known to the sender. */
 	readonly sequence: number;
-	readonly phase: Phase;
+	readonly phase: HostPhase;
 	readonly revision: number;
 	/** Set if the sender suspects that the host has failed, because it lost the link or receives no updates. */
 	readonly silent?: boolean;
 	/** The heaviest loads of the host. */
 	readonly loads: readonly Load[];
 	readonly demands: readonly Demand[];
-	readonly mixes?: readonly Mix[];
+	readonly mixes?: readonly TrafficMix[];
 };
 
 export type PeerMessage
 	/** First message on a link, sent in both directions. */
-	= | {readonly type: 'hello'; readonly member: Member; readonly phase: Phase; readonly revision: number}
+	= | {readonly type: 'hello'; readonly member: Member; readonly phase: HostPhase; readonly revision: number}
 		| {
 			readonly type: 'heartbeat';
 			readonly sequence: number;
-			readonly phase: Phase;
+			readonly phase: HostPhase;
 			readonly revision: number;
 			readonly digest: string;
 			/** Whether `loads` lists all work in flight, or only what changed since the last heartbeat. */
@@ -78,26 +78,26 @@
 			readonly loads: readonly Load[];
 			readonly demands: readonly Demand[];
 			/** Sent only with some heartbeats, since mixes change slowly. */
-			readonly mixes?: readonly Mix[];
+			readonly mixes?: readonly TrafficMix[];
 			readonly suspicions: readonly Suspicion[];
 			/** Some of the members known to the sender, in rotation. */
 			readonly members: readonly Member[];
 			/** State of some other hosts, in rotation, for receivers that have no link to them. */
-			readonly relayed: readonly Digest[];
+			readonly relayed: readonly HeartbeatSummary[];
 		}
 		/** Load reports that the sender polled itself, for hosts of the same failure domain. */
-		| {readonly type: 'reports'; readonly reports: readonly Report[]}
+		| {readonly type: 'reports'; readonly reports: readonly LoadReport[]}
 		| {readonly type: 'configuration-wanted'; readonly above: number}
 	/** A complete document, as text so that its digest is the same on all hosts. */
 		| {readonly type: 'configuration'; readonly text: string}
 	/** New suspicions, sent without waiting for the next heartbeat. */
 		| {readonly type: 'suspected'; readonly suspicions: readonly Suspicion[]}
-		| RelayedMessage
+		| RelayableMessage
 	/** Message for a host to which the sender has no link. */
-		| {readonly type: 'relay'; readonly from: string; readonly to: string; readonly hops: number; readonly message: RelayedMessage};
+		| {readonly type: 'relay'; readonly from: string; readonly to: string; readonly hops: number; readonly message: RelayableMessage};
 
 /** Messages that other hosts relay if the sender has no link to the receiver. */
-export type RelayedMessage
+export type RelayableMessage
 	= | KeyMessage
 	/** Requests that the keeper seal an unused right (the entitlement of a ticket or key to run once), so that it never runs. */
 		| {readonly type: 'seal'; readonly id: string; readonly right: string; readonly expires: number; readonly keeper: Incarnation}
--- a/src/core/types/request.ts
+++ b/src/core/types/request.ts
@@ -54,7 +54,7 @@
 };
 
 /** Prefill of one of several engines that share an attempt, in tokens. */
-export type Part = {
+export type PrefillShare = {
 	readonly upstream: string;
 	readonly prefill: number;
 };
@@ -72,10 +72,10 @@
 	readonly prefill: number;
 	readonly decode: number;
 	/** Prefill tokens queued at the upstream ahead of the attempt when it was sent. */
-	readonly ahead: number;
+	readonly prefillAhead: number;
 	readonly length: LengthClass;
 	/** Prefill of each engine, where several hold the prompt together; absent where one engine holds all of it. */
-	readonly parts?: readonly Part[];
+	readonly prefillShares?: readonly PrefillShare[];
 	/** Whether at least one byte was written to the upstream. */
 	readonly written: boolean;
 	/** Time of the first frame. */
--- a/src/core/types/state.ts
+++ b/src/core/types/state.ts
@@ -50,7 +50,7 @@
 	readonly integer: (min: number, max: number) => number;
 };
 
-export type Context = {
+export type StepContext = {
 	/** Monotonic time in milliseconds. */
 	readonly now: number;
 	/** Wall-clock time in milliseconds since 1970. */
@@ -59,7 +59,7 @@
 };
 
 /** Result of handling an event: the next state and the effects to carry out, in order. */
-export type Step = {
+export type StepResult = {
 	readonly state: State;
 	readonly effects: readonly Effect[];
 };
@@ -68,5 +68,5 @@
 export type Feature = {
 	readonly name: string;
 	/** Returns the next state and the effects of an event. Ignores events of other features. */
-	readonly handle: (state: State, event: Event, context: Context) => Step;
+	readonly handle: (state: State, event: Event, context: StepContext) => StepResult;
 };
--- a/src/core/types/upstream.ts
+++ b/src/core/types/upstream.ts
@@ -9,7 +9,7 @@
 };
 
 /** Load of an upstream, as reported by the upstream itself. */
-export type Report = {
+export type LoadReport = {
 	readonly upstream: string;
 	/** Changes when the engine restarts. */
 	readonly incarnation: string;
--- a/src/core/utils/common.ts
+++ b/src/core/utils/common.ts
@@ -1,12 +1,12 @@
 /** Helpers for the steps of features. */
 import {type Effect} from '../types/effect.js';
-import {type State, type Step} from '../types/state.js';
+import {type State, type StepResult} from '../types/state.js';
 
 /**
  * @param state - Next state, changed or not.
  * @returns A step without effects.
  */
-export function withoutEffects(state: State): Step {
+export function withoutEffects(state: State): StepResult {
 	return {state, effects: []};
 }
 
@@ -27,7 +27,7 @@
  * @param steps - Steps in order.
  * @returns The last state and all effects in order.
  */
-export function chain(state: State, ...steps: ReadonlyArray<(state: State) => Step>): Step {
+export function chain(state: State, ...steps: ReadonlyArray<(state: State) => StepResult>): StepResult {
 	let current = state;
 	const effects: Effect[] = [];
 	for (const each of steps) {
--- a/src/protocol/__tests__/keys-scale.test.ts
+++ b/src/protocol/__tests__/keys-scale.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {documentOf, Network} from '../../core/__tests__/network.js';
+import {createDocument, SimulatedNetwork} from '../../core/__tests__/network.js';
 import {encodeFrame} from '../peers.js';
 
 /** Maximum handshake traffic of a host, in bytes per second, after the first 80 seconds of a domain. */
@@ -9,14 +9,14 @@
 
 describe('keys in a failure domain too large for connections between all hosts', () => {
 	it('are served by every host, and handshakes become rare', () => {
-		const network = new Network();
+		const network = new SimulatedNetwork();
 		const hosts = Array.from({length: 42}, (_, index) => `a${index}`);
 		for (const host of hosts) {
-			network.add(host, 'a');
+			network.addHost(host, 'a');
 		}
 
-		network.list(...hosts);
-		network.publish(documentOf(1), ...hosts);
+		network.sendHostList(...hosts);
+		network.publishConfiguration(createDocument(1), ...hosts);
 		network.run(endMs);
 		const joined = hosts.filter(host => network.state(host).keys.isJoined);
 		expect(joined).toEqual(hosts);
--- a/src/upstream/control.ts
+++ b/src/upstream/control.ts
@@ -5,7 +5,7 @@
 	type Hold,
 	type Order,
 	type OrderNumber,
-	type Report,
+	type LoadReport,
 	type Segment,
 } from '../core/index.js';
 import {getClient, createUrl} from './connection.js';
@@ -35,7 +35,7 @@
  * @param upstream - Id of the engine.
  * @param address - Address of the engine.
  */
-export async function readReport(upstream: string, address: Address): Promise<Report> {
+export async function readReport(upstream: string, address: Address): Promise<LoadReport> {
 	const {engine, ...load} = loadSchema.parse(await readJson(address, '/v1/load'));
 	return {upstream, ...load};
 }
