--- a/bench/gateway/__tests__/simulation.test.ts
+++ b/bench/gateway/__tests__/simulation.test.ts
@@ -1,6 +1,6 @@
 /** Served share of workloads in virtual time under the product's decisions. */
 import {describe, expect, it} from 'vitest';
-import {policyWithout, usualPolicy, type Policy} from '../../../src/core/gateway/policy.js';
+import {policyWithout, defaultPolicy, type Policy} from '../../../src/core/gateway/policy.js';
 import {computeServedShare} from '../results.js';
 import {Simulation, type PlacementStrategy} from '../simulation.js';
 import {
@@ -21,7 +21,7 @@
 
 const arrivalPeriodMs = 32_000;
 
-function simulate({hosts, engines, load, updateDelay}: Fleet, strategy: PlacementStrategy, {seed = 1, policy = usualPolicy}: Variant = {}): number {
+function simulate({hosts, engines, load, updateDelay}: Fleet, strategy: PlacementStrategy, {seed = 1, policy = defaultPolicy}: Variant = {}): number {
 	const workload = {
 		kinds: newsroomKinds.map(kind => ({...kind, rate: kind.rate * load})), phases: burstPhases, length: arrivalPeriodMs, hosts,
 	};
@@ -53,6 +53,6 @@
 		};
 		const seeds = Array.from({length: 12}, (_, index) => index + 1);
 		const mean = (policy: Policy) => seeds.reduce((sum, seed) => sum + simulate(fleet, 'product', {seed, policy}), 0) / seeds.length;
-		expect(mean(usualPolicy)).toBeGreaterThan(mean(policyWithout(usualPolicy, ['refusal'])) + 0.02);
+		expect(mean(defaultPolicy)).toBeGreaterThan(mean(policyWithout(defaultPolicy, ['refusal'])) + 0.02);
 	});
 });
--- a/bench/gateway/main.ts
+++ b/bench/gateway/main.ts
@@ -7,7 +7,7 @@
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
 import {
-	isMechanism, mechanisms, policyWithout, usualPolicy, type Mechanism,
+	isMechanism, mechanisms, policyWithout, defaultPolicy, type Mechanism,
 } from '../../src/core/gateway/policy.js';
 import {renderPlot} from './plots.js';
 import {isInTime, computeServedShare} from './results.js';
@@ -85,7 +85,7 @@
 		kinds: newsroomKinds.map(kind => ({...kind, rate: kind.rate * load})), phases: burstPhases, length: arrivalPeriodMs, hosts,
 	};
 	const simulationOptions = {
-		model: replicaModel, hosts, engines, strategy, updateDelay: news, policy: policyWithout(usualPolicy, without),
+		model: replicaModel, hosts, engines, strategy, updateDelay: news, policy: policyWithout(defaultPolicy, without),
 	};
 	return Array.from({length: seeds}, (_, index) => new Simulation(simulationOptions).run(generateArrivals(workload, index + 1), arrivalPeriodMs + drainPeriodMs)).flat();
 }
--- a/bench/gateway/simulation.ts
+++ b/bench/gateway/simulation.ts
@@ -2,15 +2,15 @@
 import {assertNever} from '../../src/core/index.js';
 import {Health} from '../../src/core/gateway/health.js';
 import {Load, type Job} from '../../src/core/gateway/load.js';
-import {isToYield, isWorthMoving} from '../../src/core/gateway/moves.js';
-import {weigh} from '../../src/core/gateway/losses.js';
+import {hasToYield, isWorthRerouting} from '../../src/core/gateway/rerouting.js';
+import {computeWeight} from '../../src/core/gateway/losses.js';
 import {
-	place, reconsider, type Place, type Surroundings,
+	place, reevaluate, type Placement, type PlacementOptions,
 } from '../../src/core/gateway/placement.js';
-import {usualPolicy, type Policy} from '../../src/core/gateway/policy.js';
-import {isHarmful, returnTime} from '../../src/core/gateway/refusal.js';
+import {defaultPolicy, type Policy} from '../../src/core/gateway/policy.js';
+import {isHarmful, estimateRetryDelay} from '../../src/core/gateway/refusal.js';
 import {type Demand, type EngineModel, type GatewayUpstream} from '../../src/core/gateway/types.js';
-import {usualUrgency} from '../../src/core/gateway/urgency.js';
+import {defaultUrgency} from '../../src/core/gateway/urgency.js';
 import {Batch, computeMemory} from '../../stand-ins/gateway/batch.js';
 import {Timeline} from '../model/timeline.js';
 import {seeded} from '../model/workload.js';
@@ -72,7 +72,7 @@
 	readonly host: number;
 	readonly engines: readonly number[];
 	readonly demand: Demand;
-	readonly place: Place;
+	readonly place: Placement;
 	/** Whether it was rerouted to these engines; a request is rerouted at most once. */
 	readonly isRerouted: boolean;
 	/** Engines that have not prefilled their part yet. */
@@ -98,7 +98,7 @@
 
 	constructor(options: SimulationOptions) {
 		this.#options = options;
-		this.#policy = options.policy ?? usualPolicy;
+		this.#policy = options.policy ?? defaultPolicy;
 		this.#loads = Array.from({length: options.strategy === 'omniscient' ? 1 : options.hosts}, () => new Load());
 		this.#upstreams = Array.from({length: options.engines}, (_, index) => ({
 			id: `e${index}`, service: 's', address: {host: '10.0.0.1', port: index + 1}, failureDomain: `d${index % 3}`, slots: options.model.slots, isDraining: false,
@@ -151,13 +151,13 @@
 		this.#send(arrival, demand, chosen, false);
 	}
 
-	#isHarmful(demand: Demand, chosen: Place): boolean {
+	#isHarmful(demand: Demand, chosen: Placement): boolean {
 		const {strategy, model} = this.#options;
-		return (strategy === 'product' || strategy === 'omniscient') && isHarmful(chosen, weigh(model, demand.prompt!), this.#policy);
+		return (strategy === 'product' || strategy === 'omniscient') && isHarmful(chosen, computeWeight(model, demand.prompt!), this.#policy);
 	}
 
 	/** Callers of refused requests retry once, after the suggested delay but at most a third of their remaining time. */
-	#refuse(arrival: Arrival, chosen: Place | undefined, isRetry: boolean): void {
+	#refuse(arrival: Arrival, chosen: Placement | undefined, isRetry: boolean): void {
 		const {now} = this.#timeline;
 		if (isRetry) {
 			this.#results.push({
@@ -166,14 +166,14 @@
 			return;
 		}
 
-		const retryDelay = chosen === undefined ? defaultRetryDelayMs : returnTime(chosen, this.#options.model, this.#random.integer(0, 100) / 100);
+		const retryDelay = chosen === undefined ? defaultRetryDelayMs : estimateRetryDelay(chosen, this.#options.model, this.#random.integer(0, 100) / 100);
 		const remaining = arrival.at + arrival.kind.deadline - now;
 		this.#timeline.add(now + Math.min(retryDelay, remaining / 3), () => {
 			this.#handleArrival(arrival, true);
 		});
 	}
 
-	#chooseEngine(demand: Demand, arrival: Arrival): Place | undefined {
+	#chooseEngine(demand: Demand, arrival: Arrival): Placement | undefined {
 		const {strategy, model} = this.#options;
 		switch (strategy) {
 			case 'product':
@@ -197,7 +197,7 @@
 		}
 	}
 
-	#createPlacementOptions(host: number): Surroundings {
+	#createPlacementOptions(host: number): PlacementOptions {
 		return {
 			policy: this.#policy,
 			load: this.#getLoad(host),
@@ -205,16 +205,16 @@
 			host: `h${host}`,
 			failureDomain: `d${host % 3}`,
 			unreachable: new Set(),
-			eligibility: {tried: new Set()},
+			eligibility: {excluded: new Set()},
 			now: this.#timeline.now,
 		};
 	}
 
-	#placeAtLeastLoaded(candidates: readonly GatewayUpstream[], arrival: Arrival): Place {
+	#placeAtLeastLoaded(candidates: readonly GatewayUpstream[], arrival: Arrival): Placement {
 		const load = this.#getLoad(arrival.host);
-		const upstream = candidates.toSorted((a, b) => load.requests(a.id) - load.requests(b.id))[0]!;
+		const upstream = candidates.toSorted((a, b) => load.countRequests(a.id) - load.countRequests(b.id))[0]!;
 		return {
-			upstream, helpers: [], holdTokens: 0, reading: {total: 0, perPass: 0}, firstByte: 0, loss: 0,
+			upstream, helpers: [], holdTokens: 0, prefill: {total: 0, perIteration: 0}, firstByte: 0, loss: 0,
 		};
 	}
 
@@ -222,7 +222,7 @@
 		return this.#loads[host % this.#loads.length]!;
 	}
 
-	#reserve(id: string, {upstream, helpers, holdTokens}: Place): boolean {
+	#reserve(id: string, {upstream, helpers, holdTokens}: Placement): boolean {
 		if (holdTokens === 0) {
 			return true;
 		}
@@ -240,8 +240,8 @@
 		return false;
 	}
 
-	#send(arrival: Arrival, demand: Demand, chosen: Place, isRerouted: boolean): void {
-		const {upstream, helpers, holdTokens, reading} = chosen;
+	#send(arrival: Arrival, demand: Demand, chosen: Placement, isRerouted: boolean): void {
+		const {upstream, helpers, holdTokens, prefill: reading} = chosen;
 		const {model} = this.#options;
 		const {now} = this.#timeline;
 		const job: Job = {
@@ -253,11 +253,11 @@
 			answer: demand.prompt?.answer ?? 0,
 			isHeld: holdTokens > 0,
 			read: reading.total,
-			readPerPass: reading.perPass,
+			readPerPass: reading.perIteration,
 			pause: demand.pause,
 			urgency: chosen.urgency,
 			placing: isRerouted ? 'retry' : 'first',
-			weight: weigh(model, {tokens: arrival.prompt, answer: 0}),
+			weight: computeWeight(model, {tokens: arrival.prompt, answer: 0}),
 			began: now,
 			due: demand.due,
 			deadline: demand.deadline,
@@ -281,7 +281,7 @@
 					prompt: arrival.prompt,
 					engineCount: engines.length,
 					events: isFirst ? arrival.events : 0,
-					priority: chosen.urgency ?? usualUrgency,
+					priority: chosen.urgency ?? defaultUrgency,
 					memory: isFirst && holdTokens === 0 ? computeMemory(model, arrival.prompt, arrival.events * model.stride) : 0,
 				});
 				this.#startIteration(engine);
@@ -330,7 +330,7 @@
 		const {now} = this.#timeline;
 		for (const running of this.#running.values()) {
 			const canReroute = running.host === host && !running.isRerouted && running.firstEvent === undefined;
-			if (canReroute && this.#policy.yields && isToYield(running.job, other, now)) {
+			if (canReroute && this.#policy.isYieldingEnabled && hasToYield(running.job, other, now)) {
 				this.#reevaluate(running);
 			}
 		}
@@ -338,9 +338,9 @@
 
 	#reevaluate(running: RunningRequest): void {
 		const {arrival, demand, job} = running;
-		const around = {...this.#createPlacementOptions(running.host), except: job.id, eligibility: {tried: new Set([job.upstream])}};
-		const reevaluation = reconsider(demand, running.place, this.#upstreams, this.#options.model, around);
-		if (reevaluation?.best === undefined || !isWorthMoving(reevaluation.staying, reevaluation.best.loss)) {
+		const around = {...this.#createPlacementOptions(running.host), excludedJob: job.id, eligibility: {excluded: new Set([job.upstream])}};
+		const reevaluation = reevaluate(demand, running.place, this.#upstreams, this.#options.model, around);
+		if (reevaluation?.best === undefined || !isWorthRerouting(reevaluation.staying, reevaluation.best.loss)) {
 			return;
 		}
 
@@ -402,7 +402,7 @@
 			running.firstEvent = at;
 			this.#timeline.add(this.#timeline.now + engineDelayMs, () => {
 				this.#publishUpdate(running.host, (load, now) => {
-					load.progress(running.job.id, now);
+					load.recordFirstByte(running.job.id, now);
 				});
 			});
 		} else {
--- a/src/core/gateway/__tests__/absences.test.ts
+++ b/src/core/gateway/__tests__/absences.test.ts
@@ -1,11 +1,11 @@
 /** Engines that crash while many hosts use them: attempts that the callers of a failure domain lose. */
 import {describe, expect, it} from 'vitest';
 import {seeded} from '../../../../bench/model/workload.js';
-import {absenceOf, holdsAt, verdictFrom} from '../absences.js';
+import {createAbsence, appliesIn, absenceToVerdict} from '../absences.js';
 import {Health} from '../health.js';
 import {Load} from '../load.js';
-import {place, type Surroundings} from '../placement.js';
-import {usualPolicy} from '../policy.js';
+import {place, type PlacementOptions} from '../placement.js';
+import {defaultPolicy} from '../policy.js';
 import {type Demand, type EngineModel, type GatewayUpstream} from '../types.js';
 
 const model: EngineModel = {
@@ -40,14 +40,14 @@
 
 	/** Places a request. Returns the number of its failed attempts before it reaches an engine. */
 	serve({demand, host, now}: PlacedRequest): number {
-		this.#load.expire(now);
+		this.#load.removeExpired(now);
 		const tried = new Set<string>();
 		for (;;) {
-			const {upstream, reading, urgency} = place(demand, engines, model, this.#createOptions(host, tried, now))!;
+			const {upstream, prefill: prefill, urgency} = place(demand, engines, model, this.#createOptions(host, tried, now))!;
 			const chosen = upstream.id;
 			if (!crashed.has(chosen)) {
 				this.#load.begin({
-					id: demand.id, host: `h${host}`, upstream: chosen, helpers: [], prompt: 5000, answer: 300, isHeld: false, read: reading.total, readPerPass: reading.perPass,
+					id: demand.id, host: `h${host}`, upstream: chosen, helpers: [], prompt: 5000, answer: 300, isHeld: false, read: prefill.total, readPerPass: prefill.perIteration,
 					pause: 250, urgency, placing: 'first', weight: 2, began: now, due: demand.due, deadline: now + answerTimeMs - 500,
 				}, now);
 				return tried.size;
@@ -59,17 +59,17 @@
 		}
 	}
 
-	#createOptions(host: number, tried: ReadonlySet<string>, now: number): Surroundings {
+	#createOptions(host: number, tried: ReadonlySet<string>, now: number): PlacementOptions {
 		return {
-			policy: usualPolicy, load: this.#load, health: this.#healths[host]!, host: `h${host}`, failureDomain: 'a', unreachable: new Set(), eligibility: {tried}, now,
+			policy: defaultPolicy, load: this.#load, health: this.#healths[host]!, host: `h${host}`, failureDomain: 'a', unreachable: new Set(), eligibility: {excluded: tried}, now,
 		};
 	}
 
 	#reportAbsence(upstream: string, host: number, now: number): void {
-		const absence = absenceOf(upstream, 'refused', 'a', 'a');
+		const absence = createAbsence(upstream, 'refused', 'a', 'a');
 		for (const [index, health] of this.#healths.entries()) {
-			if (this.#isReporting && index !== host && holdsAt(absence, 'a', 'a') && !health.isPaused(upstream, now)) {
-				health.record(upstream, verdictFrom(absence.reason), now);
+			if (this.#isReporting && index !== host && appliesIn(absence, 'a', 'a') && !health.isBackedOff(upstream, now)) {
+				health.record(upstream, absenceToVerdict(absence.reason), now);
 			}
 		}
 	}
@@ -107,8 +107,8 @@
 		['silent', undefined, 'a', false],
 		['replaced', 'b', 'a', true],
 	] as const)('%s in domain %s, found from domain %s: applies in all domains: %s', (reason, upstream, host, isForAll) => {
-		const absence = absenceOf('e1', reason, upstream, host);
+		const absence = createAbsence('e1', reason, upstream, host);
 		expect(absence.isForAll).toBe(isForAll);
-		expect([holdsAt(absence, host, host), holdsAt(absence, host, 'c')]).toEqual([true, isForAll]);
+		expect([appliesIn(absence, host, host), appliesIn(absence, host, 'c')]).toEqual([true, isForAll]);
 	});
 });
--- /dev/null
+++ b/src/core/gateway/__tests__/attempts.test.ts
@@ -0,0 +1,81 @@
+import {describe, expect, it} from 'vitest';
+import {type AttemptEnding} from '../retries.js';
+import {Attempts} from '../attempts.js';
+
+const notRun: AttemptEnding = {type: 'not-run', reason: 'refused', isShed: true};
+const unknown: AttemptEnding = {type: 'unknown', reason: 'broken'};
+const cancelled: AttemptEnding = {type: 'cancelled', reason: 'silent'};
+
+describe('a non-idempotent request', () => {
+	const rules = {kind: 'non-idempotent', isResumable: false, attempts: 3} as const;
+
+	it('is retried only if it has certainly not run', () => {
+		const attempts = new Attempts(rules);
+		attempts.recordSent('a');
+		expect(attempts.canRetryAfter(notRun)).toBe(true);
+		expect([unknown, cancelled, {type: 'failed', status: 500} as const].map(ending => attempts.canRetryAfter(ending))).toEqual([false, false, false]);
+		expect(attempts.canFailOver).toBe(false);
+	});
+});
+
+describe('an idempotent request', () => {
+	const rules = {kind: 'idempotent', isResumable: false, attempts: 2} as const;
+
+	it('is sent to as many upstreams as its route allows', () => {
+		const attempts = new Attempts(rules);
+		attempts.recordSent('a');
+		expect([attempts.canFailOver, attempts.canRetryAfter(unknown)]).toEqual([true, true]);
+		attempts.recordSent('b');
+		expect([attempts.canFailOver, attempts.canRetryAfter(unknown), attempts.canRetryAfter(notRun)]).toEqual([false, false, false]);
+		expect([...attempts.eligibility.excluded]).toEqual(['a', 'b']);
+	});
+
+	it('does not count upstreams without a connection as attempts, but is given up after eight of them', () => {
+		const attempts = new Attempts(rules);
+		const results = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(upstream => {
+			attempts.recordSent(upstream);
+			attempts.recordUnreached(upstream);
+			return attempts.canRetryAfter(notRun);
+		});
+		expect(results).toEqual([true, true, true, true, true, true, true, false]);
+		expect(attempts.sent).toBe(0);
+	});
+
+	it('can be sent again to an engine that lacked a helper, even if no further engine is allowed', () => {
+		const attempts = new Attempts({...rules, attempts: 1});
+		attempts.recordSent('a');
+		attempts.recordMissingHelper('a', 'h');
+		expect(attempts.canRetryAfter(notRun)).toBe(true);
+		expect([[...attempts.eligibility.excluded], [...attempts.eligibility.permitted ?? []]]).toEqual([['h'], ['a']]);
+		attempts.recordSent('a');
+		expect([attempts.sent, attempts.canRetryAfter(notRun)]).toEqual([2, false]);
+	});
+
+	it('is given up after four missing helpers', () => {
+		const attempts = new Attempts(rules);
+		const results = ['h', 'i', 'j', 'k'].map(helper => {
+			attempts.recordSent('a');
+			attempts.recordMissingHelper('a', helper);
+			return attempts.canRetryAfter(notRun);
+		});
+		expect(results).toEqual([true, true, true, false]);
+	});
+
+	it('is given up after three refused holds, and excludes the engines that refused', () => {
+		const attempts = new Attempts(rules);
+		const results = [['a', 'b'], ['c'], ['d']].map(engines => {
+			attempts.recordRefusedHold(engines);
+			return attempts.canRetryAfter(notRun);
+		});
+		expect(results).toEqual([true, true, false]);
+		expect([...attempts.eligibility.excluded]).toEqual(['a', 'b', 'c', 'd']);
+	});
+});
+
+it('a stream can fail over to another engine only if it can be resumed', () => {
+	for (const isResumable of [true, false]) {
+		const attempts = new Attempts({kind: 'streaming', isResumable, attempts: 2});
+		attempts.recordSent('a');
+		expect([attempts.canFailOver, attempts.canRetryAfter(unknown), attempts.canRetryAfter(cancelled)]).toEqual([isResumable, isResumable, isResumable]);
+	}
+});
--- a/src/core/gateway/__tests__/gateway-state.test.ts
+++ b/src/core/gateway/__tests__/gateway-state.test.ts
@@ -3,9 +3,9 @@
 import {estimatePrefill, estimateDecodeIteration} from '../engine.js';
 import {Directory} from '../directory.js';
 import {Health} from '../health.js';
-import {Lapses} from '../lapses.js';
+import {StoreOutages} from '../store-outages.js';
 import {Load, type Job} from '../load.js';
-import {Reach} from '../reach.js';
+import {Reachability} from '../reachability.js';
 import {isRepeatable, RetryBudget} from '../retries.js';
 import {Suspects, type Crash} from '../suspects.js';
 import {type EngineModel, type Route} from '../types.js';
@@ -30,8 +30,8 @@
 	});
 
 	it('of one iteration are bounded by the tokens that it can prefill', () => {
-		expect(estimatePrefill(model, 400_000).perPass).toBeLessThan(estimatePrefill(model, 400_000).total / 2.5);
-		expect(estimatePrefill(model, 5000).perPass).toBe(estimatePrefill(model, 5000).total);
+		expect(estimatePrefill(model, 400_000).perIteration).toBeLessThan(estimatePrefill(model, 400_000).total / 2.5);
+		expect(estimatePrefill(model, 5000).perIteration).toBe(estimatePrefill(model, 5000).total);
 	});
 
 	it('of decoding have a base and a part for each request', () => {
@@ -45,7 +45,7 @@
 		load.begin(job('a'), 0);
 		load.begin(job('b'), 0);
 		expect(load.forecast('e1', model, 50)).toMatchObject({requests: 2, backlog: 150});
-		load.progress('a', 60);
+		load.recordFirstByte('a', 60);
 		expect(load.forecast('e1', model, 60).backlog).toBeLessThanOrEqual(140);
 		expect(load.forecast('e1', model, 60).decoding.map(each => each.id)).toEqual(['a']);
 		load.end('b', 70);
@@ -58,16 +58,16 @@
 	it('adds a job once, in whatever order its load updates arrive', () => {
 		const load = new Load();
 		load.begin(job('a'), 0);
-		load.progress('a', 10);
+		load.recordFirstByte('a', 10);
 		load.begin(job('a'), 20);
-		expect(load.job('a')?.firstByte).toBe(10);
+		expect(load.get('a')?.firstByte).toBe(10);
 		load.end('a', 30);
 		load.begin(job('a'), 40);
 		load.end('b', 40);
 		load.begin(job('b'), 50);
 		expect(load.size).toBe(0);
 		load.forgetHost('h1', 50);
-		load.expire(5000);
+		load.removeExpired(5000);
 		load.begin(job('b'), 5000);
 		expect(load.size).toBe(1);
 	});
@@ -85,12 +85,12 @@
 		load.begin(job('b', {host: 'h2'}), 0);
 		load.begin(job('c', {host: 'h2', upstream: 'e2', helpers: ['e1']}), 0);
 		load.forgetHost('h1', 1);
-		expect(load.job('a')).toBeUndefined();
+		expect(load.get('a')).toBeUndefined();
 		load.forgetUpstream('e1', 1);
-		expect([load.job('b'), load.job('c')?.id]).toEqual([undefined, 'c']);
-		load.expire(5400);
+		expect([load.get('b'), load.get('c')?.id]).toEqual([undefined, 'c']);
+		load.removeExpired(5400);
 		expect(load.size).toBe(1);
-		load.expire(5600);
+		load.removeExpired(5600);
 		expect(load.size).toBe(0);
 	});
 });
@@ -98,27 +98,27 @@
 describe('health', () => {
 	it('falls with failures and recovers with time', () => {
 		const health = new Health();
-		const before = health.risk('e', 0);
+		const before = health.failureProbability('e', 0);
 		for (let index = 0; index < 4; index++) {
 			health.record('e', 'faulty', 0);
 		}
 
-		expect(health.risk('e', 0)).toBeGreaterThan(0.4);
-		expect(health.risk('e', 20_000)).toBeLessThan(before * 3);
-		expect(health.isPaused('e', 0)).toBe(false);
+		expect(health.failureProbability('e', 0)).toBeGreaterThan(0.4);
+		expect(health.failureProbability('e', 20_000)).toBeLessThan(before * 3);
+		expect(health.isBackedOff('e', 0)).toBe(false);
 	});
 
 	it('backs off an upstream without connections, longer each time, up to two seconds', () => {
 		const health = new Health();
 		health.record('e', 'unreachable', 0);
-		expect([health.isPaused('e', 249), health.isPaused('e', 251)]).toEqual([true, false]);
+		expect([health.isBackedOff('e', 249), health.isBackedOff('e', 251)]).toEqual([true, false]);
 		for (let index = 0; index < 9; index++) {
 			health.record('e', 'unreachable', 1000);
 		}
 
-		expect([health.isPaused('e', 2999), health.isPaused('e', 3001)]).toEqual([true, false]);
+		expect([health.isBackedOff('e', 2999), health.isBackedOff('e', 3001)]).toEqual([true, false]);
 		health.record('e', 'sound', 1000);
-		expect(health.isPaused('e', 1001)).toBe(false);
+		expect(health.isBackedOff('e', 1001)).toBe(false);
 	});
 });
 
@@ -128,7 +128,7 @@
 		let made = 0;
 		for (let now = 0; now < 10_000; now += 10) {
 			budget.countRequest('s', now);
-			if (budget.allows('s', {hosts: 10, counted: 1}, now)) {
+			if (budget.allowsRetry('s', {hosts: 10, counted: 1}, now)) {
 				budget.countRetry('s', now);
 				made++;
 			}
@@ -144,9 +144,9 @@
 			budget.countRetry('s', 0);
 		}
 
-		expect(budget.allows('s', {hosts: 1, counted: 1}, 500)).toBe(false);
-		expect(budget.allows('s', {hosts: 1, counted: 1}, 1001)).toBe(true);
-		expect(budget.allows('t', {hosts: 1, counted: 1}, 500)).toBe(true);
+		expect(budget.allowsRetry('s', {hosts: 1, counted: 1}, 500)).toBe(false);
+		expect(budget.allowsRetry('s', {hosts: 1, counted: 1}, 1001)).toBe(true);
+		expect(budget.allowsRetry('t', {hosts: 1, counted: 1}, 500)).toBe(true);
 	});
 
 	it.each([
@@ -164,31 +164,31 @@
 
 describe('reachability', () => {
 	it('considers a link cut after two upstreams of a domain fail, until one answers or a second has passed', () => {
-		const reachability = new Reach();
-		reachability.missed('b', 'e1', 0);
-		reachability.missed('b', 'e1', 10);
-		expect([...reachability.cutOff(20)]).toEqual([]);
-		reachability.missed('b', 'e2', 30);
-		expect([...reachability.cutOff(40)]).toEqual(['b']);
-		expect([...reachability.cutOff(1020)]).toEqual([]);
-		reachability.missed('b', 'e1', 1025);
-		expect([...reachability.cutOff(1029)]).toEqual(['b']);
-		reachability.heard('b', 1030);
-		expect([...reachability.cutOff(1031)]).toEqual([]);
-		expect([reachability.isAlive('b', 1100), reachability.isAlive('b', 2100), reachability.isAlive('c', 1100)]).toEqual([true, false, false]);
+		const reachability = new Reachability();
+		reachability.recordFailure('b', 'e1', 0);
+		reachability.recordFailure('b', 'e1', 10);
+		expect([...reachability.findUnreachable(20)]).toEqual([]);
+		reachability.recordFailure('b', 'e2', 30);
+		expect([...reachability.findUnreachable(40)]).toEqual(['b']);
+		expect([...reachability.findUnreachable(1020)]).toEqual([]);
+		reachability.recordFailure('b', 'e1', 1025);
+		expect([...reachability.findUnreachable(1029)]).toEqual(['b']);
+		reachability.recordSuccess('b', 1030);
+		expect([...reachability.findUnreachable(1031)]).toEqual([]);
+		expect([reachability.hasLiveUpstreams('b', 1100), reachability.hasLiveUpstreams('b', 2100), reachability.hasLiveUpstreams('c', 1100)]).toEqual([true, false, false]);
 	});
 });
 
 describe('store outages', () => {
 	it('delay the removal of upstreams until two seconds after their end, whenever the registration expired', () => {
-		const outages = new Lapses();
-		expect(outages.delay(1000)).toBe(0);
-		outages.lost();
-		expect(outages.delay(5000)).toBe(2000);
-		outages.regained(8000);
-		expect([outages.delay(8000), outages.delay(8900), outages.delay(10_000), outages.delay(11_000)]).toEqual([2000, 1100, 0, 0]);
-		outages.regained(12_000);
-		expect(outages.delay(12_000)).toBe(0);
+		const outages = new StoreOutages();
+		expect(outages.removalDelay(1000)).toBe(0);
+		outages.markLost();
+		expect(outages.removalDelay(5000)).toBe(2000);
+		outages.markRegained(8000);
+		expect([outages.removalDelay(8000), outages.removalDelay(8900), outages.removalDelay(10_000), outages.removalDelay(11_000)]).toEqual([2000, 1100, 0, 0]);
+		outages.markRegained(12_000);
+		expect(outages.removalDelay(12_000)).toBe(0);
 	});
 });
 
@@ -203,7 +203,7 @@
 			suspects.record(crash(id), 0);
 		}
 
-		expect([suspects.acquit('f').map(({id}) => id), suspects.acquit('f'), suspects.crashes('f', 10)]).toEqual([['e1.1', 'e2.1'], [], 0]);
+		expect([suspects.acquit('f').map(({id}) => id), suspects.acquit('f'), suspects.countCrashes('f', 10)]).toEqual([['e1.1', 'e2.1'], [], 0]);
 		suspects.record(crash('e3.1'), 20);
 		expect(suspects.isConvicted('f', 30)).toBe(false);
 	});
@@ -221,7 +221,7 @@
 	it('are not convicted of a crash whose acquittal arrives before its report', () => {
 		const suspects = new Suspects();
 		expect(suspects.clear([crash('e1.1')], 0)).toBe(true);
-		expect([suspects.clear([crash('e1.1')], 1), suspects.record(crash('e1.1'), 2), suspects.crashes('f', 3)]).toEqual([false, false, 0]);
+		expect([suspects.clear([crash('e1.1')], 1), suspects.record(crash('e1.1'), 2), suspects.countCrashes('f', 3)]).toEqual([false, false, 0]);
 	});
 
 	it('are cleared only of crashes whose upstream is still the same process', () => {
@@ -230,8 +230,8 @@
 			suspects.record(crash(id), 0);
 		}
 
-		expect(suspects.review('f', ({upstream}) => upstream === 'e2').map(({id}) => id)).toEqual(['e2.1']);
-		expect([suspects.crashes('f', 10), suspects.isConvicted('f', 10)]).toEqual([2, false]);
+		expect(suspects.clearSurvived('f', ({upstream}) => upstream === 'e2').map(({id}) => id)).toEqual(['e2.1']);
+		expect([suspects.countCrashes('f', 10), suspects.isConvicted('f', 10)]).toEqual([2, false]);
 	});
 
 	it.each([1, 2, 3, 4, 5])('are forwarded in a fleet until every host has received them, and no longer (order %i)', seed => {
@@ -267,7 +267,7 @@
 		}
 
 		expect(received).toBeLessThanOrEqual(2 * hosts.length * (hosts.length - 1));
-		expect(hosts.map(host => host.crashes('f', 0))).toEqual(hosts.map(() => 0));
+		expect(hosts.map(host => host.countCrashes('f', 0))).toEqual(hosts.map(() => 0));
 	});
 });
 
--- a/src/core/gateway/__tests__/placement.test.ts
+++ b/src/core/gateway/__tests__/placement.test.ts
@@ -2,9 +2,9 @@
 import {describe, expect, it} from 'vitest';
 import {Health} from '../health.js';
 import {Load, type Job} from '../load.js';
-import {disturbed, weigh} from '../losses.js';
-import {place, type Place, type Surroundings} from '../placement.js';
-import {usualPolicy} from '../policy.js';
+import {findDisruptedStreams, computeWeight} from '../losses.js';
+import {place, type Placement, type PlacementOptions} from '../placement.js';
+import {defaultPolicy} from '../policy.js';
 import {type Demand, type EngineModel, type GatewayUpstream} from '../types.js';
 
 /** Performance model of the engines of a real site. */
@@ -33,9 +33,9 @@
 	readonly health = new Health();
 	#jobs = 0;
 
-	place(request: Demand, candidates: readonly GatewayUpstream[], change: Partial<Surroundings> = {}): Place | undefined {
+	place(request: Demand, candidates: readonly GatewayUpstream[], change: Partial<PlacementOptions> = {}): Placement | undefined {
 		return place(request, candidates, model, {
-			policy: usualPolicy, load: this.load, health: this.health, host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {tried: new Set()}, now, ...change,
+			policy: defaultPolicy, load: this.load, health: this.health, host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {excluded: new Set()}, now, ...change,
 		});
 	}
 
@@ -130,9 +130,9 @@
 		const fixture = new Fixture();
 		fixture.addDecoding('e0', 5000, 250);
 		fixture.addDecoding('e0', 133_000, 4000);
-		expect(disturbed(fixture.load.forecast('e0', model, now))).toEqual([]);
+		expect(findDisruptedStreams(fixture.load.forecast('e0', model, now))).toEqual([]);
 		fixture.addPrefill('e0', 900);
-		const found = disturbed(fixture.load.forecast('e0', model, now));
+		const found = findDisruptedStreams(fixture.load.forecast('e0', model, now));
 		expect(found.map(each => each.job.pause)).toEqual([250]);
 		expect(found[0]!.loss).toBeGreaterThan(0.5);
 	});
@@ -141,7 +141,7 @@
 		const fixture = new Fixture();
 		fixture.addDecoding('e0', 5000, 250);
 		fixture.addPrefill('e0', 60);
-		expect(disturbed(fixture.load.forecast('e0', model, now))).toEqual([]);
+		expect(findDisruptedStreams(fixture.load.forecast('e0', model, now))).toEqual([]);
 	});
 });
 
@@ -155,7 +155,7 @@
 
 		fixture.health.record('e2', 'unreachable', now);
 		const choices = all.map(each => ({...each, isDraining: each.id === 'e4'}));
-		const chosen = fixture.place(demand(5000), choices, {eligibility: {tried: new Set(['e1'])}});
+		const chosen = fixture.place(demand(5000), choices, {eligibility: {excluded: new Set(['e1'])}});
 		expect(chosen?.upstream.id).toBe('e3');
 	});
 
@@ -172,5 +172,5 @@
 });
 
 it('weighs a document more than a question', () => {
-	expect(weigh(model, {tokens: 133_000, answer: 0}) / weigh(model, {tokens: 5000, answer: 0})).toBeGreaterThan(5);
+	expect(computeWeight(model, {tokens: 133_000, answer: 0}) / computeWeight(model, {tokens: 5000, answer: 0})).toBeGreaterThan(5);
 });
--- a/src/core/gateway/__tests__/refusal.test.ts
+++ b/src/core/gateway/__tests__/refusal.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {estimatePrefill} from '../engine.js';
-import {usualPolicy} from '../policy.js';
-import {isHarmful, returnTime} from '../refusal.js';
+import {defaultPolicy} from '../policy.js';
+import {isHarmful, estimateRetryDelay} from '../refusal.js';
 import {type EngineModel} from '../types.js';
 
 const model: EngineModel = {
@@ -9,19 +9,19 @@
 };
 
 it('a request is refused only if its expected loss exceeds its weight', () => {
-	expect(isHarmful({loss: 0.8}, 1, usualPolicy)).toBe(false);
-	expect(isHarmful({loss: 138}, 32, usualPolicy)).toBe(true);
+	expect(isHarmful({loss: 0.8}, 1, defaultPolicy)).toBe(false);
+	expect(isHarmful({loss: 138}, 32, defaultPolicy)).toBe(true);
 });
 
 describe('the retry delay', () => {
 	const prefill = estimatePrefill(model, 100_000);
 
 	it('lasts until the current jobs at the engine are expected to end', () => {
-		expect(returnTime({firstByte: prefill.total + 800, reading: prefill}, model, 0.5)).toBeCloseTo(800 + 1300, 5);
+		expect(estimateRetryDelay({firstByte: prefill.total + 800, prefill: prefill}, model, 0.5)).toBeCloseTo(800 + 1300, 5);
 	});
 
 	it('is spread between callers and has a minimum', () => {
-		const delays = [0, 0.5, 1].map(random => returnTime({firstByte: prefill.total, reading: prefill}, {...model, usualAnswer: 10}, random));
+		const delays = [0, 0.5, 1].map(random => estimateRetryDelay({firstByte: prefill.total, prefill: prefill}, {...model, usualAnswer: 10}, random));
 		expect(delays).toEqual([700, 1000, 1300]);
 	});
 });
--- a/src/core/gateway/__tests__/rerouting.test.ts
+++ b/src/core/gateway/__tests__/rerouting.test.ts
@@ -2,9 +2,9 @@
 import {describe, expect, it} from 'vitest';
 import {Health} from '../health.js';
 import {Load, type Job} from '../load.js';
-import {isToYield, isWorthMoving} from '../moves.js';
-import {place, reconsider, type Surroundings} from '../placement.js';
-import {usualPolicy} from '../policy.js';
+import {hasToYield, isWorthRerouting} from '../rerouting.js';
+import {place, reevaluate, type PlacementOptions} from '../placement.js';
+import {defaultPolicy} from '../policy.js';
 import {type Demand, type EngineModel, type GatewayUpstream} from '../types.js';
 
 const now = 1_000_000;
@@ -24,24 +24,24 @@
 
 	it('the earlier one stays, and both hosts decide alike', () => {
 		const earlier = job('z', {began: now - 20});
-		expect([isToYield(own, earlier, now + 30), isToYield(earlier, own, now + 30)]).toEqual([true, false]);
+		expect([hasToYield(own, earlier, now + 30), hasToYield(earlier, own, now + 30)]).toEqual([true, false]);
 	});
 
 	it('the one with the smaller id stays if the start times are too close to order', () => {
 		const close = job('a', {began: now + 3});
-		expect([isToYield(own, close, now + 30), isToYield(close, own, now + 30)]).toEqual([true, false]);
+		expect([hasToYield(own, close, now + 30), hasToYield(close, own, now + 30)]).toEqual([true, false]);
 	});
 
 	it('none yields if they share no engine, no prefill is long, or an answer has begun', () => {
 		const first = job('a', {began: now - 20});
-		expect(isToYield(own, {...first, upstream: 'e1', helpers: ['e2']}, now)).toBe(false);
-		expect(isToYield(own, {...first, upstream: 'e1', helpers: ['e0']}, now)).toBe(true);
-		expect(isToYield({...own, readPerPass: 25}, {...first, readPerPass: 25}, now)).toBe(false);
-		expect(isToYield({...own, firstByte: now}, first, now)).toBe(false);
+		expect(hasToYield(own, {...first, upstream: 'e1', helpers: ['e2']}, now)).toBe(false);
+		expect(hasToYield(own, {...first, upstream: 'e1', helpers: ['e0']}, now)).toBe(true);
+		expect(hasToYield({...own, readPerPass: 25}, {...first, readPerPass: 25}, now)).toBe(false);
+		expect(hasToYield({...own, firstByte: now}, first, now)).toBe(false);
 	});
 
 	it('none yields after the load updates of all hosts must have arrived', () => {
-		expect(isToYield(own, job('a', {began: now - 20}), now + 150)).toBe(false);
+		expect(hasToYield(own, job('a', {began: now - 20}), now + 150)).toBe(false);
 	});
 });
 
@@ -53,9 +53,9 @@
 		id: 'r', service: 's', kind: 'streaming', priority: 1, arrived: now, due: now + 1500, deadline: now + 15_000, pause: 600, prompt: {tokens: 60_000, answer: 900},
 	};
 
-	function createOptions(load: Load, tried: readonly string[]): Surroundings {
+	function createOptions(load: Load, tried: readonly string[]): PlacementOptions {
 		return {
-			policy: usualPolicy, load, health: new Health(), host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {tried: new Set(tried)}, now,
+			policy: defaultPolicy, load, health: new Health(), host: 'h', failureDomain: 'a', unreachable: new Set(), eligibility: {excluded: new Set(tried)}, now,
 		};
 	}
 
@@ -65,29 +65,29 @@
 		expect(first.helpers).toEqual([]);
 		const {id} = first.upstream;
 		load.begin(job('own', {
-			upstream: id, prompt: 60_000, read: first.reading.total, readPerPass: first.reading.perPass,
+			upstream: id, prompt: 60_000, read: first.prefill.total, readPerPass: first.prefill.perIteration,
 		}), now);
-		const options = {...createOptions(load, [id]), except: 'own'};
-		const withoutOther = reconsider(demand, first, upstreams, model, options)!;
+		const options = {...createOptions(load, [id]), excludedJob: 'own'};
+		const withoutOther = reevaluate(demand, first, upstreams, model, options)!;
 		// Its own prefill must not count against it.
 		expect(withoutOther.staying).toBeCloseTo(first.loss, 5);
-		expect(isWorthMoving(withoutOther.staying, withoutOther.best!.loss)).toBe(false);
+		expect(isWorthRerouting(withoutOther.staying, withoutOther.best!.loss)).toBe(false);
 
 		load.begin(job('other', {upstream: id, read: 4000, readPerPass: 4000}), now);
-		const withOther = reconsider(demand, first, upstreams, model, options)!;
+		const withOther = reevaluate(demand, first, upstreams, model, options)!;
 		expect(withOther.best!.upstream.id).not.toBe(id);
-		expect(isWorthMoving(withOther.staying, withOther.best!.loss)).toBe(true);
+		expect(isWorthRerouting(withOther.staying, withOther.best!.loss)).toBe(true);
 
 		for (const each of upstreams.filter(upstream => upstream.id !== id)) {
 			load.begin(job(`other-${each.id}`, {upstream: each.id, read: 4000, readPerPass: 4000}), now);
 		}
 
-		const crowded = reconsider(demand, first, upstreams, model, options)!;
-		expect(isWorthMoving(crowded.staying, crowded.best!.loss)).toBe(false);
+		const crowded = reevaluate(demand, first, upstreams, model, options)!;
+		expect(isWorthRerouting(crowded.staying, crowded.best!.loss)).toBe(false);
 	});
 
 	it('is not rerouted at plain services', () => {
 		const first = place({...demand, prompt: undefined}, upstreams, undefined, createOptions(new Load(), []))!;
-		expect(reconsider({...demand, prompt: undefined}, first, upstreams, undefined, createOptions(new Load(), []))).toBe(undefined);
+		expect(reevaluate({...demand, prompt: undefined}, first, upstreams, undefined, createOptions(new Load(), []))).toBe(undefined);
 	});
 });
--- a/src/core/gateway/__tests__/retries.test.ts
+++ b/src/core/gateway/__tests__/retries.test.ts
@@ -18,7 +18,7 @@
 
 	/** Retries a request if the budget of the host allows it. Returns whether it does. */
 	retry(host: number, now: number): boolean {
-		if (!this.#hosts[host]!.allows('s', share, now)) {
+		if (!this.#hosts[host]!.allowsRetry('s', share, now)) {
 			return false;
 		}
 
@@ -30,7 +30,7 @@
 	#broadcast(host: number, kind: 'first' | 'retry', now: number): void {
 		for (const [index, each] of this.#hosts.entries()) {
 			if (index !== host) {
-				each.hear('s', kind, now);
+				each.countPeerPlacement('s', kind, now);
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 it('a host without known peers uses only its own part', () => {
 	const host = new RetryBudget(bounds);
 	let retried = 0;
-	while (host.allows('s', {hosts: share.hosts, counted: 1}, 0)) {
+	while (host.allowsRetry('s', {hosts: share.hosts, counted: 1}, 0)) {
 		host.countRetry('s', 0);
 		retried++;
 	}
@@ -76,8 +76,8 @@
 it('a request that reached no upstream at first is not counted again', () => {
 	const host = new RetryBudget({ratio: 1, window: 1000, allowance: 0});
 	for (let index = 0; index < 10; index++) {
-		host.hear('s', 'unreached before', 0);
+		host.countPeerPlacement('s', 'unreached before', 0);
 	}
 
-	expect(host.allows('s', {hosts: 2, counted: 2}, 0)).toBe(false);
+	expect(host.allowsRetry('s', {hosts: 2, counted: 2}, 0)).toBe(false);
 });
--- a/src/core/gateway/absences.ts
+++ b/src/core/gateway/absences.ts
@@ -31,7 +31,7 @@
  * @param hostDomain - Failure domain of the host that found it absent.
  * @returns The absence to report.
  */
-export function absenceOf(upstream: string, reason: AbsenceReason, upstreamDomain: string | undefined, hostDomain: string): Absence {
+export function createAbsence(upstream: string, reason: AbsenceReason, upstreamDomain: string | undefined, hostDomain: string): Absence {
 	return {upstream, reason, isForAll: reason === 'replaced' || upstreamDomain === hostDomain};
 }
 
@@ -41,7 +41,7 @@
  * @param hostDomain - Failure domain of the receiving host.
  * @returns Whether the absence applies to the receiving host.
  */
-export function holdsAt({isForAll}: Absence, senderDomain: string, hostDomain: string): boolean {
+export function appliesIn({isForAll}: Absence, senderDomain: string, hostDomain: string): boolean {
 	return isForAll || senderDomain === hostDomain;
 }
 
@@ -49,7 +49,7 @@
  * @param reason - How a peer found an upstream absent.
  * @returns Verdict for this host. Silence counts less, since the peer's own link or a lost packet may be the cause.
  */
-export function verdictFrom(reason: AbsenceReason): Verdict {
+export function absenceToVerdict(reason: AbsenceReason): Verdict {
 	switch (reason) {
 		case 'refused': {
 			return 'unreachable';
--- a/src/core/gateway/tries.ts
+++ b/src/core/gateway/attempts.ts
@@ -1,5 +1,5 @@
 /** Tracks the attempts of one request: which upstreams it was sent to, and whether another attempt may follow. */
-import {type Placing} from './load.js';
+import {type PlacementKind} from './load.js';
 import {isRepeatable, type AttemptEnding} from './retries.js';
 import {type Route} from './types.js';
 
@@ -20,13 +20,13 @@
 /** Upstreams that a request may be sent to next. */
 export type Eligibility = {
 	/** Upstreams that received the request, or that refused it memory or help. They neither answer nor help. */
-	readonly tried: ReadonlySet<string>;
+	readonly excluded: ReadonlySet<string>;
 	/** If set, one of these must answer, as the route allows no further upstream. */
 	readonly permitted?: ReadonlySet<string>;
 };
 
 /** Attempts of one request. */
-export class Tries {
+export class Attempts {
 	readonly #rules: RetryRules;
 	readonly #excluded = new Set<string>();
 	/** Upstreams that the request was sent to. */
@@ -47,7 +47,7 @@
 
 	/** Upstreams that the request may be sent to next. */
 	get eligibility(): Eligibility {
-		return {tried: this.#excluded, permitted: this.#hasUpstreamsLeft ? undefined : this.#askableAgain};
+		return {excluded: this.#excluded, permitted: this.#hasUpstreamsLeft ? undefined : this.#askableAgain};
 	}
 
 	/** Number of times that the request was sent. */
@@ -56,7 +56,7 @@
 	}
 
 	/** Kind of the next placement. */
-	get placing(): Placing {
+	get placementKind(): PlacementKind {
 		if (this.#sent > 0) {
 			return 'retry';
 		}
@@ -65,14 +65,14 @@
 	}
 
 	/** Whether the request may move from an unresponsive engine to another one. */
-	get mayLeave(): boolean {
+	get canFailOver(): boolean {
 		return this.#hasUpstreamsLeft && this.#isRepeatable({type: 'unknown', reason: 'silent'});
 	}
 
 	/**
 	 * @param upstream - Upstream that the request is sent to.
 	 */
-	noteSent(upstream: string): void {
+	recordSent(upstream: string): void {
 		this.#sent++;
 		this.#excluded.add(upstream);
 		this.#contacted.add(upstream);
@@ -84,7 +84,7 @@
 	 *
 	 * @param upstream - Upstream that could not be connected to, so that nothing was sent.
 	 */
-	noteUnreached(upstream: string): void {
+	recordUnreached(upstream: string): void {
 		this.#sent--;
 		this.#unreached++;
 		this.#contacted.delete(upstream);
@@ -94,7 +94,7 @@
 	 * @param upstream - Engine that did not run the request.
 	 * @param helper - Engine that should have helped and did not.
 	 */
-	noteMissedHelper(upstream: string, helper: string): void {
+	recordMissingHelper(upstream: string, helper: string): void {
 		this.#missingHelpers++;
 		this.#excluded.delete(upstream);
 		this.#askableAgain.add(upstream);
@@ -104,7 +104,7 @@
 	/**
 	 * @param engines - Engines that refused to reserve memory.
 	 */
-	noteRefusedHold(engines: readonly string[]): void {
+	recordRefusedHold(engines: readonly string[]): void {
 		this.#refusedHolds++;
 		for (const engine of engines) {
 			this.#excluded.add(engine);
@@ -115,7 +115,7 @@
 	 * @param ending - How the last attempt ended.
 	 * @returns Whether the request may be retried, apart from the retry budget.
 	 */
-	mayFollow(ending: AttemptEnding): boolean {
+	canRetryAfter(ending: AttemptEnding): boolean {
 		// An attempt that this host cancelled may have run anyway.
 		const known: AttemptEnding = ending.type === 'cancelled' ? {type: 'unknown', reason: ending.reason} : ending;
 		return this.#isRepeatable(known)
--- a/src/core/gateway/engine.ts
+++ b/src/core/gateway/engine.ts
@@ -8,7 +8,7 @@
 export type PrefillTime = {
 	readonly total: number;
 	/** Longest part within one engine iteration, which is the longest delay of jobs that are decoding there. */
-	readonly perPass: number;
+	readonly perIteration: number;
 };
 
 /**
@@ -25,8 +25,8 @@
 	const share = Math.min(model.stride * model.chunk * parts / Math.max(tokens, 1), 1);
 	// Later tokens attend to more earlier ones, so the last iteration is the longest.
 	const lastPairs = 1 - ((1 - share) ** 2);
-	const perPass = ((plain * share) + (pairs * lastPairs)) / parts;
-	return {total, perPass: perPass + (Math.min(steps, model.stride) * model.step)};
+	const perIteration = ((plain * share) + (pairs * lastPairs)) / parts;
+	return {total, perIteration: perIteration + (Math.min(steps, model.stride) * model.step)};
 }
 
 /**
--- a/src/core/gateway/health.ts
+++ b/src/core/gateway/health.ts
@@ -33,7 +33,7 @@
  * @param ending - How an attempt ended.
  * @returns What it shows about the upstream, or undefined if nothing.
  */
-export function verdictOf(ending: AttemptEnding): Verdict | undefined {
+export function endingToVerdict(ending: AttemptEnding): Verdict | undefined {
 	switch (ending.type) {
 		case 'answered': {
 			return 'sound';
@@ -123,7 +123,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Expected share of attempts that fail there, 0 to 1.
 	 */
-	risk(upstream: string, now: number): number {
+	failureProbability(upstream: string, now: number): number {
 		const {attempts, failures} = this.#decayed(upstream, now);
 		return (failures + priorFailures) / (attempts + priorAttempts);
 	}
@@ -133,7 +133,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Whether it is backed off now.
 	 */
-	isPaused(upstream: string, now: number): boolean {
+	isBackedOff(upstream: string, now: number): boolean {
 		return (this.#entries.get(upstream)?.backedOffUntil ?? 0) > now;
 	}
 
--- a/src/core/gateway/load.ts
+++ b/src/core/gateway/load.ts
@@ -1,11 +1,11 @@
 /** Tracks the jobs at each upstream, from this host and from the load updates of its peers, and forecasts engine load from them. */
 import {footprint, estimateDecodeIteration} from './engine.js';
-import {usualUrgency} from './urgency.js';
+import {defaultUrgency} from './urgency.js';
 import {estimateSlotWait, type Occupant} from './queue.js';
 import {type EngineModel} from './types.js';
 
 /** Kind of placement: the request's first, a retry after an upstream received it, or one after attempts that reached no upstream. */
-export type Placing = 'first' | 'retry' | 'unreached before';
+export type PlacementKind = 'first' | 'retry' | 'unreached before';
 
 /** One attempt of a request at an upstream. Times are on this host's monotonic clock, in milliseconds. */
 export type Job = {
@@ -32,7 +32,7 @@
 	readonly urgency?: number;
 	/** How much the request counts, relative to a usual one. */
 	readonly weight: number;
-	readonly placing: Placing;
+	readonly placing: PlacementKind;
 	readonly began: number;
 	/** When the first byte is due. */
 	readonly due: number;
@@ -48,11 +48,11 @@
 	/** Jobs that the engine is decoding. */
 	readonly decoding: readonly Job[];
 	/** Jobs whose prompt, or a part of it, the engine prefills. */
-	readonly readers: readonly Job[];
+	readonly prefilling: readonly Job[];
 	/** Milliseconds of prefill ahead of a new prompt. */
 	readonly backlog: number;
 	/** Milliseconds of an engine iteration without prefill; 0 if nothing is decoding. */
-	readonly pass: number;
+	readonly iteration: number;
 	/** Milliseconds until a slot in the batch is free. */
 	readonly slotWait: number;
 	/** KV memory in tokens that no job needs. */
@@ -102,7 +102,7 @@
 	 * @param id - Job.
 	 * @returns The job, or undefined if it is unknown or has ended.
 	 */
-	job(id: string): Job | undefined {
+	get(id: string): Job | undefined {
 		return this.#jobs.get(id);
 	}
 
@@ -118,7 +118,7 @@
 	 * @param host - Host.
 	 * @returns The jobs that the host sent.
 	 */
-	jobsOf(host: string): readonly Job[] {
+	findJobsOfHost(host: string): readonly Job[] {
 		return this.all.filter(job => job.host === host);
 	}
 
@@ -126,7 +126,7 @@
 	 * @param job - Job.
 	 * @returns Jobs of other hosts at the same engines, helpers included.
 	 */
-	companions(job: Job): readonly Job[] {
+	findJobsOfOtherHosts(job: Job): readonly Job[] {
 		return enginesOf(job)
 			.flatMap(engine => [...this.#engines.get(engine)?.jobs.values() ?? []])
 			.filter(each => each.host !== job.host);
@@ -136,7 +136,7 @@
 	 * @param upstream - Upstream.
 	 * @returns Number of jobs that it answers; jobs that it only helps to prefill are excluded.
 	 */
-	requests(upstream: string): number {
+	countRequests(upstream: string): number {
 		let count = 0;
 		for (const job of this.#engines.get(upstream)?.jobs.values() ?? []) {
 			count += job.upstream === upstream ? 1 : 0;
@@ -170,7 +170,7 @@
 	 * @param id - Job whose first byte has arrived.
 	 * @param now - Time.
 	 */
-	progress(id: string, now: number): void {
+	recordFirstByte(id: string, now: number): void {
 		const job = this.#jobs.get(id);
 		if (job === undefined || job.firstByte !== undefined) {
 			return;
@@ -201,7 +201,7 @@
 	 * @param now - Time.
 	 */
 	forgetHost(host: string, now: number): void {
-		for (const job of this.jobsOf(host)) {
+		for (const job of this.findJobsOfHost(host)) {
 			this.#remove(job.id, now);
 		}
 	}
@@ -225,7 +225,7 @@
 	 *
 	 * @param now - Time.
 	 */
-	expire(now: number): void {
+	removeExpired(now: number): void {
 		for (const job of this.#jobs.values()) {
 			if (job.deadline + expiryMarginMs < now) {
 				this.#remove(job.id, now);
@@ -248,16 +248,16 @@
 	 * @param options - Request that the forecast is made for.
 	 * @returns The expected state of the engine.
 	 */
-	forecast(upstream: string, model: EngineModel, now: number, {urgency = usualUrgency, excludedJob}: ForecastOptions = {}): Forecast {
+	forecast(upstream: string, model: EngineModel, now: number, {urgency = defaultUrgency, excludedJob}: ForecastOptions = {}): Forecast {
 		const state = this.#engines.get(upstream);
 		if (state === undefined) {
 			return {
-				requests: 0, decoding: [], readers: [], backlog: 0, pass: 0, slotWait: 0, freeMemory: model.memory,
+				requests: 0, decoding: [], prefilling: [], backlog: 0, iteration: 0, slotWait: 0, freeMemory: model.memory,
 			};
 		}
 
 		const decoding: Job[] = [];
-		const readers: Job[] = [];
+		const prefilling: Job[] = [];
 		const contexts: number[] = [];
 		const occupants: Occupant[] = [];
 		let freeMemory = model.memory;
@@ -269,12 +269,12 @@
 			}
 
 			if (job.upstream === upstream) {
-				occupants.push({decodeTime: job.firstByte === undefined ? undefined : now - job.firstByte, urgency: job.urgency ?? usualUrgency});
+				occupants.push({decodeTime: job.firstByte === undefined ? undefined : now - job.firstByte, urgency: job.urgency ?? defaultUrgency});
 			}
 
 			freeMemory -= memoryAt(job, upstream, model);
 			if (job.firstByte === undefined) {
-				readers.push(job);
+				prefilling.push(job);
 				continue;
 			}
 
@@ -284,15 +284,15 @@
 			}
 		}
 
-		const minBacklog = readers.length === 0 ? 0 : prefillOverrunMs;
-		const pass = contexts.length === 0 ? 0 : estimateDecodeIteration(model, contexts);
+		const minBacklog = prefilling.length === 0 ? 0 : prefillOverrunMs;
+		const iteration = contexts.length === 0 ? 0 : estimateDecodeIteration(model, contexts);
 		return {
 			requests: occupants.length,
 			decoding,
-			readers,
+			prefilling: prefilling,
 			backlog: Math.max(prefillUntil - now, minBacklog),
-			pass,
-			slotWait: estimateSlotWait(model, occupants, pass, urgency),
+			iteration: iteration,
+			slotWait: estimateSlotWait(model, occupants, iteration, urgency),
 			freeMemory,
 		};
 	}
--- a/src/core/gateway/losses.ts
+++ b/src/core/gateway/losses.ts
@@ -35,7 +35,7 @@
  * @param prompt - Size of a request.
  * @returns Weight of the request, which grows with its prompt: more people wait for a long document than for a question.
  */
-export function weigh(model: EngineModel, prompt: Prompt): number {
+export function computeWeight(model: EngineModel, prompt: Prompt): number {
 	return 1 + (prompt.tokens / Math.max(model.usualPrompt, 1));
 }
 
@@ -48,11 +48,11 @@
 /** Returns the longest expected engine iteration, with the prefill of known jobs, in milliseconds. */
 function estimatePrefillIteration(forecast: Forecast): number {
 	let longest = 0;
-	for (const job of forecast.readers) {
+	for (const job of forecast.prefilling) {
 		longest = Math.max(longest, job.readPerPass);
 	}
 
-	return forecast.pass + Math.min(longest, forecast.backlog);
+	return forecast.iteration + Math.min(longest, forecast.backlog);
 }
 
 /**
@@ -66,12 +66,12 @@
 	let loss = 0;
 	for (const job of forecast.decoding) {
 		if (job.pause !== undefined) {
-			const added = estimateLateProbability(current + prefill.perPass, job.pause) - estimateLateProbability(current, job.pause);
+			const added = estimateLateProbability(current + prefill.perIteration, job.pause) - estimateLateProbability(current, job.pause);
 			loss += added * job.weight * lateLoss;
 		}
 	}
 
-	for (const job of forecast.readers) {
+	for (const job of forecast.prefilling) {
 		loss += estimateDelayLoss(job, prefill.total, forecast.backlog, now);
 	}
 
@@ -90,7 +90,7 @@
  */
 export function estimatePrefillEnd({forecast}: Candidate, prefill: PrefillTime): number {
 	// The prompt joins after the running iteration, half of which remains on average; its first token comes at the end of its own.
-	return forecast.slotWait + (forecast.pass * 1.5) + forecast.backlog + prefill.total;
+	return forecast.slotWait + (forecast.iteration * 1.5) + forecast.backlog + prefill.total;
 }
 
 /** Returns the probability that a stream pauses for longer than its latency target allows. */
@@ -130,7 +130,7 @@
  * @param forecast - Expected state of the engine.
  * @returns The jobs, and the expected loss of each if it stays.
  */
-export function disturbed(forecast: Forecast): ReadonlyArray<{readonly job: Job; readonly loss: number}> {
+export function findDisruptedStreams(forecast: Forecast): ReadonlyArray<{readonly job: Job; readonly loss: number}> {
 	const iteration = estimatePrefillIteration(forecast);
 	const found: Array<{readonly job: Job; readonly loss: number}> = [];
 	for (const job of forecast.decoding) {
@@ -138,7 +138,7 @@
 			continue;
 		}
 
-		const probability = estimateLateProbability(iteration, job.pause) - estimateLateProbability(forecast.pass, job.pause);
+		const probability = estimateLateProbability(iteration, job.pause) - estimateLateProbability(forecast.iteration, job.pause);
 		if (probability > disruptionThreshold) {
 			found.push({job, loss: probability * job.weight * lateLoss});
 		}
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -4,10 +4,10 @@
 import {type Health} from './health.js';
 import {type Load} from './load.js';
 import {
-	estimateDisruptionLoss, estimateOpeningLoss, estimateOwnLoss, estimatePrefillEnd, weigh, type Candidate,
+	estimateDisruptionLoss, estimateOpeningLoss, estimateOwnLoss, estimatePrefillEnd, computeWeight, type Candidate,
 } from './losses.js';
 import {type Policy} from './policy.js';
-import {type Eligibility} from './tries.js';
+import {type Eligibility} from './attempts.js';
 import {
 	type Demand, type EngineModel, type GatewayUpstream, type Prompt,
 } from './types.js';
@@ -23,7 +23,7 @@
 const hashRange = 2 ** 32;
 
 /** State of this host that a placement depends on. */
-export type Surroundings = {
+export type PlacementOptions = {
 	readonly policy: Policy;
 	readonly load: Load;
 	readonly health: Health;
@@ -33,20 +33,20 @@
 	readonly unreachable: ReadonlySet<string>;
 	readonly eligibility: Eligibility;
 	/** Job of this request to leave out of forecasts, as if it had not been sent. */
-	readonly except?: string;
+	readonly excludedJob?: string;
 	/** Monotonic time in milliseconds. */
 	readonly now: number;
 };
 
 /** Chosen upstream of a request, and its expected cost. */
-export type Place = {
+export type Placement = {
 	/** Upstream that answers. */
 	readonly upstream: GatewayUpstream;
 	/** Other engines that prefill a part of the prompt. */
 	readonly helpers: readonly GatewayUpstream[];
 	/** Tokens to reserve at each of these engines; 0 if one engine holds the whole prompt. */
 	readonly holdTokens: number;
-	readonly reading: PrefillTime;
+	readonly prefill: PrefillTime;
 	/** Predicted milliseconds until the first byte. */
 	readonly firstByte: number;
 	/** Rank in the queue of the engine, 0 is first; undefined for plain services. */
@@ -55,15 +55,15 @@
 	readonly loss: number;
 };
 
-function createCandidates(upstreams: readonly GatewayUpstream[], model: EngineModel, options: Surroundings, prompt: Prompt): readonly Candidate[] {
-	const {health, load, now, except: excludedJob, policy, failureDomain} = options;
+function createCandidates(upstreams: readonly GatewayUpstream[], model: EngineModel, options: PlacementOptions, prompt: Prompt): readonly Candidate[] {
+	const {health, load, now, excludedJob: excludedJob, policy, failureDomain} = options;
 	const host = hashText(options.host);
-	const weight = weigh(model, prompt);
+	const weight = computeWeight(model, prompt);
 	const urgency = urgencyOf(prompt, false);
 	return upstreams.map(upstream => ({
 		upstream,
 		forecast: load.forecast(upstream.id, model, now, {urgency, excludedJob}),
-		fixedLoss: (health.risk(upstream.id, now) * weight)
+		fixedLoss: (health.failureProbability(upstream.id, now) * weight)
 			+ (upstream.failureDomain === failureDomain ? 0 : policy.distanceLoss)
 			+ (hashSpread(host, upstream.id) * policy.spreadingLoss),
 	}));
@@ -81,7 +81,7 @@
 	readonly holdTokens: number;
 };
 
-function evaluateSplit({first, helpers, holdTokens}: PromptSplit, demand: Demand, prompt: Prompt, model: EngineModel, options: Surroundings): Place {
+function evaluateSplit({first, helpers, holdTokens}: PromptSplit, demand: Demand, prompt: Prompt, model: EngineModel, options: PlacementOptions): Placement {
 	const {policy, now} = options;
 	const prefill = estimatePrefill(model, prompt.tokens, helpers.length + 1);
 	let loss = first.fixedLoss + estimateOpeningLoss(first, demand, policy);
@@ -91,20 +91,20 @@
 		firstByte = Math.max(firstByte, estimatePrefillEnd(candidate, prefill));
 	}
 
-	loss += estimateOwnLoss(first, firstByte, demand, weigh(model, prompt), now);
+	loss += estimateOwnLoss(first, firstByte, demand, computeWeight(model, prompt), now);
 	return {
 		upstream: first.upstream,
 		helpers: helpers.map(candidate => candidate.upstream),
 		holdTokens,
-		reading: prefill,
+		prefill: prefill,
 		firstByte,
-		urgency: urgencyOf(prompt, demand.isBegun === true),
+		urgency: urgencyOf(prompt, demand.hasBegun === true),
 		loss,
 	};
 }
 
 /** Sorts engines by the loss that prefilling one part causes there, the least first. */
-function rankCandidates(candidates: readonly Candidate[], prefill: PrefillTime, {now, policy}: Surroundings): readonly Candidate[] {
+function rankCandidates(candidates: readonly Candidate[], prefill: PrefillTime, {now, policy}: PlacementOptions): readonly Candidate[] {
 	const cost = new Map<Candidate, number>();
 	for (const candidate of candidates) {
 		cost.set(candidate, estimateDisruptionLoss(candidate, prefill, now) + candidate.fixedLoss + (estimatePrefillEnd(candidate, prefill) * policy.waitLossPerMs));
@@ -113,7 +113,7 @@
 	return candidates.toSorted((a, b) => cost.get(a)! - cost.get(b)!);
 }
 
-function findSplits(prompt: Prompt, model: EngineModel, candidates: readonly Candidate[], options: Surroundings): PromptSplit[] {
+function findSplits(prompt: Prompt, model: EngineModel, candidates: readonly Candidate[], options: PlacementOptions): PromptSplit[] {
 	const {eligibility, policy} = options;
 	const neededMemory = footprint(model, prompt.tokens, prompt.answer);
 	const canAnswer = (candidate: Candidate) => eligibility.permitted?.has(candidate.upstream.id) ?? true;
@@ -142,9 +142,9 @@
 	return splits;
 }
 
-function placeAtEngine(demand: Demand, prompt: Prompt, model: EngineModel, upstreams: readonly GatewayUpstream[], options: Surroundings): Place | undefined {
+function placeAtEngine(demand: Demand, prompt: Prompt, model: EngineModel, upstreams: readonly GatewayUpstream[], options: PlacementOptions): Placement | undefined {
 	const candidates = createCandidates(upstreams, model, options, prompt);
-	let best: Place | undefined;
+	let best: Placement | undefined;
 	for (const split of findSplits(prompt, model, candidates, options)) {
 		const placement = evaluateSplit(split, demand, prompt, model, options);
 		if (best === undefined || placement.loss < best.loss) {
@@ -155,22 +155,22 @@
 	return best;
 }
 
-const noPrefill: PrefillTime = {total: 0, perPass: 0};
+const noPrefill: PrefillTime = {total: 0, perIteration: 0};
 
 /** Chooses the upstream with the fewest requests per slot. Takes the first one among equals, so that hosts do not agree by chance. */
-function placeAtService(upstreams: readonly GatewayUpstream[], {eligibility, load, health, failureDomain, policy, now}: Surroundings): Place | undefined {
-	let best: Place | undefined;
+function placeAtService(upstreams: readonly GatewayUpstream[], {eligibility, load, health, failureDomain, policy, now}: PlacementOptions): Placement | undefined {
+	let best: Placement | undefined;
 	for (const upstream of upstreams) {
 		if (eligibility.permitted?.has(upstream.id) === false) {
 			continue;
 		}
 
-		const busy = (load.requests(upstream.id) + 1) / Math.max(upstream.slots, 1);
+		const busy = (load.countRequests(upstream.id) + 1) / Math.max(upstream.slots, 1);
 		const distance = upstream.failureDomain === failureDomain ? 0 : policy.distanceLoss;
-		const loss = health.risk(upstream.id, now) + (busy * busyLoss) + (busy > 1 ? 1 : 0) + distance;
+		const loss = health.failureProbability(upstream.id, now) + (busy * busyLoss) + (busy > 1 ? 1 : 0) + distance;
 		if (best === undefined || loss < best.loss) {
 			best = {
-				upstream, helpers: [], holdTokens: 0, reading: noPrefill, firstByte: 0, loss,
+				upstream, helpers: [], holdTokens: 0, prefill: noPrefill, firstByte: 0, loss,
 			};
 		}
 	}
@@ -179,9 +179,9 @@
 }
 
 /** Returns the upstreams that are neither backed off nor unreachable, or else all that are eligible: a doubtful one is better than none. */
-function findUsable(upstreams: readonly GatewayUpstream[], {eligibility, health, unreachable, now}: Surroundings): readonly GatewayUpstream[] {
-	const eligible = upstreams.filter(each => !each.isDraining && !eligibility.tried.has(each.id));
-	const healthy = eligible.filter(each => !health.isPaused(each.id, now) && !unreachable.has(each.failureDomain));
+function findUsable(upstreams: readonly GatewayUpstream[], {eligibility, health, unreachable, now}: PlacementOptions): readonly GatewayUpstream[] {
+	const eligible = upstreams.filter(each => !each.isDraining && !eligibility.excluded.has(each.id));
+	const healthy = eligible.filter(each => !health.isBackedOff(each.id, now) && !unreachable.has(each.failureDomain));
 	return healthy.length > 0 ? healthy : eligible;
 }
 
@@ -192,7 +192,7 @@
  * @param options - State of this host that the placement depends on.
  * @returns The placement, or undefined if no upstream can take the request.
  */
-export function place(demand: Demand, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Place | undefined {
+export function place(demand: Demand, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: PlacementOptions): Placement | undefined {
 	const usable = findUsable(upstreams, options);
 	return model !== undefined && demand.prompt !== undefined
 		? placeAtEngine(demand, demand.prompt, model, usable, options)
@@ -200,10 +200,10 @@
 }
 
 /** Comparison of the current placement of a request with the best alternative. */
-export type Second = {
+export type Reevaluation = {
 	/** Expected loss at the current placement, in requests of usual weight. */
 	readonly staying: number;
-	readonly best: Place | undefined;
+	readonly best: Placement | undefined;
 };
 
 /**
@@ -216,7 +216,7 @@
  * @param options - State of this host; the job of the request is excluded there.
  * @returns The current loss and the best placement; undefined for plain services.
  */
-export function reconsider(demand: Demand, current: Place, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: Surroundings): Second | undefined {
+export function reevaluate(demand: Demand, current: Placement, upstreams: readonly GatewayUpstream[], model: EngineModel | undefined, options: PlacementOptions): Reevaluation | undefined {
 	const {prompt} = demand;
 	if (model === undefined || prompt === undefined) {
 		return undefined;
--- a/src/core/gateway/policy.ts
+++ b/src/core/gateway/policy.ts
@@ -18,18 +18,18 @@
 	/** Whether requests whose expected loss exceeds their weight are refused. */
 	readonly isRefusalEnabled: boolean;
 	/** Whether the later of two requests at the same engine is rerouted. */
-	readonly yields: boolean;
+	readonly isYieldingEnabled: boolean;
 };
 
 /** Policy of the hosts. */
-export const usualPolicy: Policy = {
+export const defaultPolicy: Policy = {
 	maxParts: 16,
 	openingLoss: 0.08,
 	distanceLoss: 0.01,
 	spreadingLoss: 0.1,
 	waitLossPerMs: 0.0001,
 	isRefusalEnabled: true,
-	yields: true,
+	isYieldingEnabled: true,
 };
 
 /** Changes to the policy that disable one mechanism. */
@@ -40,7 +40,7 @@
 	taste: {spreadingLoss: 0},
 	waiting: {waitLossPerMs: 0},
 	refusal: {isRefusalEnabled: false},
-	yielding: {yields: false},
+	yielding: {isYieldingEnabled: false},
 } as const satisfies Record<string, Partial<Policy>>;
 
 export type Mechanism = keyof typeof ablations;
--- a/src/core/gateway/reach.ts
+++ b/src/core/gateway/reachability.ts
@@ -10,7 +10,7 @@
 const failureWindowMs = 1000;
 
 /** Reachability of other failure domains. */
-export class Reach {
+export class Reachability {
 	/** Times of failures, by domain and upstream. */
 	readonly #failures = new Map<string, Map<string, number>>();
 	/** Times of the last successes, by domain. */
@@ -20,7 +20,7 @@
 	 * @param domain - Failure domain with an upstream that responded.
 	 * @param now - Time in milliseconds.
 	 */
-	heard(domain: string, now: number): void {
+	recordSuccess(domain: string, now: number): void {
 		this.#failures.delete(domain);
 		this.#lastSuccess.set(domain, now);
 	}
@@ -30,7 +30,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Whether an upstream there responded recently, which means that the hosts have failed and not the link.
 	 */
-	isAlive(domain: string, now: number): boolean {
+	hasLiveUpstreams(domain: string, now: number): boolean {
 		return now - (this.#lastSuccess.get(domain) ?? Number.NEGATIVE_INFINITY) < failureWindowMs;
 	}
 
@@ -39,7 +39,7 @@
 	 * @param upstream - Upstream whose connection broke, could not be made or timed out.
 	 * @param now - Time in milliseconds.
 	 */
-	missed(domain: string, upstream: string, now: number): void {
+	recordFailure(domain: string, upstream: string, now: number): void {
 		const known = this.#failures.get(domain) ?? new Map<string, number>();
 		known.set(upstream, now);
 		this.#failures.set(domain, known);
@@ -49,7 +49,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Failure domains that are considered unreachable.
 	 */
-	cutOff(now: number): ReadonlySet<string> {
+	findUnreachable(now: number): ReadonlySet<string> {
 		const unreachable = new Set<string>();
 		for (const [domain, upstreams] of this.#failures) {
 			let recent = 0;
--- a/src/core/gateway/refusal.ts
+++ b/src/core/gateway/refusal.ts
@@ -1,5 +1,5 @@
 /** Decides which requests are refused at once, and when their callers may retry. Limits the damage of bursts of long prompts on busy engines. */
-import {type Place} from './placement.js';
+import {type Placement} from './placement.js';
 import {type Policy} from './policy.js';
 import {type EngineModel} from './types.js';
 
@@ -18,7 +18,7 @@
  * @param policy - Whether such requests are refused at all.
  * @returns Whether the expected loss of serving it now exceeds its weight.
  */
-export function isHarmful({loss}: Pick<Place, 'loss'>, weight: number, {isRefusalEnabled}: Pick<Policy, 'isRefusalEnabled'>): boolean {
+export function isHarmful({loss}: Pick<Placement, 'loss'>, weight: number, {isRefusalEnabled}: Pick<Policy, 'isRefusalEnabled'>): boolean {
 	return isRefusalEnabled && loss > weight;
 }
 
@@ -28,7 +28,7 @@
  * @param random - Uniform from 0 to 1, to spread retries.
  * @returns Estimated milliseconds until the current jobs there have ended.
  */
-export function returnTime({firstByte, reading}: Pick<Place, 'firstByte' | 'reading'>, model: EngineModel, random: number): number {
-	const busy = firstByte - reading.total + (model.usualAnswer * model.step);
+export function estimateRetryDelay({firstByte, prefill: prefill}: Pick<Placement, 'firstByte' | 'prefill'>, model: EngineModel, random: number): number {
+	const busy = firstByte - prefill.total + (model.usualAnswer * model.step);
 	return Math.max(busy, minRetryDelayMs) * (1 + ((random - 0.5) * retryJitter));
 }
--- a/src/core/gateway/moves.ts
+++ b/src/core/gateway/rerouting.ts
@@ -11,7 +11,7 @@
 const clockToleranceMs = 5;
 
 /** Prefill within one engine iteration, in milliseconds, that disrupts other jobs at the engine. Shorter ones make no pause too long. */
-export const harmfulReading = 100;
+export const disruptivePrefillMs = 100;
 
 /**
  * @param own - Job at an engine.
@@ -19,9 +19,9 @@
  * @param now - Time in milliseconds.
  * @returns Whether the host of the first job may reroute it as soon as it receives the load update of the other one.
  */
-export function mayMove(own: Job, other: Job, now: number): boolean {
+export function canCauseReroute(own: Job, other: Job, now: number): boolean {
 	const isYoung = own.firstByte === undefined && now - own.began <= yieldWindowMs;
-	return other.readPerPass >= harmfulReading || (isYoung && own.readPerPass >= harmfulReading);
+	return other.readPerPass >= disruptivePrefillMs || (isYoung && own.readPerPass >= disruptivePrefillMs);
 }
 
 /** Returns whether `one` was sent before `other`. Both hosts get the same result, also for nearly equal start times. */
@@ -38,12 +38,12 @@
  * @param now - Time in milliseconds.
  * @returns Whether this host should look for another placement of its own job.
  */
-export function isToYield(own: Job, other: Job, now: number): boolean {
+export function hasToYield(own: Job, other: Job, now: number): boolean {
 	if (own.firstByte !== undefined || now - own.began > yieldWindowMs || !isFirst(other, own)) {
 		return false;
 	}
 
-	if (Math.max(own.readPerPass, other.readPerPass) < harmfulReading) {
+	if (Math.max(own.readPerPass, other.readPerPass) < disruptivePrefillMs) {
 		return false;
 	}
 
@@ -56,6 +56,6 @@
  * @param reroutedLoss - Expected loss at another engine.
  * @returns Whether the request should be rerouted there.
  */
-export function isWorthMoving(stayingLoss: number, reroutedLoss: number): boolean {
+export function isWorthRerouting(stayingLoss: number, reroutedLoss: number): boolean {
 	return reroutedLoss + reroutingLoss < stayingLoss;
 }
--- a/src/core/gateway/retries.ts
+++ b/src/core/gateway/retries.ts
@@ -1,6 +1,6 @@
 /** Decides which attempts may be retried, within a budget that all hosts share. */
 import {assertNever} from '../utils/common.js';
-import {type Placing} from './load.js';
+import {type PlacementKind} from './load.js';
 import {type RouteKind} from './types.js';
 
 /**
@@ -97,7 +97,7 @@
 	 * @param kind - Kind of its placement.
 	 * @param now - Time in milliseconds.
 	 */
-	hear(service: string, kind: Placing, now: number): void {
+	countPeerPlacement(service: string, kind: PlacementKind, now: number): void {
 		switch (kind) {
 			case 'first': {
 				this.countRequest(service, now);
@@ -125,7 +125,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Whether this host may make one more retry.
 	 */
-	allows(service: string, {hosts, counted}: BudgetShare, now: number): boolean {
+	allowsRetry(service: string, {hosts, counted}: BudgetShare, now: number): boolean {
 		const {requests, retries} = this.#recentTimes(service, now);
 		const earned = requests.length * this.#limits.ratio;
 		return retries.length + 1 <= ((this.#limits.allowance * counted / hosts) + earned) * usedShare;
--- a/src/core/gateway/lapses.ts
+++ b/src/core/gateway/store-outages.ts
@@ -8,12 +8,12 @@
 const reregistrationGraceMs = 2000;
 
 /** Outages of the store, as observed by this host. */
-export class Lapses {
+export class StoreOutages {
 	#isLost = false;
 	#regainedAt = Number.NEGATIVE_INFINITY;
 
 	/** Records that the store does not respond. */
-	lost(): void {
+	markLost(): void {
 		this.#isLost = true;
 	}
 
@@ -22,7 +22,7 @@
 	 *
 	 * @param now - Time in milliseconds.
 	 */
-	regained(now: number): void {
+	markRegained(now: number): void {
 		if (this.#isLost) {
 			this.#isLost = false;
 			this.#regainedAt = now;
@@ -33,7 +33,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Milliseconds for which to keep an upstream whose registration is now missing; 0 to drop it at once.
 	 */
-	delay(now: number): number {
+	removalDelay(now: number): number {
 		return this.#isLost ? reregistrationGraceMs : Math.max(this.#regainedAt + reregistrationGraceMs - now, 0);
 	}
 }
--- a/src/core/gateway/suspects.ts
+++ b/src/core/gateway/suspects.ts
@@ -62,7 +62,7 @@
 	 * @returns Crashes that were cleared.
 	 */
 	acquit(fingerprint: string): readonly Crash[] {
-		return this.review(fingerprint, () => true);
+		return this.clearSurvived(fingerprint, () => true);
 	}
 
 	/**
@@ -89,7 +89,7 @@
 	 * @param hasSurvived - Returns whether the upstream of a crash is still the same process, given the time of its record.
 	 * @returns Crashes that were cleared.
 	 */
-	review(fingerprint: string, hasSurvived: (crash: Crash, at: number) => boolean): readonly Crash[] {
+	clearSurvived(fingerprint: string, hasSurvived: (crash: Crash, at: number) => boolean): readonly Crash[] {
 		const cleared: Crash[] = [];
 		for (const record of this.#records.get(fingerprint)?.values() ?? []) {
 			if (!record.isCleared && hasSurvived(record.crash, record.at)) {
@@ -106,7 +106,7 @@
 	 * @param now - Time in milliseconds.
 	 * @returns Number of crashes that count against it.
 	 */
-	crashes(fingerprint: string, now: number): number {
+	countCrashes(fingerprint: string, now: number): number {
 		let count = 0;
 		for (const {at, isCleared} of this.#records.get(fingerprint)?.values() ?? []) {
 			count += !isCleared && now - at < crashRetentionMs ? 1 : 0;
@@ -121,7 +121,7 @@
 	 * @returns Whether the request must not run again.
 	 */
 	isConvicted(fingerprint: string, now: number): boolean {
-		return this.crashes(fingerprint, now) >= convictionThreshold;
+		return this.countCrashes(fingerprint, now) >= convictionThreshold;
 	}
 
 	/** Returns the crashes of a request without expired ones, and makes the request the most recent one. Evicts the oldest if there are too many. */
--- a/src/core/gateway/types.ts
+++ b/src/core/gateway/types.ts
@@ -125,7 +125,7 @@
 	/** When the request times out; monotonic. */
 	readonly deadline: number;
 	/** Whether the caller has received part of the answer. */
-	readonly isBegun?: boolean;
+	readonly hasBegun?: boolean;
 	readonly pause?: number;
 	readonly prompt?: Prompt;
 };
--- a/src/core/gateway/urgency.ts
+++ b/src/core/gateway/urgency.ts
@@ -13,7 +13,7 @@
 } as const;
 
 /** Rank of a request without a stated one. */
-export const usualUrgency: number = urgencies.patient;
+export const defaultUrgency: number = urgencies.patient;
 
 /**
  * Ranks a request by the length of its prompt. An answer that has begun is ranked first: the work done for it is lost if the caller leaves.
--- a/src/gateway/__tests__/dispatch.test.ts
+++ b/src/gateway/__tests__/dispatch.test.ts
@@ -52,7 +52,7 @@
 	const refused: Array<readonly [string, number | undefined]> = [];
 	const lines: string[] = [];
 	const placement = {
-		upstream: {id: 'e0', address: {host: '127.0.0.1', port: 1}}, helpers: [], holdTokens: 0, loss: 60, firstByte: 900, reading: {total: 400, perPass: 400},
+		upstream: {id: 'e0', address: {host: '127.0.0.1', port: 1}}, helpers: [], holdTokens: 0, loss: 60, firstByte: 900, prefill: {total: 400, perIteration: 400},
 	};
 	const gateway = {
 		convictions: {isConvicted: () => false},
@@ -92,7 +92,7 @@
 	await once(server, 'close');
 	const concluded: string[] = [];
 	const placements = [{
-		upstream: {id: 'e0', address: {host: '127.0.0.1', port}}, helpers: [], holdTokens: 0, loss: 0, firstByte: 0, reading: {total: 0, perPass: 0},
+		upstream: {id: 'e0', address: {host: '127.0.0.1', port}}, helpers: [], holdTokens: 0, loss: 0, firstByte: 0, prefill: {total: 0, perIteration: 0},
 	}];
 	let placed = 0;
 	const gateway = {
--- a/src/gateway/__tests__/relays.test.ts
+++ b/src/gateway/__tests__/relays.test.ts
@@ -4,7 +4,7 @@
 	describe, expect, it, vi,
 } from 'vitest';
 import {takePort} from '../../../bench/fleet/ports.js';
-import {absenceOf} from '../../core/gateway/absences.js';
+import {createAbsence} from '../../core/gateway/absences.js';
 import {Load, type Job} from '../../core/gateway/load.js';
 import {ignore} from '../../entry/ignore.js';
 import {type Log} from '../../entry/logs.js';
@@ -161,7 +161,7 @@
 	}
 
 	async untilKnown(id: string, isKnown: boolean): Promise<void> {
-		await this.until(() => this.all.every(member => (member.load.job(id) !== undefined) === isKnown));
+		await this.until(() => this.all.every(member => (member.load.get(id) !== undefined) === isKnown));
 	}
 
 	async stop(member: TestHost): Promise<void> {
@@ -184,7 +184,7 @@
 		for (const [index, member] of fleet.all.entries()) {
 			await fleet.untilKnown(`j${index}`, true);
 			member.news.progress(`j${index}`);
-			await fleet.until(() => fleet.all.every(each => each.load.job(`j${index}`)?.firstByte !== undefined));
+			await fleet.until(() => fleet.all.every(each => each.load.get(`j${index}`)?.firstByte !== undefined));
 			member.news.end(`j${index}`);
 			await fleet.untilKnown(`j${index}`, false);
 		}
@@ -240,7 +240,7 @@
 		const [plain] = fleet.nonRelays('domain-0');
 		for (let index = 0; index < 20; index++) {
 			relay!.begin(`known-${index}`);
-			const answered = plain!.checkOnResponse(() => plain!.load.job(`known-${index}`) !== undefined);
+			const answered = plain!.checkOnResponse(() => plain!.load.get(`known-${index}`) !== undefined);
 			await plain!.news.refresh();
 			expect(await answered).toBe(true);
 		}
@@ -265,9 +265,9 @@
 	it('reports an absent upstream to the hosts for which it is absent', {timeout: 60_000}, async () => {
 		await using fleet = await TestFleet.start(3, 6);
 		const [plain] = fleet.nonRelays('domain-0');
-		plain!.news.tellAbsence(absenceOf('refused abroad', 'refused', 'domain-1', 'domain-0'));
-		plain!.news.tellAbsence(absenceOf('refused at home', 'refused', 'domain-0', 'domain-0'));
-		plain!.news.tellAbsence(absenceOf('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
+		plain!.news.tellAbsence(createAbsence('refused abroad', 'refused', 'domain-1', 'domain-0'));
+		plain!.news.tellAbsence(createAbsence('refused at home', 'refused', 'domain-0', 'domain-0'));
+		plain!.news.tellAbsence(createAbsence('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
 		const others = fleet.all.filter(member => member !== plain);
 		await fleet.until(() => others.every(member => member.reportedAbsences.includes('replaced abroad')));
 		for (const {host, reportedAbsences} of others) {
--- a/src/gateway/__tests__/reputation.test.ts
+++ b/src/gateway/__tests__/reputation.test.ts
@@ -101,7 +101,7 @@
 	reputation.look(1);
 	expect([...reputation.unreachable]).toEqual([]);
 	expect(events(lines)).toEqual(['upstream-doubted', 'upstream-doubted', 'upstream-doubted']);
-	expect([reputation.health.isPaused('e1', 1900), reputation.health.isPaused('e1', 2100)]).toEqual([true, false]);
+	expect([reputation.health.isBackedOff('e1', 1900), reputation.health.isBackedOff('e1', 2100)]).toEqual([true, false]);
 });
 
 it('reports of several peers about an excluded upstream do not extend its exclusion', () => {
@@ -111,14 +111,14 @@
 		reputation.hear({upstream: 'e1', reason: 'refused', isForAll: true}, now);
 	}
 
-	expect([reputation.health.isPaused('e1', 240), reputation.health.isPaused('e1', 260)]).toEqual([true, false]);
+	expect([reputation.health.isBackedOff('e1', 240), reputation.health.isBackedOff('e1', 260)]).toEqual([true, false]);
 });
 
 it('an upstream that is silent for a peer has a higher failure probability, but is not excluded', () => {
 	const {log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
-	const before = reputation.health.risk('e1', 0);
+	const before = reputation.health.failureProbability('e1', 0);
 	reputation.hear({upstream: 'e1', reason: 'silent', isForAll: true}, 0);
-	expect(reputation.health.isPaused('e1', 1)).toBe(false);
-	expect(reputation.health.risk('e1', 1)).toBeGreaterThan(before + 0.1);
+	expect(reputation.health.isBackedOff('e1', 1)).toBe(false);
+	expect(reputation.health.failureProbability('e1', 1)).toBeGreaterThan(before + 0.1);
 });
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -2,12 +2,12 @@
 import {type Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
 import {type Job} from '../core/gateway/load.js';
-import {weigh} from '../core/gateway/losses.js';
-import {type Place} from '../core/gateway/placement.js';
-import {usualPolicy} from '../core/gateway/policy.js';
-import {isHarmful, returnTime} from '../core/gateway/refusal.js';
+import {computeWeight} from '../core/gateway/losses.js';
+import {type Placement} from '../core/gateway/placement.js';
+import {defaultPolicy} from '../core/gateway/policy.js';
+import {isHarmful, estimateRetryDelay} from '../core/gateway/refusal.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
-import {Tries} from '../core/gateway/tries.js';
+import {Attempts} from '../core/gateway/attempts.js';
 import {type Demand, type Route} from '../core/gateway/types.js';
 import {computeFingerprint} from './admission.js';
 import {selectAnswer} from './answers.js';
@@ -35,7 +35,7 @@
 	readonly #request: AdmittedRequest;
 	readonly #callerResponse: CallerResponse;
 	readonly #trace: RequestTrace;
-	readonly #attempts: Tries;
+	readonly #attempts: Attempts;
 	readonly #fingerprint: string;
 	readonly #verdicts: Verdicts;
 	readonly #rerouter: Rerouter;
@@ -53,7 +53,7 @@
 		this.#request = request;
 		this.#callerResponse = callerResponse;
 		this.#trace = trace;
-		this.#attempts = new Tries(request.route);
+		this.#attempts = new Attempts(request.route);
 		this.#fingerprint = computeFingerprint(request.incoming, request.organisation, request.body);
 		this.#verdicts = new Verdicts(services.gateway, this.#attempts, this.#fingerprint);
 		this.#rerouter = new Rerouter(services.gateway, this.#attempts, trace);
@@ -119,7 +119,7 @@
 	get #currentDemand(): Demand {
 		const {demand} = this.#request;
 		const {lastEventAt} = this.#trace;
-		return lastEventAt === undefined || demand.pause === undefined ? demand : {...demand, due: lastEventAt + demand.pause, isBegun: true};
+		return lastEventAt === undefined || demand.pause === undefined ? demand : {...demand, due: lastEventAt + demand.pause, hasBegun: true};
 	}
 
 	get #isOver(): boolean {
@@ -127,7 +127,7 @@
 	}
 
 	/** Refuses a request that has not been sent yet if serving it would cost other requests more than its weight. */
-	#refuseIfHarmful(placement: Place): boolean {
+	#refuseIfHarmful(placement: Placement): boolean {
 		const {gateway, random} = this.#services;
 		const {demand} = this.#request;
 		const model = gateway.service(demand.service)?.engine;
@@ -135,12 +135,12 @@
 			return false;
 		}
 
-		const weight = weigh(model, demand.prompt);
-		if (!isHarmful(placement, weight, usualPolicy)) {
+		const weight = computeWeight(model, demand.prompt);
+		if (!isHarmful(placement, weight, defaultPolicy)) {
 			return false;
 		}
 
-		const returnAfter = returnTime(placement, model, random());
+		const returnAfter = estimateRetryDelay(placement, model, random());
 		this.#trace.write('not-placed', {
 			upstream: placement.upstream.id,
 			tokens: demand.prompt.tokens,
@@ -161,7 +161,7 @@
 	}
 
 	#canAttemptAgain(ending: AttemptEnding): boolean {
-		if (this.#isOver || !this.#attempts.mayFollow(ending)) {
+		if (this.#isOver || !this.#attempts.canRetryAfter(ending)) {
 			return false;
 		}
 
@@ -184,7 +184,7 @@
 		return isAllowed;
 	}
 
-	async #attemptAt(placement: Place): Promise<AttemptEnding> {
+	async #attemptAt(placement: Placement): Promise<AttemptEnding> {
 		if (placement.holdTokens === 0) {
 			return this.#send(placement, undefined);
 		}
@@ -197,7 +197,7 @@
 		const refused = await hold.acquire();
 		holds.count(refused.length === 0);
 		if (refused.length > 0 || this.#isOver) {
-			this.#attempts.noteRefusedHold(refused);
+			this.#attempts.recordRefusedHold(refused);
 			this.#trace.write('hold-refused', {hold: hold.name, refused});
 			return {type: 'not-run', reason: 'memory not granted', isShed: true};
 		}
@@ -207,7 +207,7 @@
 		return ending;
 	}
 
-	async #send(placement: Place, hold: Hold | undefined): Promise<AttemptEnding> {
+	async #send(placement: Placement, hold: Hold | undefined): Promise<AttemptEnding> {
 		const {gateway, clock, metrics} = this.#services;
 		const {demand} = this.#request;
 		const remaining = demand.deadline - clock.now();
@@ -215,13 +215,13 @@
 			return {type: 'not-run', reason: 'no time left', isShed: false};
 		}
 
-		const {placing} = this.#attempts;
-		this.#attempts.noteSent(placement.upstream.id);
+		const {placementKind: placing} = this.#attempts;
+		this.#attempts.recordSent(placement.upstream.id);
 		const job = gateway.beginJob(demand, placement, placing);
 		this.#logPlacement(placement, job, hold, remaining);
 		const attempt = this.#createAttempt(placement, hold, remaining);
 		this.#currentAttempt = attempt;
-		if (this.#attempts.mayLeave && this.#request.route.kind === 'streaming') {
+		if (this.#attempts.canFailOver && this.#request.route.kind === 'streaming') {
 			this.#rerouter.watch({
 				job: job.id, place: placement, attempt, demand: () => this.#currentDemand,
 			});
@@ -230,7 +230,7 @@
 		hold?.setLossHandler(() => {
 			attempt.cancel('memory lost');
 		});
-		const stallDetector = new StallDetector(attempt, this.#attempts.mayLeave, placement.firstByte, () => gateway.forecastIterationTime(placement.upstream.id));
+		const stallDetector = new StallDetector(attempt, this.#attempts.canFailOver, placement.firstByte, () => gateway.forecastIterationTime(placement.upstream.id));
 		try {
 			const ending = await this.#finishAttempt(attempt, placement.upstream.id, job.id, stallDetector);
 			metrics.attempts.inc({service: demand.service, ending: ending.type});
@@ -243,7 +243,7 @@
 		}
 	}
 
-	#createAttempt(placement: Place, hold: Hold | undefined, remaining: number): Attempt {
+	#createAttempt(placement: Placement, hold: Hold | undefined, remaining: number): Attempt {
 		const {headerFormat, agent} = this.#services;
 		const {incoming, body, demand, organisation} = this.#request;
 		const headers = [...headerFormat.formatUpstreamHeaders(incoming.rawHeaders, {
@@ -268,7 +268,7 @@
 		}, headerFormat, agent);
 	}
 
-	#logPlacement(placement: Place, job: Job, hold: Hold | undefined, remaining: number): void {
+	#logPlacement(placement: Placement, job: Job, hold: Hold | undefined, remaining: number): void {
 		const {gateway} = this.#services;
 		this.#trace.write('placed', {
 			attempt: job.id,
@@ -286,7 +286,7 @@
 		});
 	}
 
-	#logEnding(placement: Place, attempt: string, ending: AttemptEnding): void {
+	#logEnding(placement: Placement, attempt: string, ending: AttemptEnding): void {
 		const {type, ...details} = ending;
 		this.#trace.write('attempt-ended', {
 			attempt, upstream: placement.upstream.id, ending: type, ...details,
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,16 +1,16 @@
 /** State of a gateway (configuration, upstreams, load, peers) and the decisions based on it. */
 import {assertNever} from '../core/index.js';
-import {absenceOf, type AbsenceReason} from '../core/gateway/absences.js';
+import {createAbsence, type AbsenceReason} from '../core/gateway/absences.js';
 import {Directory} from '../core/gateway/directory.js';
 import {type Verdict} from '../core/gateway/health.js';
-import {Load, type Job, type Placing} from '../core/gateway/load.js';
-import {weigh} from '../core/gateway/losses.js';
+import {Load, type Job, type PlacementKind} from '../core/gateway/load.js';
+import {computeWeight} from '../core/gateway/losses.js';
 import {
-	place, reconsider, type Place, type Second, type Surroundings,
+	place, reevaluate, type Placement, type Reevaluation, type PlacementOptions,
 } from '../core/gateway/placement.js';
-import {usualPolicy} from '../core/gateway/policy.js';
+import {defaultPolicy} from '../core/gateway/policy.js';
 import {RetryBudget} from '../core/gateway/retries.js';
-import {type Eligibility} from '../core/gateway/tries.js';
+import {type Eligibility} from '../core/gateway/attempts.js';
 import {
 	type Demand, type EngineModel, type GatewayConfiguration, type GatewayService,
 } from '../core/gateway/types.js';
@@ -114,13 +114,13 @@
 			sent: job => {
 				const service = this.upstreams.get(job.upstream)?.service;
 				if (service !== undefined && this.peers.isLargeFleet) {
-					this.retries.hear(service, job.placing, clock.now());
+					this.retries.countPeerPlacement(service, job.placing, clock.now());
 				}
 			},
 		});
 		this.sharing = new Sharing(this, {self: settings.host, failureDomain: settings.failureDomain, clock});
 		this.#expiryTimer = setInterval(() => {
-			this.load.expire(clock.now());
+			this.load.removeExpired(clock.now());
 		}, expiryIntervalMs);
 	}
 
@@ -209,7 +209,7 @@
 	 */
 	mayRetry(service: string): boolean {
 		const {fleetSize: hosts, isLargeFleet, domainHosts} = this.peers;
-		return this.retries.allows(service, {hosts, counted: isLargeFleet ? domainHosts : 1}, this.#clock.now());
+		return this.retries.allowsRetry(service, {hosts, counted: isLargeFleet ? domainHosts : 1}, this.#clock.now());
 	}
 
 	/**
@@ -217,7 +217,7 @@
 	 * @param eligibility - Upstreams that the request may go to.
 	 * @returns Placement of the request, if there is one.
 	 */
-	place(demand: Demand, eligibility: Eligibility): Place | undefined {
+	place(demand: Demand, eligibility: Eligibility): Placement | undefined {
 		return place(demand, this.upstreams.of(demand.service), this.service(demand.service)?.engine, this.#buildPlacementOptions(eligibility));
 	}
 
@@ -228,8 +228,8 @@
 	 * @param eligibility - Upstreams that the request may go to.
 	 * @returns Its expected loss where it is and at the best other placement; undefined for plain services.
 	 */
-	reconsider(demand: Demand, current: Place, job: string, eligibility: Eligibility): Second | undefined {
-		return reconsider(demand, current, this.upstreams.of(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), except: job});
+	reconsider(demand: Demand, current: Placement, job: string, eligibility: Eligibility): Reevaluation | undefined {
+		return reevaluate(demand, current, this.upstreams.of(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), excludedJob: job});
 	}
 
 	/**
@@ -240,7 +240,7 @@
 	 * @param placing - Whether the request is sent for the first time, after failed connections only, or as a retry.
 	 * @returns The job.
 	 */
-	beginJob(demand: Demand, placement: Place, placing: Placing): Job {
+	beginJob(demand: Demand, placement: Placement, placing: PlacementKind): Job {
 		const now = this.#clock.now();
 		const model = this.service(demand.service)?.engine;
 		this.#jobCount++;
@@ -252,11 +252,11 @@
 			prompt: demand.prompt?.tokens ?? 0,
 			answer: demand.prompt?.answer ?? 0,
 			isHeld: placement.holdTokens > 0,
-			read: placement.reading.total,
-			readPerPass: placement.reading.perPass,
+			read: placement.prefill.total,
+			readPerPass: placement.prefill.perIteration,
 			pause: demand.pause,
 			urgency: placement.urgency,
-			weight: model === undefined || demand.prompt === undefined ? 1 : weigh(model, demand.prompt),
+			weight: model === undefined || demand.prompt === undefined ? 1 : computeWeight(model, demand.prompt),
 			placing,
 			began: now,
 			due: demand.due,
@@ -283,7 +283,7 @@
 	 * @param reason - How an attempt found it absent.
 	 */
 	tellAbsence(upstream: string, reason: AbsenceReason): void {
-		this.loadUpdates.tellAbsence(absenceOf(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
+		this.loadUpdates.tellAbsence(createAbsence(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
 	}
 
 	/**
@@ -296,7 +296,7 @@
 			return 0;
 		}
 
-		const {pass: iterationTime, readers} = this.load.forecast(upstream, model, this.#clock.now());
+		const {iteration: iterationTime, prefilling: readers} = this.load.forecast(upstream, model, this.#clock.now());
 		let prefill = 0;
 		for (const job of readers) {
 			prefill += job.readPerPass;
@@ -311,11 +311,11 @@
 		await this.peers[Symbol.asyncDispose]();
 	}
 
-	#buildPlacementOptions(eligibility: Eligibility): Surroundings {
+	#buildPlacementOptions(eligibility: Eligibility): PlacementOptions {
 		const now = this.#clock.now();
 		this.reputation.look(now);
 		return {
-			policy: usualPolicy,
+			policy: defaultPolicy,
 			load: this.load,
 			health: this.reputation.health,
 			host: this.#settings.host,
--- a/src/gateway/news.ts
+++ b/src/gateway/news.ts
@@ -5,10 +5,10 @@
  * and otherwise in batches: with hundreds of hosts that each serve one or two requests a second, a host needs most updates only when
  * its next request arrives.
  */
-import {holdsAt, type Absence} from '../core/gateway/absences.js';
+import {appliesIn, type Absence} from '../core/gateway/absences.js';
 import {type Job, type Load} from '../core/gateway/load.js';
-import {harmfulReading, isToYield, mayMove} from '../core/gateway/moves.js';
-import {disturbed} from '../core/gateway/losses.js';
+import {disruptivePrefillMs, hasToYield, canCauseReroute} from '../core/gateway/rerouting.js';
+import {findDisruptedStreams} from '../core/gateway/losses.js';
 import {type EngineModel} from '../core/gateway/types.js';
 import {LoadBatch, type LoadChanges} from './load-batch.js';
 import {LoadRequester} from './load-requester.js';
@@ -99,7 +99,7 @@
 	 */
 	progress(id: string): void {
 		const {load, now} = this.#options;
-		load.progress(id, now());
+		load.recordFirstByte(id, now());
 		this.#ownChanges.add({progressed: [id]});
 	}
 
@@ -138,7 +138,7 @@
 		const {load, now, self, peers, failureDomain} = this.#options;
 		if (!peers.isLargeFleet) {
 			load.forgetHost(host.name, now());
-			send(this.#createUpdate({began: load.jobsOf(self)}));
+			send(this.#createUpdate({began: load.findJobsOfHost(self)}));
 			return;
 		}
 
@@ -198,14 +198,14 @@
 		}
 
 		for (const id of update.progressed) {
-			load.progress(id, now());
+			load.recordFirstByte(id, now());
 		}
 
 		for (const id of update.ended) {
 			load.end(id, now());
 		}
 
-		const absences = (update.absences ?? []).filter(absence => holdsAt(absence, from.failureDomain, this.#options.failureDomain));
+		const absences = (update.absences ?? []).filter(absence => appliesIn(absence, from.failureDomain, this.#options.failureDomain));
 		for (const absence of absences) {
 			this.#options.absent(absence);
 		}
@@ -288,14 +288,14 @@
 
 	/** Notifies own streams if the prefill of a new job will interrupt their decode for too long. */
 	#notifyDisturbed(job: Job): void {
-		if (job.readPerPass < harmfulReading || this.#reroutable.size === 0) {
+		if (job.readPerPass < disruptivePrefillMs || this.#reroutable.size === 0) {
 			return;
 		}
 
 		const {load, now, modelAt} = this.#options;
 		for (const upstream of [job.upstream, ...job.helpers]) {
 			const model = modelAt(upstream);
-			for (const {job: stream, loss} of model === undefined ? [] : disturbed(load.forecast(upstream, model, now()))) {
+			for (const {job: stream, loss} of model === undefined ? [] : findDisruptedStreams(load.forecast(upstream, model, now()))) {
 				this.#reroutable.get(stream.id)?.disturbed(loss);
 			}
 		}
@@ -305,8 +305,8 @@
 	#notifyPreceded(other: Job): void {
 		const {load, now} = this.#options;
 		for (const [id, {met}] of this.#reroutable) {
-			const own = load.job(id);
-			if (own !== undefined && isToYield(own, other, now())) {
+			const own = load.get(id);
+			if (own !== undefined && hasToYield(own, other, now())) {
 				met();
 			}
 		}
@@ -344,7 +344,7 @@
 		const {load, peers, self} = this.#options;
 		this.#informedRelay = relay;
 		if (relay !== undefined) {
-			peers.send(relay, this.#createUpdate({began: load.jobsOf(self)}, 'fleet'));
+			peers.send(relay, this.#createUpdate({began: load.findJobsOfHost(self)}, 'fleet'));
 		}
 	}
 
@@ -364,7 +364,7 @@
 	/** Sends pending updates at once to the hosts that may have to reroute a request because of new jobs. */
 	#flushAffectedHosts(began: readonly Job[]): void {
 		const {load, peers, now} = this.#options;
-		const affectedHosts = new Set(began.flatMap(job => load.companions(job).filter(each => mayMove(each, job, now())).map(each => each.host)));
+		const affectedHosts = new Set(began.flatMap(job => load.findJobsOfOtherHosts(job).filter(each => canCauseReroute(each, job, now())).map(each => each.host)));
 		if (affectedHosts.size === 0) {
 			return;
 		}
--- a/src/gateway/registrations.ts
+++ b/src/gateway/registrations.ts
@@ -1,5 +1,5 @@
 /** Keeps the usable upstreams in sync with the platform's registry, as read from its store or received from peers. */
-import {Lapses} from '../core/gateway/lapses.js';
+import {StoreOutages} from '../core/gateway/store-outages.js';
 import {
 	noDifference, Registry, type RegistryChange, type RegistryDifference,
 } from '../core/gateway/registry.js';
@@ -37,7 +37,7 @@
 export class Registrations implements Disposable {
 	readonly #options: RegistrationsOptions;
 	readonly #registry = new Registry();
-	readonly #expiryGrace = new Lapses();
+	readonly #expiryGrace = new StoreOutages();
 	/** Upstreams kept in use until they register again or the grace period ends, by id. */
 	readonly #expiring = new Map<string, ExpiringRegistration>();
 
@@ -124,12 +124,12 @@
 
 	/** Records that the store doesn't answer. */
 	lost(): void {
-		this.#expiryGrace.lost();
+		this.#expiryGrace.markLost();
 	}
 
 	/** Records that the store answers again. */
 	regained(): void {
-		this.#expiryGrace.regained(this.#options.now());
+		this.#expiryGrace.markRegained(this.#options.now());
 	}
 
 	[Symbol.dispose](): void {
@@ -160,7 +160,7 @@
 
 	#unregisterOrKeep(id: string, source: RegistrationSource): void {
 		const {log, now} = this.#options;
-		const delay = this.#expiryGrace.delay(now());
+		const delay = this.#expiryGrace.removalDelay(now());
 		if (delay === 0) {
 			this.#unregister(id, source);
 		} else if (!this.#expiring.has(id)) {
--- a/src/gateway/reputation.ts
+++ b/src/gateway/reputation.ts
@@ -1,7 +1,7 @@
 /** Tracks the health of upstreams, the reachability of failure domains and suspected requests from attempts and peers; logs each change. */
-import {verdictFrom, type Absence} from '../core/gateway/absences.js';
+import {absenceToVerdict, type Absence} from '../core/gateway/absences.js';
 import {Health, type Verdict} from '../core/gateway/health.js';
-import {Reach} from '../core/gateway/reach.js';
+import {Reachability} from '../core/gateway/reachability.js';
 import {Suspects, type Crash} from '../core/gateway/suspects.js';
 import {type GatewayUpstream} from '../core/gateway/types.js';
 import {type Log} from '../entry/logs.js';
@@ -17,7 +17,7 @@
 	readonly health = new Health();
 	readonly suspects = new Suspects();
 	readonly #options: ReputationOptions;
-	readonly #reachability = new Reach();
+	readonly #reachability = new Reachability();
 	/** Upstreams that were excluded and have not answered since. */
 	readonly #unhealthy = new Set<string>();
 	#unreachable: ReadonlySet<string> = new Set();
@@ -42,8 +42,8 @@
 	 * @param now - Time in milliseconds.
 	 */
 	look(now: number): void {
-		const silent = [...this.#options.silentDomains(now)].filter(domain => !this.#reachability.isAlive(domain, now));
-		const failing = this.#reachability.cutOff(now);
+		const silent = [...this.#options.silentDomains(now)].filter(domain => !this.#reachability.hasLiveUpstreams(domain, now));
+		const failing = this.#reachability.findUnreachable(now);
 		const next = new Set([...silent, ...failing]);
 		for (const domain of next) {
 			if (!this.#unreachable.has(domain)) {
@@ -77,9 +77,9 @@
 		}
 
 		if (verdict === 'unreachable' || verdict === 'broken') {
-			this.#reachability.missed(domain, id, now);
+			this.#reachability.recordFailure(domain, id, now);
 		} else {
-			this.#reachability.heard(domain, now);
+			this.#reachability.recordSuccess(domain, now);
 		}
 	}
 
@@ -90,11 +90,11 @@
 	 * @param now - Time in milliseconds.
 	 */
 	hear({upstream, reason}: Absence, now: number): void {
-		if (this.health.isPaused(upstream, now)) {
+		if (this.health.isBackedOff(upstream, now)) {
 			return;
 		}
 
-		const verdict = verdictFrom(reason);
+		const verdict = absenceToVerdict(reason);
 		this.health.record(upstream, verdict, now);
 		this.#logHealthChange(upstream, verdict, now);
 	}
@@ -117,7 +117,7 @@
 	suspect(crash: Crash, now: number): boolean {
 		const isNew = this.suspects.record(crash, now);
 		if (isNew) {
-			this.#options.log.write({event: 'suspected', ...crash, crashes: this.suspects.crashes(crash.fingerprint, now)}, 'warn');
+			this.#options.log.write({event: 'suspected', ...crash, crashes: this.suspects.countCrashes(crash.fingerprint, now)}, 'warn');
 		}
 
 		return isNew;
@@ -141,7 +141,7 @@
 	 * @returns Withdrawn crashes.
 	 */
 	review(fingerprint: string, survived: (crash: Crash, at: number) => boolean): readonly Crash[] {
-		return this.#logAcquittals(this.suspects.review(fingerprint, survived), 'the upstream runs on');
+		return this.#logAcquittals(this.suspects.clearSurvived(fingerprint, survived), 'the upstream runs on');
 	}
 
 	/**
@@ -171,9 +171,9 @@
 			if (this.#unhealthy.delete(upstream)) {
 				this.#options.log.write({event: 'upstream-trusted', upstream});
 			}
-		} else if (this.health.isPaused(upstream, now) && !this.#unhealthy.has(upstream)) {
+		} else if (this.health.isBackedOff(upstream, now) && !this.#unhealthy.has(upstream)) {
 			this.#unhealthy.add(upstream);
-			this.#options.log.write({event: 'upstream-doubted', upstream, risk: Number(this.health.risk(upstream, now).toFixed(2))}, 'warn');
+			this.#options.log.write({event: 'upstream-doubted', upstream, risk: Number(this.health.failureProbability(upstream, now).toFixed(2))}, 'warn');
 		}
 	}
 }
--- a/src/gateway/rerouter.ts
+++ b/src/gateway/rerouter.ts
@@ -1,7 +1,7 @@
 /** Reroutes a running stream to another engine when staying would cost its caller clearly more. */
-import {isWorthMoving} from '../core/gateway/moves.js';
-import {type Place} from '../core/gateway/placement.js';
-import {type Tries} from '../core/gateway/tries.js';
+import {isWorthRerouting} from '../core/gateway/rerouting.js';
+import {type Placement} from '../core/gateway/placement.js';
+import {type Attempts} from '../core/gateway/attempts.js';
 import {type Demand} from '../core/gateway/types.js';
 import {type Attempt} from './attempt.js';
 import {type Gateway} from './gateway.js';
@@ -10,7 +10,7 @@
 /** A stream that is running at an engine. */
 export type RunningStream = {
 	readonly job: string;
-	readonly place: Place;
+	readonly place: Placement;
 	readonly attempt: Attempt;
 	/** Returns the current demand of the request. */
 	readonly demand: () => Demand;
@@ -18,7 +18,7 @@
 
 export class Rerouter {
 	readonly #gateway: Gateway;
-	readonly #attempts: Tries;
+	readonly #attempts: Attempts;
 	readonly #trace: RequestTrace;
 
 	/**
@@ -26,7 +26,7 @@
 	 * @param attempts - Attempts of the request.
 	 * @param trace - Records rerouting.
 	 */
-	constructor(gateway: Gateway, attempts: Tries, trace: RequestTrace) {
+	constructor(gateway: Gateway, attempts: Attempts, trace: RequestTrace) {
 		this.#gateway = gateway;
 		this.#attempts = attempts;
 		this.#trace = trace;
@@ -57,7 +57,7 @@
 	 */
 	#considerDisturbance(stream: RunningStream, staying: number): void {
 		const demand = stream.demand();
-		if (demand.pause === undefined || this.#trace.longestPause > demand.pause || demand.isBegun !== true) {
+		if (demand.pause === undefined || this.#trace.longestPause > demand.pause || demand.hasBegun !== true) {
 			return;
 		}
 
@@ -67,8 +67,8 @@
 		}
 	}
 
-	#rerouteIfWorthwhile({attempt, demand}: RunningStream, staying: number, placement: Place | undefined): void {
-		if (placement === undefined || attempt.cancelled !== undefined || !isWorthMoving(staying, placement.loss)) {
+	#rerouteIfWorthwhile({attempt, demand}: RunningStream, staying: number, placement: Placement | undefined): void {
+		if (placement === undefined || attempt.cancelled !== undefined || !isWorthRerouting(staying, placement.loss)) {
 			return;
 		}
 
--- a/src/gateway/trace.ts
+++ b/src/gateway/trace.ts
@@ -1,6 +1,6 @@
 /** Records the course of one request in the log and the metrics. */
 import {messageOf} from '../core/index.js';
-import {type Tries} from '../core/gateway/tries.js';
+import {type Attempts} from '../core/gateway/attempts.js';
 import {type Route} from '../core/gateway/types.js';
 import {type RequestMetadata} from './platform-adapter.js';
 import {classifyLength} from './metrics.js';
@@ -13,7 +13,7 @@
 	metadata: RequestMetadata | undefined;
 	route: Route | undefined;
 	service = 'none';
-	attempts: Tries | undefined;
+	attempts: Attempts | undefined;
 	readonly #services: GatewayServices;
 	#firstByteAt: number | undefined;
 	#lastEventAt: number | undefined;
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/verdicts.ts
@@ -1,13 +1,13 @@
 /** Draws conclusions from ended attempts: the health of upstreams, suspected requests, and where a request may be sent next. */
-import {verdictOf} from '../core/gateway/health.js';
+import {endingToVerdict} from '../core/gateway/health.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
-import {type Tries} from '../core/gateway/tries.js';
+import {type Attempts} from '../core/gateway/attempts.js';
 import {type Ended, type Reply} from './attempt.js';
 import {type Gateway} from './gateway.js';
 
 export class Verdicts {
 	readonly #gateway: Gateway;
-	readonly #attempts: Tries;
+	readonly #attempts: Attempts;
 	readonly #fingerprint: string;
 
 	/**
@@ -15,7 +15,7 @@
 	 * @param attempts - Attempts of the request.
 	 * @param fingerprint - Equal for repetitions of the same request.
 	 */
-	constructor(gateway: Gateway, attempts: Tries, fingerprint: string) {
+	constructor(gateway: Gateway, attempts: Attempts, fingerprint: string) {
 		this.#gateway = gateway;
 		this.#attempts = attempts;
 		this.#fingerprint = fingerprint;
@@ -32,7 +32,7 @@
 		} else {
 			this.#gateway.judge(upstream, 'unreachable');
 			this.#gateway.tellAbsence(upstream, absence);
-			this.#attempts.noteUnreached(upstream);
+			this.#attempts.recordUnreached(upstream);
 		}
 
 		return ending;
@@ -49,7 +49,7 @@
 		const culprit = facts.culprit === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.culprit);
 		if (culprit !== undefined && culprit.id !== upstream) {
 			this.#gateway.judge(culprit.id, 'unreachable');
-			this.#attempts.noteMissedHelper(upstream, culprit.id);
+			this.#attempts.recordMissingHelper(upstream, culprit.id);
 		} else if (facts.isMisdirected) {
 			this.#gateway.judge(upstream, 'replaced');
 			this.#gateway.tellAbsence(upstream, 'replaced');
@@ -65,7 +65,7 @@
 	 * @param upstream - Upstream of the attempt.
 	 */
 	judge(ending: AttemptEnding, upstream: string): void {
-		const verdict = verdictOf(ending);
+		const verdict = endingToVerdict(ending);
 		if (verdict !== undefined) {
 			this.#gateway.judge(upstream, verdict);
 		}
