--- a/__tests__/gateway/rerouting.test.ts
+++ b/__tests__/gateway/rerouting.test.ts
@@ -5,7 +5,7 @@
 import {Site} from '../../bench/gateway/site.js';
 import {ignore} from '../../src/entry/ignore.js';
 import {Link} from '../../src/gateway/peers/link.js';
-import {type Message, type ToldJob} from '../../src/gateway/peers/messages.js';
+import {type Message, type WireJob} from '../../src/gateway/peers/messages.js';
 
 /** A request yields only within 100 ms after it was sent; on a busy machine the peer's load update may arrive later. */
 const maxAttempts = 6;
@@ -13,7 +13,7 @@
 it('a prompt whose engine a peer chose first is rerouted once to another engine and answered completely', {timeout: 30_000}, async () => {
 	await using site = await Site.start({engines: 3});
 	const host = site.hosts[0]!;
-	const createCompetingUpdate = (job: ToldJob): Message => ({
+	const createCompetingUpdate = (job: WireJob): Message => ({
 		type: 'load',
 		began: [{
 			...job, id: `peer.${job.id}`, host: undefined, prompt: 1000, read: 4000, readPerPass: 4000, age: job.age + 50,
--- a/bench/beliefs/member.ts
+++ b/bench/beliefs/member.ts
@@ -7,7 +7,7 @@
 import {type Line, type Log} from '../../src/entry/logs.js';
 import {Gateway} from '../../src/gateway/gateway.js';
 import {messageReader, type Host, type Message} from '../../src/gateway/peers/messages.js';
-import {relaysOf} from '../../src/gateway/peers/topology.js';
+import {selectRelays} from '../../src/gateway/peers/topology.js';
 import {settingsSchema} from '../../src/gateway/settings.js';
 import {StoreClient, type SimulatedStore} from './store.js';
 
@@ -135,7 +135,7 @@
 	 * @param host - Host that a new link leads to.
 	 */
 	handleJoined(host: string): void {
-		this.#gateway?.sharing.joined(host);
+		this.#gateway?.sharing.handlePeerJoined(host);
 	}
 
 	/**
@@ -149,9 +149,9 @@
 		}
 
 		if (message.type === 'state-wanted') {
-			gateway.sharing.answer(from, message);
+			gateway.sharing.handleRequest(from, message);
 		} else if (message.type === 'state') {
-			gateway.sharing.heard(from, message);
+			gateway.sharing.handleState(from, message);
 		}
 	}
 
@@ -165,7 +165,7 @@
 				return network.getVisibleHosts(name);
 			},
 			get relays() {
-				return relaysOf('a', [host, ...network.getVisibleHosts(name)]).map(each => each.name);
+				return selectRelays('a', [host, ...network.getVisibleHosts(name)]).map(each => each.name);
 			},
 			send(to: string, message: Message) {
 				network.send(name, to, message);
--- a/bench/beliefs/world.ts
+++ b/bench/beliefs/world.ts
@@ -4,7 +4,7 @@
  */
 import {assertNever, type Random} from '../../src/core/index.js';
 import {type Host, type Message} from '../../src/gateway/peers/messages.js';
-import {relaysOf} from '../../src/gateway/peers/topology.js';
+import {selectRelays} from '../../src/gateway/peers/topology.js';
 import {seeded} from '../model/workload.js';
 import {Member, stalenessBoundMs} from './member.js';
 import {SimulatedStore} from './store.js';
@@ -227,7 +227,7 @@
 	/** Relays have links to all hosts, other hosts only to the relays. */
 	#getVisibleHosts(name: string): readonly Host[] {
 		const reachable = this.members.filter(member => this.#isReachable(member)).map(member => member.host);
-		const relays = relaysOf('a', reachable);
+		const relays = selectRelays('a', reachable);
 		const isRelay = relays.some(host => host.name === name);
 		return (isRelay ? reachable : relays).filter(host => host.name !== name);
 	}
--- a/src/gateway/__tests__/bytes.test.ts
+++ b/src/gateway/__tests__/bytes.test.ts
@@ -6,7 +6,7 @@
 import {EventSplitter} from '../events.js';
 import {endToEnd} from '../headers.js';
 import {
-	encode, heard, messageReader, tell, type Message,
+	encode, fromWireJob, messageReader, toWireJob, type Message,
 } from '../peers/messages.js';
 
 describe('events', () => {
@@ -47,19 +47,19 @@
 
 	it('are decoded as they were encoded, with the times of jobs converted to the receiver\'s clock', () => {
 		const message: Message = {
-			type: 'load', began: [tell(job, 'h', 150)], progressed: ['h.0'], ended: [],
+			type: 'load', began: [toWireJob(job, 'h', 150)], progressed: ['h.0'], ended: [],
 		};
 		const [read] = messageReader().push(encode(message));
 		expect(read).toEqual(message);
-		expect(heard(tell(job, 'h', 150), 'h', 5150)).toEqual({
+		expect(fromWireJob(toWireJob(job, 'h', 150), 'h', 5150)).toEqual({
 			...job, began: 5100, due: 5400, deadline: 5900, firstByte: undefined, pause: undefined,
 		});
 	});
 
 	it('name the host of a job that a relay passes on', () => {
-		const told = tell(job, 'relay', 150);
+		const told = toWireJob(job, 'relay', 150);
 		expect(told.host).toBe('h');
-		expect(heard(told, 'relay', 150).host).toBe('h');
+		expect(fromWireJob(told, 'relay', 150).host).toBe('h');
 	});
 
 	it('raise a failure with a code if they are invalid', () => {
--- a/src/gateway/__tests__/registrations.test.ts
+++ b/src/gateway/__tests__/registrations.test.ts
@@ -17,7 +17,7 @@
 
 function setUp() {
 	const log = {write: ignore};
-	const upstreams = new Upstreams(log, {restarted: ignore, gone: ignore});
+	const upstreams = new Upstreams(log, {restarted: ignore, removed: ignore});
 	const registrations = new Registrations({upstreams, log, now: () => performance.now()});
 	return {registrations, known: () => upstreams.all.map(upstream => upstream.id)};
 }
@@ -33,29 +33,29 @@
 it('a host that was cut off from the store does not send peers an upstream that has been removed', () => {
 	const reader = setUp();
 	const asker = setUp();
-	reader.registrations.list([upstream('e1'), upstream('e2')], 5);
-	asker.registrations.list([upstream('e2')], 6);
-	reader.registrations.lost();
-	reader.registrations.follow([removed], 7);
-	reader.registrations.regained();
-	asker.registrations.take('reader', reader.registrations.createUpdate(0));
+	reader.registrations.replaceAll([upstream('e1'), upstream('e2')], 5);
+	asker.registrations.replaceAll([upstream('e2')], 6);
+	reader.registrations.recordStoreLost();
+	reader.registrations.applyChanges([removed], 7);
+	reader.registrations.recordStoreRegained();
+	asker.registrations.applyUpdate('reader', reader.registrations.createUpdate(0));
 	expect(reader.known()).toEqual(['e1', 'e2']);
 	expect(asker.known()).toEqual(['e2']);
 });
 
 it('an upstream that a peer no longer knows is removed at once if the store was never lost', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1'), upstream('e2')], 5);
-	registrations.take('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
+	registrations.replaceAll([upstream('e1'), upstream('e2')], 5);
+	registrations.applyUpdate('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
 	expect(known()).toEqual(['e2']);
 });
 
 it('an upstream whose registration expired during an outage of the store is used for two seconds after the store returns', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1')], 5);
-	registrations.lost();
-	registrations.follow([removed], 6);
-	registrations.regained();
+	registrations.replaceAll([upstream('e1')], 5);
+	registrations.recordStoreLost();
+	registrations.applyChanges([removed], 6);
+	registrations.recordStoreRegained();
 	vi.advanceTimersByTime(1900);
 	expect(known()).toEqual(['e1']);
 	vi.advanceTimersByTime(200);
@@ -64,55 +64,55 @@
 
 it('an upstream that registers again during the grace period stays', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1')], 5);
-	registrations.lost();
-	registrations.follow([removed], 6);
-	registrations.take('peer', {upstreams: [upstream('e1')], revision: 7, changed: 7});
+	registrations.replaceAll([upstream('e1')], 5);
+	registrations.recordStoreLost();
+	registrations.applyChanges([removed], 6);
+	registrations.applyUpdate('peer', {upstreams: [upstream('e1')], revision: 7, changed: 7});
 	vi.advanceTimersByTime(5000);
 	expect(known()).toEqual(['e1']);
 });
 
 it('an update without changes advances the revision', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1')], 5);
-	registrations.take('peer', {revision: 9, changed: 4});
+	registrations.replaceAll([upstream('e1')], 5);
+	registrations.applyUpdate('peer', {revision: 9, changed: 4});
 	expect([registrations.revision, known()]).toEqual([9, ['e1']]);
 });
 
 it('a host that alone has lost the store removes at once what a peer reports removed', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1'), upstream('e2')], 5);
-	registrations.lost();
-	registrations.take('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
+	registrations.replaceAll([upstream('e1'), upstream('e2')], 5);
+	registrations.recordStoreLost();
+	registrations.applyUpdate('peer', {upstreams: [upstream('e2')], revision: 6, changed: 6});
 	expect(known()).toEqual(['e2']);
 });
 
 it('an upstream whose registration expired during an outage stays while a peer keeps it too', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1'), upstream('e2')], 5);
-	registrations.lost();
-	registrations.take('peer', {
+	registrations.replaceAll([upstream('e1'), upstream('e2')], 5);
+	registrations.recordStoreLost();
+	registrations.applyUpdate('peer', {
 		upstreams: [upstream('e2')], revision: 6, changed: 6, kept: ['e1'],
 	});
 	expect(known()).toEqual(['e1', 'e2']);
-	registrations.take('peer', {revision: 7, changed: 6});
+	registrations.applyUpdate('peer', {revision: 7, changed: 6});
 	expect(known()).toEqual(['e2']);
 });
 
 it('an update older than a removal does not end the grace period', () => {
 	const {registrations, known} = setUp();
-	registrations.list([upstream('e1')], 5);
-	registrations.lost();
-	registrations.follow([removed], 6);
-	registrations.take('peer', {revision: 5, changed: 5});
+	registrations.replaceAll([upstream('e1')], 5);
+	registrations.recordStoreLost();
+	registrations.applyChanges([removed], 6);
+	registrations.applyUpdate('peer', {revision: 5, changed: 5});
 	expect(known()).toEqual(['e1']);
 });
 
 it('updates name the upstreams that the host keeps itself', () => {
 	const {registrations} = setUp();
-	registrations.list([upstream('e1')], 5);
-	registrations.lost();
-	registrations.follow([removed], 6);
+	registrations.replaceAll([upstream('e1')], 5);
+	registrations.recordStoreLost();
+	registrations.applyChanges([removed], 6);
 	expect(registrations.createUpdate(0)).toEqual({
 		upstreams: [], revision: 6, changed: 6, kept: ['e1'],
 	});
--- a/src/gateway/__tests__/relays.test.ts
+++ b/src/gateway/__tests__/relays.test.ts
@@ -8,10 +8,10 @@
 import {Load, type Job} from '../../core/gateway/load.js';
 import {ignore} from '../../entry/ignore.js';
 import {type Log} from '../../entry/logs.js';
-import {News} from '../news.js';
+import {LoadUpdates} from '../load-updates.js';
 import {type Host, type Message} from '../peers/messages.js';
 import {Peers} from '../peers/peers.js';
-import {relaysOf} from '../peers/topology.js';
+import {selectRelays} from '../peers/topology.js';
 
 const silentLog: Pick<Log, 'write'> = {
 	write: ignore,
@@ -29,7 +29,7 @@
 	readonly host: Host;
 	readonly load = new Load();
 	readonly peers: Peers;
-	readonly news: News;
+	readonly news: LoadUpdates;
 	/** Upstreams that peers reported unreachable or replaced. */
 	readonly reportedAbsences: string[] = [];
 	/** Jobs of other hosts of the same failure domain. */
@@ -49,18 +49,18 @@
 			now,
 			events: {
 				joined: (other, send) => {
-					this.news.joined(other, send);
+					this.news.handlePeerJoined(other, send);
 				},
 				message: (from, message) => {
 					this.handleMessage(from, message);
 				},
 				lost: (other, reason) => {
-					this.news.lost(other, reason);
+					this.news.handlePeerLost(other, reason);
 				},
 			},
 		});
-		this.news = new News({
-			self: host.name, failureDomain: host.failureDomain, load: this.load, peers: this.peers, now, modelAt: () => undefined, absent: absence => {
+		this.news = new LoadUpdates({
+			self: host.name, failureDomain: host.failureDomain, load: this.load, peers: this.peers, now, modelAt: () => undefined, onAbsence: absence => {
 				this.reportedAbsences.push(absence.upstream);
 			},
 			sent: sent => {
@@ -90,23 +90,23 @@
 		switch (message.type) {
 			case 'load': {
 				this.loads++;
-				this.news.heard(from, message);
+				this.news.handleUpdate(from, message);
 				break;
 			}
 
 			case 'hosts-lost': {
-				this.news.heardLost(message);
+				this.news.handleHostsLost(message);
 				break;
 			}
 
 			case 'load-wanted': {
-				this.news.wanted(from, message);
+				this.news.handleRequest(from, message);
 				break;
 			}
 
 			case 'load-told': {
 				this.#onResponse?.();
-				this.news.told(from, message);
+				this.news.handleResponse(from, message);
 				break;
 			}
 
@@ -139,7 +139,7 @@
 	}
 
 	relays(domain: string): readonly TestHost[] {
-		return relaysOf(domain, this.all.map(member => member.host)).map(host => this.all.find(member => member.host === host)!);
+		return selectRelays(domain, this.all.map(member => member.host)).map(host => this.all.find(member => member.host === host)!);
 	}
 
 	nonRelays(domain: string): readonly TestHost[] {
@@ -265,9 +265,9 @@
 	it('reports an absent upstream to the hosts for which it is absent', {timeout: 60_000}, async () => {
 		await using fleet = await TestFleet.start(3, 6);
 		const [plain] = fleet.nonRelays('domain-0');
-		plain!.news.tellAbsence(createAbsence('refused abroad', 'refused', 'domain-1', 'domain-0'));
-		plain!.news.tellAbsence(createAbsence('refused at home', 'refused', 'domain-0', 'domain-0'));
-		plain!.news.tellAbsence(createAbsence('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
+		plain!.news.publishAbsence(createAbsence('refused abroad', 'refused', 'domain-1', 'domain-0'));
+		plain!.news.publishAbsence(createAbsence('refused at home', 'refused', 'domain-0', 'domain-0'));
+		plain!.news.publishAbsence(createAbsence('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
 		const others = fleet.all.filter(member => member !== plain);
 		await fleet.until(() => others.every(member => member.reportedAbsences.includes('replaced abroad')));
 		for (const {host, reportedAbsences} of others) {
@@ -286,10 +286,10 @@
 		await fleet.untilKnown('near', true);
 		await fleet.untilKnown('far', true);
 		await fleet.untilKnown('own', true);
-		relay!.news.joined(plain!.host, message => {
+		relay!.news.handlePeerJoined(plain!.host, message => {
 			plain!.handleMessage(relay!.host, message);
 		});
 		expect(plain!.domainJobs).toEqual(['near']);
-		expect([relay!.peers.domainHosts, plain!.peers.domainHosts]).toEqual([6, 6]);
+		expect([relay!.peers.domainHostCount, plain!.peers.domainHostCount]).toEqual([6, 6]);
 	});
 });
--- a/src/gateway/__tests__/reputation.test.ts
+++ b/src/gateway/__tests__/reputation.test.ts
@@ -34,38 +34,38 @@
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	const engine = upstream('e1', 'a');
 	for (const [now, verdict] of [[0, 'unreachable'], [10, 'unreachable'], [20, 'faulty']] as const) {
-		reputation.judge('e1', engine, verdict, now);
+		reputation.recordVerdict('e1', engine, verdict, now);
 	}
 
-	expect([events(lines), reputation.doubted]).toEqual([['upstream-doubted'], 1]);
-	reputation.judge('e1', engine, 'sound', 30);
-	reputation.judge('e1', engine, 'sound', 40);
-	expect([events(lines), reputation.doubted]).toEqual([['upstream-doubted', 'upstream-trusted'], 0]);
+	expect([events(lines), reputation.unhealthyCount]).toEqual([['upstream-doubted'], 1]);
+	reputation.recordVerdict('e1', engine, 'sound', 30);
+	reputation.recordVerdict('e1', engine, 'sound', 40);
+	expect([events(lines), reputation.unhealthyCount]).toEqual([['upstream-doubted', 'upstream-trusted'], 0]);
 });
 
 it('logs once that a failure domain is out of reach, with the reason, and once that it is back', () => {
 	const {lines, log} = createRecorder();
 	let silent: string[] = [];
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set(silent)});
-	reputation.judge('e1', upstream('e1', 'b'), 'broken', 0);
-	reputation.look(1);
+	reputation.recordVerdict('e1', upstream('e1', 'b'), 'broken', 0);
+	reputation.updateReachability(1);
 	expect(lines).toEqual([]);
-	reputation.judge('e2', upstream('e2', 'b'), 'unreachable', 2);
+	reputation.recordVerdict('e2', upstream('e2', 'b'), 'unreachable', 2);
 	silent = ['c'];
-	reputation.look(3);
-	reputation.look(4);
+	reputation.updateReachability(3);
+	reputation.updateReachability(4);
 	const cuts = lines.filter(line => line.event === 'domain-unreachable');
 	expect(cuts).toEqual([
 		{event: 'domain-unreachable', domain: 'c', reason: 'peers are silent'},
 		{event: 'domain-unreachable', domain: 'b', reason: 'attempts fail'},
 	]);
-	expect([...reputation.unreachable]).toEqual(['c', 'b']);
+	expect([...reputation.unreachableDomains]).toEqual(['c', 'b']);
 
-	reputation.judge('e3', upstream('e3', 'c'), 'sound', 5);
-	reputation.judge('e1', upstream('e1', 'b'), 'sound', 5);
-	reputation.look(6);
+	reputation.recordVerdict('e3', upstream('e3', 'c'), 'sound', 5);
+	reputation.recordVerdict('e1', upstream('e1', 'b'), 'sound', 5);
+	reputation.updateReachability(6);
 	expect(lines.filter(line => line.event === 'domain-reachable').map(line => line.domain)).toEqual(['c', 'b']);
-	expect(reputation.unreachable.size).toBe(0);
+	expect(reputation.unreachableDomains.size).toBe(0);
 });
 
 it('lists upstreams by service, and reports those that were restarted or removed', () => {
@@ -75,7 +75,7 @@
 		restarted(id) {
 			notified.push(`${id} restarted`);
 		},
-		gone(id) {
+		removed(id) {
 			notified.push(`${id} gone`);
 		},
 	});
@@ -83,11 +83,11 @@
 	upstreams.register(upstream('e1', 'a'), source);
 	upstreams.register(upstream('e2', 'a', {service: 'portal'}), source);
 	upstreams.register(upstream('e1', 'a', {isDraining: true}), source);
-	expect(upstreams.of('model').map(each => [each.id, each.isDraining])).toEqual([['e1', true]]);
+	expect(upstreams.listByService('model').map(each => [each.id, each.isDraining])).toEqual([['e1', true]]);
 	upstreams.register(upstream('e1', 'a', {started: 2}), source);
 	upstreams.unregister('e2', source);
 	upstreams.register(upstream('e3', 'b'), source);
-	expect([upstreams.of('portal'), upstreams.all.map(each => each.id), upstreams.size]).toEqual([[], ['e1', 'e3'], 2]);
+	expect([upstreams.listByService('portal'), upstreams.all.map(each => each.id), upstreams.size]).toEqual([[], ['e1', 'e3'], 2]);
 	expect(notified).toEqual(['e1 restarted', 'e2 gone']);
 });
 
@@ -95,11 +95,11 @@
 	const {lines, log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	for (const id of ['e1', 'e2', 'e3']) {
-		reputation.judge(id, upstream(id, 'b'), 'replaced', 0);
+		reputation.recordVerdict(id, upstream(id, 'b'), 'replaced', 0);
 	}
 
-	reputation.look(1);
-	expect([...reputation.unreachable]).toEqual([]);
+	reputation.updateReachability(1);
+	expect([...reputation.unreachableDomains]).toEqual([]);
 	expect(events(lines)).toEqual(['upstream-doubted', 'upstream-doubted', 'upstream-doubted']);
 	expect([reputation.health.isBackedOff('e1', 1900), reputation.health.isBackedOff('e1', 2100)]).toEqual([true, false]);
 });
@@ -108,7 +108,7 @@
 	const {log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	for (let now = 0; now < 200; now += 10) {
-		reputation.hear({upstream: 'e1', reason: 'refused', isForAll: true}, now);
+		reputation.recordAbsence({upstream: 'e1', reason: 'refused', isForAll: true}, now);
 	}
 
 	expect([reputation.health.isBackedOff('e1', 240), reputation.health.isBackedOff('e1', 260)]).toEqual([true, false]);
@@ -118,7 +118,7 @@
 	const {log} = createRecorder();
 	const reputation = new Reputation({failureDomain: 'a', log, silentDomains: () => new Set()});
 	const before = reputation.health.failureProbability('e1', 0);
-	reputation.hear({upstream: 'e1', reason: 'silent', isForAll: true}, 0);
+	reputation.recordAbsence({upstream: 'e1', reason: 'silent', isForAll: true}, 0);
 	expect(reputation.health.isBackedOff('e1', 1)).toBe(false);
 	expect(reputation.health.failureProbability('e1', 1)).toBeGreaterThan(before + 0.1);
 });
--- a/src/gateway/__tests__/sharing.test.ts
+++ b/src/gateway/__tests__/state-sync.test.ts
@@ -3,7 +3,7 @@
 import {Clock} from '../../entry/clock.js';
 import {type Gateway} from '../gateway.js';
 import {messageReader, type Message} from '../peers/messages.js';
-import {Sharing} from '../sharing.js';
+import {StateSync} from '../state-sync.js';
 
 function setUp() {
 	const sent: Message[] = [];
@@ -28,7 +28,7 @@
 			},
 		},
 	} as unknown as Gateway;
-	return {sent, configuration, sharing: new Sharing(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
+	return {sent, configuration, sharing: new StateSync(gateway, {self: 'h0', failureDomain: 'a', clock: new Clock()})};
 }
 
 const stateRequest = {
@@ -37,25 +37,25 @@
 
 it('a peer that repeats its request while the configuration is being sent does not get it twice', () => {
 	const {sent, configuration, sharing} = setUp();
-	sharing.answer('h1', stateRequest);
-	sharing.answer('h1', {...stateRequest, ask: 2});
+	sharing.handleRequest('h1', stateRequest);
+	sharing.handleRequest('h1', {...stateRequest, ask: 2});
 	expect(sent.map(message => message.type)).toEqual(['configuration', 'state', 'state']);
 	expect(sent[0]).toEqual({type: 'configuration', configuration});
 });
 
 it('a peer gets the configuration again over a new link, and not if it has it already', () => {
 	const {sent, sharing} = setUp();
-	sharing.answer('h1', stateRequest);
-	sharing.joined('h1');
-	sharing.answer('h1', stateRequest);
-	sharing.answer('h2', {...stateRequest, version: 5});
+	sharing.handleRequest('h1', stateRequest);
+	sharing.handlePeerJoined('h1');
+	sharing.handleRequest('h1', stateRequest);
+	sharing.handleRequest('h2', {...stateRequest, version: 5});
 	expect(sent.map(message => message.type)).toEqual(['configuration', 'state', 'configuration', 'state', 'state']);
 });
 
 it('a new version is sent at once', () => {
 	const {sent, configuration, sharing} = setUp();
-	sharing.answer('h1', stateRequest);
+	sharing.handleRequest('h1', stateRequest);
 	Object.assign(configuration, {version: 6});
-	sharing.answer('h1', stateRequest);
+	sharing.handleRequest('h1', stateRequest);
 	expect(sent.filter(message => message.type === 'configuration').map(({configuration: {version}}) => version)).toEqual([5, 6]);
 });
--- a/src/gateway/verdicts.ts
+++ b/src/gateway/attempt-verdicts.ts
@@ -5,7 +5,7 @@
 import {type Ended, type Reply} from './attempt.js';
 import {type Gateway} from './gateway.js';
 
-export class Verdicts {
+export class AttemptVerdicts {
 	readonly #gateway: Gateway;
 	readonly #attempts: Attempts;
 	readonly #fingerprint: string;
@@ -26,9 +26,9 @@
 	 * @param upstream - Upstream of the attempt.
 	 * @returns Ending of the attempt.
 	 */
-	unanswered({ending, absence}: Ended, upstream: string): AttemptEnding {
+	recordUnanswered({ending, absence}: Ended, upstream: string): AttemptEnding {
 		if (absence === undefined) {
-			this.judge(ending, upstream);
+			this.recordEnding(ending, upstream);
 		} else {
 			this.#gateway.judge(upstream, 'unreachable');
 			this.#gateway.tellAbsence(upstream, absence);
@@ -45,7 +45,7 @@
 	 * @param upstream - Upstream of the attempt.
 	 * @returns Ending of the attempt.
 	 */
-	notRun({status, facts}: Reply, upstream: string): AttemptEnding {
+	recordNotRun({status, facts}: Reply, upstream: string): AttemptEnding {
 		const culprit = facts.culprit === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.culprit);
 		if (culprit !== undefined && culprit.id !== upstream) {
 			this.#gateway.judge(culprit.id, 'unreachable');
@@ -64,7 +64,7 @@
 	 * @param ending - Ending of an attempt that was sent.
 	 * @param upstream - Upstream of the attempt.
 	 */
-	judge(ending: AttemptEnding, upstream: string): void {
+	recordEnding(ending: AttemptEnding, upstream: string): void {
 		const verdict = endingToVerdict(ending);
 		if (verdict !== undefined) {
 			this.#gateway.judge(upstream, verdict);
--- a/src/gateway/caller-response.ts
+++ b/src/gateway/caller-response.ts
@@ -6,8 +6,8 @@
 import {sendAnswer, notRunStatuses, type AnswerName} from './answers.js';
 import {type Reply} from './attempt.js';
 import {
-	isStream, readBody, relayEvents, relayLong, writeHead, type Body,
-} from './relay.js';
+	isStream, readBody, forwardEvents, forwardLongBody, writeHead, type ResponseBody,
+} from './response-forwarding.js';
 import {type RequestTrace} from './trace.js';
 
 /** Why the gateway stops working on a request. */
@@ -21,7 +21,7 @@
 	readonly receivedEvents: () => void;
 };
 
-type WholeBody = Extract<Body, {readonly type: 'whole'}>;
+type WholeBody = Extract<ResponseBody, {readonly type: 'whole'}>;
 
 /** Retry-After of refused callers: the mean duration of a usual answer, spread so that callers don't return at the same time. */
 export const baseRetryAfterSeconds = 0.4;
@@ -136,7 +136,7 @@
 
 	async #forwardStream(reply: Reply, listener: ReplyListener): Promise<AttemptEnding> {
 		let isFirst = true;
-		const ending = await relayEvents(this.#outgoing, reply, {
+		const ending = await forwardEvents(this.#outgoing, reply, {
 			onEvents: lastId => {
 				listener.receivedEvents();
 				this.#trace.noteEvents();
@@ -166,7 +166,7 @@
 
 			case 'long': {
 				writeHead(this.#outgoing, reply);
-				if (await relayLong(this.#outgoing, body) && await reply.isWhole()) {
+				if (await forwardLongBody(this.#outgoing, body) && await reply.isWhole()) {
 					this.#outgoing.end();
 					return {type: 'answered', status: reply.status};
 				}
--- a/src/gateway/convictions.ts
+++ b/src/gateway/convictions.ts
@@ -79,7 +79,7 @@
 	 *
 	 * @param message - A crash, or withdrawn crashes.
 	 */
-	heard(message: Extract<Message, {readonly type: 'acquittal' | 'crash'}>): void {
+	handleMessage(message: Extract<Message, {readonly type: 'acquittal' | 'crash'}>): void {
 		const {reputation, peers, clock} = this.#options;
 		const isNew = message.type === 'crash'
 			? reputation.suspects.record(message.crash, clock.now())
--- a/src/gateway/daemon.ts
+++ b/src/gateway/daemon.ts
@@ -158,8 +158,8 @@
 		this.#metrics.version.set(this.#gateway.directory?.configuration.version ?? 0);
 		this.#metrics.confirmedAge.set(this.#gateway.confirmedAge);
 		this.#metrics.upstreams.set(this.#gateway.upstreams.size);
-		this.#metrics.unhealthy.set(this.#gateway.reputation.doubted);
-		this.#metrics.unreachable.set(this.#gateway.reputation.unreachable.size);
+		this.#metrics.unhealthy.set(this.#gateway.reputation.unhealthyCount);
+		this.#metrics.unreachable.set(this.#gateway.reputation.unreachableDomains.size);
 		this.#metrics.suspects.set(this.#gateway.reputation.suspects.size);
 	}
 }
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -18,7 +18,7 @@
 import {Rerouter} from './rerouter.js';
 import {type GatewayServices} from './services.js';
 import {type RequestTrace} from './trace.js';
-import {Verdicts} from './verdicts.js';
+import {AttemptVerdicts} from './attempt-verdicts.js';
 import {StallDetector} from './stall-detector.js';
 
 /** An admitted request. */
@@ -37,7 +37,7 @@
 	readonly #trace: RequestTrace;
 	readonly #attempts: Attempts;
 	readonly #fingerprint: string;
-	readonly #verdicts: Verdicts;
+	readonly #verdicts: AttemptVerdicts;
 	readonly #rerouter: Rerouter;
 	#currentAttempt: Attempt | undefined;
 	#stopReason: StopReason | undefined;
@@ -55,7 +55,7 @@
 		this.#trace = trace;
 		this.#attempts = new Attempts(request.route);
 		this.#fingerprint = computeFingerprint(request.incoming, request.organisation, request.body);
-		this.#verdicts = new Verdicts(services.gateway, this.#attempts, this.#fingerprint);
+		this.#verdicts = new AttemptVerdicts(services.gateway, this.#attempts, this.#fingerprint);
 		this.#rerouter = new Rerouter(services.gateway, this.#attempts, trace);
 		trace.attempts = this.#attempts;
 	}
@@ -297,12 +297,12 @@
 		const {gateway} = this.#services;
 		const reply = await attempt.reply();
 		if (reply.type === 'ended') {
-			return this.#verdicts.unanswered(reply, upstream);
+			return this.#verdicts.recordUnanswered(reply, upstream);
 		}
 
 		if (reply.facts.isNotRun || reply.facts.isMisdirected) {
 			reply.body.resume();
-			return this.#verdicts.notRun(reply, upstream);
+			return this.#verdicts.recordNotRun(reply, upstream);
 		}
 
 		const forwarded = await this.#callerResponse.forward(reply, this.#request.route, {
@@ -316,7 +316,7 @@
 		});
 		const isCancelled = forwarded.type === 'unknown' && attempt.cancelled !== undefined;
 		const ending: AttemptEnding = isCancelled ? {type: 'cancelled', reason: attempt.cancelled} : forwarded;
-		this.#verdicts.judge(ending, upstream);
+		this.#verdicts.recordEnding(ending, upstream);
 		return ending;
 	}
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -17,14 +17,14 @@
 import {type Clock, type Moment} from '../entry/clock.js';
 import {type Log} from '../entry/logs.js';
 import {Convictions} from './convictions.js';
-import {News} from './news.js';
+import {LoadUpdates} from './load-updates.js';
 import {type Host, type Message} from './peers/messages.js';
 import {Peers} from './peers/peers.js';
 import {type PeerState} from './peers/state.js';
 import {Registrations} from './registrations.js';
 import {Reputation} from './reputation.js';
 import {type Settings} from './settings.js';
-import {Sharing} from './sharing.js';
+import {StateSync} from './state-sync.js';
 import {Upstreams} from './upstreams.js';
 
 /** Share of the revocation bound for which keys are accepted without confirmation from the store; the rest is for requests in progress. */
@@ -40,8 +40,8 @@
 	readonly reputation: Reputation;
 	readonly retries: RetryBudget;
 	readonly peers: Peers;
-	readonly sharing: Sharing;
-	readonly loadUpdates: News;
+	readonly sharing: StateSync;
+	readonly loadUpdates: LoadUpdates;
 	readonly convictions: Convictions;
 	readonly #settings: Settings;
 	readonly #clock: Clock;
@@ -76,14 +76,14 @@
 			now: () => clock.now(),
 			events: {
 				joined: (host, send) => {
-					this.sharing.joined(host.name);
-					this.loadUpdates.joined(host, send);
+					this.sharing.handlePeerJoined(host.name);
+					this.loadUpdates.handlePeerJoined(host, send);
 				},
 				message: (from, message) => {
 					this.#handleMessage(from, message);
 				},
 				lost: (host, reason) => {
-					this.loadUpdates.lost(host, reason);
+					this.loadUpdates.handlePeerLost(host, reason);
 				},
 			},
 		});
@@ -91,25 +91,25 @@
 		this.upstreams = new Upstreams(log, {
 			restarted: id => {
 				this.load.forgetUpstream(id, clock.now());
-				this.reputation.forget(id);
+				this.reputation.forgetUpstream(id);
 			},
-			gone: id => {
-				this.reputation.forget(id);
+			removed: id => {
+				this.reputation.forgetUpstream(id);
 			},
 		});
 		this.registrations = new Registrations({upstreams: this.upstreams, log, now: () => clock.now()});
 		this.convictions = new Convictions({
 			reputation: this.reputation, upstreams: this.upstreams, peers: this.peers, clock, confirmedAge: () => this.confirmedAge,
 		});
-		this.loadUpdates = new News({
+		this.loadUpdates = new LoadUpdates({
 			self: settings.host,
 			failureDomain: settings.failureDomain,
 			load: this.load,
 			peers: this.peers,
 			now: () => clock.now(),
 			modelAt: upstream => this.modelAt(upstream),
-			absent: absence => {
-				this.reputation.hear(absence, clock.now());
+			onAbsence: absence => {
+				this.reputation.recordAbsence(absence, clock.now());
 			},
 			sent: job => {
 				const service = this.upstreams.get(job.upstream)?.service;
@@ -118,7 +118,7 @@
 				}
 			},
 		});
-		this.sharing = new Sharing(this, {self: settings.host, failureDomain: settings.failureDomain, clock});
+		this.sharing = new StateSync(this, {self: settings.host, failureDomain: settings.failureDomain, clock});
 		this.#expiryTimer = setInterval(() => {
 			this.load.removeExpired(clock.now());
 		}, expiryIntervalMs);
@@ -183,7 +183,7 @@
 			return;
 		}
 
-		this.registrations.take(peer, state);
+		this.registrations.applyUpdate(peer, state);
 		this.confirm(age);
 	}
 
@@ -208,7 +208,7 @@
 	 * @returns Whether the retry budget that all hosts share allows one more.
 	 */
 	mayRetry(service: string): boolean {
-		const {fleetSize: hosts, isLargeFleet, domainHosts} = this.peers;
+		const {fleetSize: hosts, isLargeFleet, domainHostCount: domainHosts} = this.peers;
 		return this.retries.allowsRetry(service, {hosts, counted: isLargeFleet ? domainHosts : 1}, this.#clock.now());
 	}
 
@@ -218,7 +218,7 @@
 	 * @returns Placement of the request, if there is one.
 	 */
 	place(demand: Demand, eligibility: Eligibility): Placement | undefined {
-		return place(demand, this.upstreams.of(demand.service), this.service(demand.service)?.engine, this.#buildPlacementOptions(eligibility));
+		return place(demand, this.upstreams.listByService(demand.service), this.service(demand.service)?.engine, this.#buildPlacementOptions(eligibility));
 	}
 
 	/**
@@ -229,7 +229,7 @@
 	 * @returns Its expected loss where it is and at the best other placement; undefined for plain services.
 	 */
 	reconsider(demand: Demand, current: Placement, job: string, eligibility: Eligibility): Reevaluation | undefined {
-		return reevaluate(demand, current, this.upstreams.of(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), excludedJob: job});
+		return reevaluate(demand, current, this.upstreams.listByService(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), excludedJob: job});
 	}
 
 	/**
@@ -273,7 +273,7 @@
 	 * @param verdict - Verdict of the attempt.
 	 */
 	judge(upstream: string, verdict: Verdict): void {
-		this.reputation.judge(upstream, this.upstreams.get(upstream), verdict, this.#clock.now());
+		this.reputation.recordVerdict(upstream, this.upstreams.get(upstream), verdict, this.#clock.now());
 	}
 
 	/**
@@ -283,7 +283,7 @@
 	 * @param reason - How an attempt found it absent.
 	 */
 	tellAbsence(upstream: string, reason: AbsenceReason): void {
-		this.loadUpdates.tellAbsence(createAbsence(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
+		this.loadUpdates.publishAbsence(createAbsence(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
 	}
 
 	/**
@@ -313,14 +313,14 @@
 
 	#buildPlacementOptions(eligibility: Eligibility): PlacementOptions {
 		const now = this.#clock.now();
-		this.reputation.look(now);
+		this.reputation.updateReachability(now);
 		return {
 			policy: defaultPolicy,
 			load: this.load,
 			health: this.reputation.health,
 			host: this.#settings.host,
 			failureDomain: this.#settings.failureDomain,
-			unreachable: this.reputation.unreachable,
+			unreachable: this.reputation.unreachableDomains,
 			eligibility,
 			now,
 		};
@@ -329,33 +329,33 @@
 	#handleMessage(from: Host, message: Message): void {
 		switch (message.type) {
 			case 'load': {
-				this.loadUpdates.heard(from, message);
+				this.loadUpdates.handleUpdate(from, message);
 				return;
 			}
 
 			case 'load-wanted': {
-				this.loadUpdates.wanted(from, message);
+				this.loadUpdates.handleRequest(from, message);
 				return;
 			}
 
 			case 'load-told': {
-				this.loadUpdates.told(from, message);
+				this.loadUpdates.handleResponse(from, message);
 				return;
 			}
 
 			case 'hosts-lost': {
-				this.loadUpdates.heardLost(message);
+				this.loadUpdates.handleHostsLost(message);
 				return;
 			}
 
 			case 'crash':
 			case 'acquittal': {
-				this.convictions.heard(message);
+				this.convictions.handleMessage(message);
 				return;
 			}
 
 			case 'state-wanted': {
-				this.sharing.answer(from.name, message);
+				this.sharing.handleRequest(from.name, message);
 				return;
 			}
 
@@ -365,7 +365,7 @@
 			}
 
 			case 'state': {
-				this.sharing.heard(from.name, message);
+				this.sharing.handleState(from.name, message);
 				return;
 			}
 
--- a/src/gateway/news.ts
+++ b/src/gateway/load-updates.ts
@@ -13,7 +13,7 @@
 import {LoadBatch, type LoadChanges} from './load-batch.js';
 import {LoadRequester} from './load-requester.js';
 import {
-	heard, tell, type Host, type HostsLost, type LoadUpdate, type LoadResponse, type LoadRequest, type Message,
+	fromWireJob, toWireJob, type Host, type HostsLost, type LoadUpdate, type LoadResponse, type LoadRequest, type Message,
 } from './peers/messages.js';
 import {type Peers} from './peers/peers.js';
 
@@ -33,7 +33,7 @@
 /** Time after which the jobs of an unresponsive host are removed: most answers have ended by then. */
 const silentHostRetentionMs = 3000;
 
-export type NewsOptions = {
+export type LoadUpdatesOptions = {
 	readonly self: string;
 	readonly failureDomain: string;
 	readonly load: Load;
@@ -42,23 +42,23 @@
 	/** Timing model of an engine, if known. */
 	readonly modelAt: (upstream: string) => EngineModel | undefined;
 	/** Called when a peer reports an upstream unreachable or replaced. */
-	readonly absent: (absence: Absence) => void;
+	readonly onAbsence: (absence: Absence) => void;
 	/** Called for each new job of another host of this failure domain. */
 	readonly sent: (job: Job) => void;
 };
 
 /** Notified of changes that may make it worthwhile to reroute a job. */
-export type Moves = {
+export type RerouteListener = {
 	/** Another host's job started earlier at one of the job's engines. */
-	readonly met: () => void;
+	readonly preceded: () => void;
 	/** The prefill of a long prompt will interrupt the job's decode: the loss of staying, in requests of usual weight. */
 	readonly disturbed: (loss: number) => void;
 };
 
-export class News {
-	readonly #options: NewsOptions;
+export class LoadUpdates {
+	readonly #options: LoadUpdatesOptions;
 	/** Listeners of own jobs that could be rerouted, by job. */
-	readonly #reroutable = new Map<string, Moves>();
+	readonly #reroutable = new Map<string, RerouteListener>();
 	/** Changes of this host's own jobs. */
 	readonly #ownChanges = new LoadBatch(updateDelayMs, changes => {
 		this.#sendOwnChanges(changes);
@@ -80,7 +80,7 @@
 	/** Relay that has received all jobs of this host; undefined if this host is the relay. */
 	#informedRelay: string | undefined;
 
-	constructor(options: NewsOptions) {
+	constructor(options: LoadUpdatesOptions) {
 		this.#options = options;
 	}
 
@@ -116,16 +116,16 @@
 	/**
 	 * @param absence - Upstream that this host found unreachable or replaced.
 	 */
-	tellAbsence(absence: Absence): void {
+	publishAbsence(absence: Absence): void {
 		this.#ownChanges.add({absences: [absence]});
 	}
 
 	/**
 	 * @param id - Own job that could be rerouted.
-	 * @param moves - Notified until the job ends.
+	 * @param listener - Notified until the job ends.
 	 */
-	watch(id: string, moves: Moves): void {
-		this.#reroutable.set(id, moves);
+	watch(id: string, listener: RerouteListener): void {
+		this.#reroutable.set(id, listener);
 	}
 
 	/**
@@ -134,7 +134,7 @@
 	 * @param host - Host.
 	 * @param send - Sends a message over the new link.
 	 */
-	joined(host: Host, send: (message: Message) => void): void {
+	handlePeerJoined(host: Host, send: (message: Message) => void): void {
 		const {load, now, self, peers, failureDomain} = this.#options;
 		if (!peers.isLargeFleet) {
 			load.forgetHost(host.name, now());
@@ -167,7 +167,7 @@
 	 * @param from - Requester.
 	 * @param request - Request.
 	 */
-	wanted(from: Host, {ask}: LoadRequest): void {
+	handleRequest(from: Host, {ask}: LoadRequest): void {
 		this.#ownChanges.flush();
 		this.#domainChanges.flush();
 		this.#options.peers.send(from.name, {type: 'load-told', ask});
@@ -177,7 +177,7 @@
 	 * @param from - Relay that responds.
 	 * @param response - Response.
 	 */
-	told(from: Host, response: LoadResponse): void {
+	handleResponse(from: Host, response: LoadResponse): void {
 		this.#loadRequester.handleResponse(from.name, response);
 	}
 
@@ -187,9 +187,9 @@
 	 * @param from - Sender.
 	 * @param update - Changes of the sender's own jobs, or of others' jobs that it forwards.
 	 */
-	heard(from: Host, update: LoadUpdate): void {
+	handleUpdate(from: Host, update: LoadUpdate): void {
 		const {load, now, self} = this.#options;
-		const began = update.began.map(wireJob => heard(wireJob, from.name, now())).filter(job => job.host !== self);
+		const began = update.began.map(wireJob => fromWireJob(wireJob, from.name, now())).filter(job => job.host !== self);
 		this.#reportDomainJobs(began);
 		for (const job of began) {
 			load.begin(job, now());
@@ -207,7 +207,7 @@
 
 		const absences = (update.absences ?? []).filter(absence => appliesIn(absence, from.failureDomain, this.#options.failureDomain));
 		for (const absence of absences) {
-			this.#options.absent(absence);
+			this.#options.onAbsence(absence);
 		}
 
 		this.#forward({
@@ -218,7 +218,7 @@
 	/**
 	 * @param message - Hosts that a peer has lost; those that are linked with this one are alive and keep their jobs.
 	 */
-	heardLost({hosts, audience}: HostsLost): void {
+	handleHostsLost({hosts, audience}: HostsLost): void {
 		this.#forgetUnlinked(hosts, audience);
 	}
 
@@ -228,7 +228,7 @@
 	 * @param host - Host.
 	 * @param reason - `silent`, `released` or any other reason.
 	 */
-	lost(host: Host, reason: string): void {
+	handlePeerLost(host: Host, reason: string): void {
 		const {peers, failureDomain} = this.#options;
 		if (reason === 'released') {
 			return;
@@ -304,10 +304,10 @@
 	/** Notifies own jobs that started after another host's job at the same engine. */
 	#notifyPreceded(other: Job): void {
 		const {load, now} = this.#options;
-		for (const [id, {met}] of this.#reroutable) {
+		for (const [id, {preceded: preceded}] of this.#reroutable) {
 			const own = load.get(id);
 			if (own !== undefined && hasToYield(own, other, now())) {
-				met();
+				preceded();
 			}
 		}
 	}
@@ -379,7 +379,7 @@
 		const {self, now} = this.#options;
 		return {
 			type: 'load',
-			began: began.map(job => tell(job, self, now())),
+			began: began.map(job => toWireJob(job, self, now())),
 			progressed: [...progressed],
 			ended: [...ended],
 			absences: absences.length === 0 ? undefined : [...absences],
--- a/src/gateway/peers/__tests__/silence-detector.test.ts
+++ b/src/gateway/peers/__tests__/silence-detector.test.ts
@@ -7,7 +7,7 @@
 import {ignore} from '../../../entry/ignore.js';
 import {encode, type Host} from '../messages.js';
 import {Peers} from '../peers.js';
-import {relaysOf} from '../topology.js';
+import {selectRelays} from '../topology.js';
 
 const loopback = '127.0.0.1';
 const now = () => performance.now();
@@ -32,7 +32,7 @@
 	['another host', 2, []],
 ] as const)('finds the expected silent failure domains as %s', {timeout: 20_000}, async (_, rank, expected) => {
 	const own = [0, 1, 2].map(index => hostAt(index, 'a'));
-	const ranked = [...relaysOf('a', own), ...own].filter((host, index, all) => all.indexOf(host) === index);
+	const ranked = [...selectRelays('a', own), ...own].filter((host, index, all) => all.indexOf(host) === index);
 	const self = {...ranked[rank]!, address: {host: loopback, port: await takePort()}};
 	// None of these listens: the host knows a large fleet, but links only with the hosts that connect to it.
 	const fleet = Array.from({length: 15}, (_each, index) => hostAt(10 + index, 'c', 2 + index));
--- a/src/gateway/peers/__tests__/topology.test.ts
+++ b/src/gateway/peers/__tests__/topology.test.ts
@@ -1,7 +1,7 @@
 /** Selection of links: the same on every host, and with few links per host in a large fleet. */
 import {describe, expect, it} from 'vitest';
 import {type Host} from '../messages.js';
-import {selectNeighbours, relaysOf} from '../topology.js';
+import {selectNeighbours, selectRelays} from '../topology.js';
 
 function createFleet(domains: number, perDomain: number): readonly Host[] {
 	return Array.from({length: domains * perDomain}, (_, index) => ({
@@ -21,7 +21,7 @@
 		const hosts = createFleet(domains, perDomain);
 		const links = selectLinks(hosts);
 		for (const host of hosts) {
-			const isRelay = relaysOf(host.failureDomain, hosts).includes(host);
+			const isRelay = selectRelays(host.failureDomain, hosts).includes(host);
 			expect(links.get(host.name)).toHaveLength(isRelay ? 1 + (2 * (domains - 1)) : 2);
 		}
 	});
@@ -54,7 +54,7 @@
 
 	it('lead through the hosts with the most processor time, and through others only when these are down', () => {
 		const hosts = createFleet(1, 20).map((host, index) => ({...host, capacity: [4, 11].includes(index) ? 1.35 : 0.324}));
-		const names = (among: readonly Host[]) => relaysOf('domain-0', among).map(host => host.name);
+		const names = (among: readonly Host[]) => selectRelays('domain-0', among).map(host => host.name);
 		expect(names(hosts).toSorted()).toEqual(['host-11', 'host-4']);
 		const [first, second] = names(hosts.filter(host => host.name !== 'host-4'));
 		expect([first, second]).toEqual(['host-11', names(hosts.filter(host => host.capacity < 1))[0]]);
@@ -63,7 +63,7 @@
 	it('change only when a relay is added or removed', () => {
 		const hosts = createFleet(4, 18);
 		const before = selectLinks(hosts);
-		const plain = hosts.find(host => !relaysOf(host.failureDomain, hosts).includes(host))!;
+		const plain = hosts.find(host => !selectRelays(host.failureDomain, hosts).includes(host))!;
 		const after = selectLinks(hosts.filter(host => host !== plain));
 		for (const [name, linked] of after) {
 			expect(new Set(linked)).toEqual(new Set(before.get(name)));
--- a/src/gateway/peers/messages.ts
+++ b/src/gateway/peers/messages.ts
@@ -91,7 +91,7 @@
 ]);
 
 export type Host = Readonly<z.infer<typeof hostSchema>>;
-export type ToldJob = Readonly<z.infer<typeof jobSchema>>;
+export type WireJob = Readonly<z.infer<typeof jobSchema>>;
 export type Message = z.infer<typeof messageSchema>;
 export type LoadUpdate = Extract<Message, {readonly type: 'load'}>;
 export type LoadRequest = Extract<Message, {readonly type: 'load-wanted'}>;
@@ -136,7 +136,7 @@
  * @param now - Time in milliseconds.
  * @returns The job as sent to peers.
  */
-export function tell(job: Job, sender: string, now: number): ToldJob {
+export function toWireJob(job: Job, sender: string, now: number): WireJob {
 	const {id, upstream, helpers, prompt, answer, isHeld, read, readPerPass, pause, urgency, weight, placing} = job;
 	return {
 		id,
@@ -165,7 +165,7 @@
  * @param now - Time in milliseconds.
  * @returns The job, with times on this host's clock.
  */
-export function heard(wireJob: ToldJob, sender: string, now: number): Job {
+export function fromWireJob(wireJob: WireJob, sender: string, now: number): Job {
 	const {id, upstream, helpers, prompt, answer, isHeld, read, readPerPass, pause, urgency, weight, placing, firstByteAge} = wireJob;
 	// Properties are copied one by one: a rest copy is many times slower, and this runs for every job of the fleet.
 	return {
--- a/src/gateway/peers/peers.ts
+++ b/src/gateway/peers/peers.ts
@@ -10,7 +10,7 @@
 	encode, type Heartbeat, type Host, type Message,
 } from './messages.js';
 import {SilenceDetector} from './silence-detector.js';
-import {relaysOf, maxFullMeshHosts} from './topology.js';
+import {selectRelays, maxFullMeshHosts} from './topology.js';
 
 /** Each heartbeat also updates the links. */
 const heartbeatIntervalMs = 500;
@@ -123,7 +123,7 @@
 	/** Names of the relays of this host's failure domain in order of preference, among this host and the linked ones. */
 	get relays(): readonly string[] {
 		const {self} = this.#options;
-		this.#relays ??= relaysOf(self.failureDomain, [self, ...this.hosts]).map(host => host.name);
+		this.#relays ??= selectRelays(self.failureDomain, [self, ...this.hosts]).map(host => host.name);
 		return this.#relays;
 	}
 
@@ -139,7 +139,7 @@
 	 * Number of hosts of this failure domain, this one included, whose load updates arrive here. These are the linked hosts if this one is
 	 * the relay, and all known hosts otherwise. A host that has lost all links is its own relay and counts itself only.
 	 */
-	get domainHosts(): number {
+	get domainHostCount(): number {
 		const {name, failureDomain} = this.#options.self;
 		return this.relays[0] === name
 			? this.hosts.filter(host => host.failureDomain === failureDomain).length + 1
@@ -269,7 +269,7 @@
 		const domains = new Set(hosts.map(host => host.failureDomain));
 		domains.delete(this.#options.self.failureDomain);
 		return [...domains].flatMap(domain => {
-			const [first] = relaysOf(domain, hosts);
+			const [first] = selectRelays(domain, hosts);
 			return first === undefined ? [] : this.#links.get(first.name) ?? [];
 		});
 	}
--- a/src/gateway/peers/topology.ts
+++ b/src/gateway/peers/topology.ts
@@ -29,7 +29,7 @@
  * @param hosts - Candidates, of any failure domain.
  * @returns Relays of the failure domain in order of preference; the same on every host that knows the same candidates.
  */
-export function relaysOf<T extends RelayCandidate>(failureDomain: string, hosts: readonly T[]): readonly T[] {
+export function selectRelays<T extends RelayCandidate>(failureDomain: string, hosts: readonly T[]): readonly T[] {
 	return hosts
 		.filter(host => host.failureDomain === failureDomain)
 		.map(host => ({host, capacity: host.capacity ?? defaultCapacity, weight: mixHashes(relayHashKey, hashText(host.name))}))
@@ -44,7 +44,7 @@
  * @returns Hosts that this one links with in a large fleet.
  */
 export function selectNeighbours<T extends RelayCandidate>(self: T, others: readonly T[]): readonly T[] {
-	const ownRelays = relaysOf(self.failureDomain, [self, ...others]);
+	const ownRelays = selectRelays(self.failureDomain, [self, ...others]);
 	const otherRelays = ownRelays.filter(host => host !== self);
 	if (otherRelays.length === ownRelays.length) {
 		return ownRelays;
@@ -52,5 +52,5 @@
 
 	const otherDomains = new Set(others.map(host => host.failureDomain));
 	otherDomains.delete(self.failureDomain);
-	return [...otherRelays, ...[...otherDomains].flatMap(domain => relaysOf(domain, others))];
+	return [...otherRelays, ...[...otherDomains].flatMap(domain => selectRelays(domain, others))];
 }
--- a/src/gateway/registrations.ts
+++ b/src/gateway/registrations.ts
@@ -67,7 +67,7 @@
 	 * @param changes - Changes in the order of their revisions.
 	 * @param revision - Revision of the store after them.
 	 */
-	follow(changes: readonly RegistryChange[], revision: number): void {
+	applyChanges(changes: readonly RegistryChange[], revision: number): void {
 		for (const change of changes) {
 			const source = {type: 'store', revision: change.revision} as const;
 			if (!this.#registry.apply(change)) {
@@ -90,7 +90,7 @@
 	 * @param upstreams - All upstreams in the store.
 	 * @param revision - Revision of the store that was listed.
 	 */
-	list(upstreams: readonly GatewayUpstream[], revision: number): void {
+	replaceAll(upstreams: readonly GatewayUpstream[], revision: number): void {
 		const source = {type: 'store', revision} as const;
 		const {written, removed} = this.#registry.reset({upstreams, revision, changed: revision});
 		for (const id of removed) {
@@ -106,7 +106,7 @@
 	 * @param peer - Peer.
 	 * @param update - Update.
 	 */
-	take(peer: string, update: RegistryUpdate): void {
+	applyUpdate(peer: string, update: RegistryUpdate): void {
 		const source = {type: 'peer', peer, revision: update.revision} as const;
 		const kept = update.kept ?? noIds;
 		const {written, removed} = this.#mergeUpdate(update);
@@ -123,12 +123,12 @@
 	}
 
 	/** Records that the store doesn't answer. */
-	lost(): void {
+	recordStoreLost(): void {
 		this.#expiryGrace.markLost();
 	}
 
 	/** Records that the store answers again. */
-	regained(): void {
+	recordStoreRegained(): void {
 		this.#expiryGrace.markRegained(this.#options.now());
 	}
 
--- a/src/gateway/reputation.ts
+++ b/src/gateway/reputation.ts
@@ -20,20 +20,20 @@
 	readonly #reachability = new Reachability();
 	/** Upstreams that were excluded and have not answered since. */
 	readonly #unhealthy = new Set<string>();
-	#unreachable: ReadonlySet<string> = new Set();
+	#unreachableDomains: ReadonlySet<string> = new Set();
 
 	constructor(options: ReputationOptions) {
 		this.#options = options;
 	}
 
 	/** Number of upstreams that were excluded and have not answered since. */
-	get doubted(): number {
+	get unhealthyCount(): number {
 		return this.#unhealthy.size;
 	}
 
 	/** Failure domains that were out of reach at the last update. */
-	get unreachable(): ReadonlySet<string> {
-		return this.#unreachable;
+	get unreachableDomains(): ReadonlySet<string> {
+		return this.#unreachableDomains;
 	}
 
 	/**
@@ -41,23 +41,23 @@
 	 *
 	 * @param now - Time in milliseconds.
 	 */
-	look(now: number): void {
+	updateReachability(now: number): void {
 		const silent = [...this.#options.silentDomains(now)].filter(domain => !this.#reachability.hasLiveUpstreams(domain, now));
 		const failing = this.#reachability.findUnreachable(now);
 		const next = new Set([...silent, ...failing]);
 		for (const domain of next) {
-			if (!this.#unreachable.has(domain)) {
+			if (!this.#unreachableDomains.has(domain)) {
 				this.#options.log.write({event: 'domain-unreachable', domain, reason: failing.has(domain) ? 'attempts fail' : 'peers are silent'}, 'warn');
 			}
 		}
 
-		for (const domain of this.#unreachable) {
+		for (const domain of this.#unreachableDomains) {
 			if (!next.has(domain)) {
 				this.#options.log.write({event: 'domain-reachable', domain});
 			}
 		}
 
-		this.#unreachable = next;
+		this.#unreachableDomains = next;
 	}
 
 	/**
@@ -68,7 +68,7 @@
 	 * @param verdict - Outcome for the upstream.
 	 * @param now - Time in milliseconds.
 	 */
-	judge(id: string, upstream: GatewayUpstream | undefined, verdict: Verdict, now: number): void {
+	recordVerdict(id: string, upstream: GatewayUpstream | undefined, verdict: Verdict, now: number): void {
 		this.health.record(id, verdict, now);
 		this.#logHealthChange(id, verdict, now);
 		const domain = upstream?.failureDomain;
@@ -89,7 +89,7 @@
 	 * @param absence - Upstream that the peer found unreachable or replaced.
 	 * @param now - Time in milliseconds.
 	 */
-	hear({upstream, reason}: Absence, now: number): void {
+	recordAbsence({upstream, reason}: Absence, now: number): void {
 		if (this.health.isBackedOff(upstream, now)) {
 			return;
 		}
@@ -102,7 +102,7 @@
 	/**
 	 * @param id - Upstream that was restarted or removed.
 	 */
-	forget(id: string): void {
+	forgetUpstream(id: string): void {
 		this.health.forget(id);
 		this.#unhealthy.delete(id);
 	}
--- a/src/gateway/rerouter.ts
+++ b/src/gateway/rerouter.ts
@@ -39,7 +39,7 @@
 	 */
 	watch(stream: RunningStream): void {
 		this.#gateway.loadUpdates.watch(stream.job, {
-			met: () => {
+			preceded: () => {
 				const assessment = this.#gateway.reconsider(stream.demand(), stream.place, stream.job, this.#attempts.eligibility);
 				this.#rerouteIfWorthwhile(stream, assessment?.staying ?? 0, assessment?.best);
 			},
--- a/src/gateway/relay.ts
+++ b/src/gateway/response-forwarding.ts
@@ -58,7 +58,7 @@
  * @param progress - Notified of events.
  * @returns How the attempt ended.
  */
-export async function relayEvents(outgoing: ServerResponse, reply: Reply, progress: StreamObserver): Promise<AttemptEnding> {
+export async function forwardEvents(outgoing: ServerResponse, reply: Reply, progress: StreamObserver): Promise<AttemptEnding> {
 	const splitter = new EventSplitter();
 	try {
 		for await (const chunk of reply.body as AsyncIterable<Buffer>) {
@@ -81,7 +81,7 @@
 }
 
 /** A complete body, the buffered beginning of a long one and an iterator over the rest, or the reason why it ended early. */
-export type Body
+export type ResponseBody
 	= | {readonly type: 'whole'; readonly bytes: Buffer}
 		| {readonly type: 'long'; readonly begin: readonly Buffer[]; readonly rest: AsyncIterator<Buffer>}
 		| {readonly type: 'broken'; readonly reason: string};
@@ -92,7 +92,7 @@
  * @param reply - Response of an upstream.
  * @returns Body.
  */
-export async function readBody(reply: Reply): Promise<Body> {
+export async function readBody(reply: Reply): Promise<ResponseBody> {
 	const chunks: Buffer[] = [];
 	let length = 0;
 	const iterator = (reply.body as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
@@ -116,7 +116,7 @@
  * @param body - Body that is too long to buffer.
  * @returns Whether all of it was forwarded.
  */
-export async function relayLong(outgoing: ServerResponse, body: Extract<Body, {type: 'long'}>): Promise<boolean> {
+export async function forwardLongBody(outgoing: ServerResponse, body: Extract<ResponseBody, {type: 'long'}>): Promise<boolean> {
 	try {
 		await write(outgoing, Buffer.concat(body.begin));
 		for (let next = await body.rest.next(); !next.done; next = await body.rest.next()) {
--- a/src/gateway/sharing.ts
+++ b/src/gateway/state-sync.ts
@@ -15,7 +15,7 @@
 const minSharingHosts = 5;
 
 /** How a host gets the state of the store: reads it for itself, reads it for others as well, or asks a host that reads it. */
-export type Reading = 'by asking' | 'for itself' | 'for others';
+export type StoreAccess = 'by asking' | 'for itself' | 'for others';
 
 type PendingRequest = {
 	readonly host: string;
@@ -23,14 +23,14 @@
 	readonly done: () => void;
 };
 
-export type SharingOptions = {
+export type StateSyncOptions = {
 	readonly self: string;
 	readonly failureDomain: string;
 	readonly clock: Clock;
 };
 
-export class Sharing {
-	readonly #options: SharingOptions;
+export class StateSync {
+	readonly #options: StateSyncOptions;
 	readonly #gateway: Gateway;
 	readonly #pending = new Map<number, PendingRequest>();
 	/** Version of the configuration last sent to each linked host. */
@@ -44,13 +44,13 @@
 	 * @param gateway - Gateway whose state is sent and updated.
 	 * @param options - This host.
 	 */
-	constructor(gateway: Gateway, options: SharingOptions) {
+	constructor(gateway: Gateway, options: StateSyncOptions) {
 		this.#gateway = gateway;
 		this.#options = options;
 	}
 
 	/** How this host gets the state of the store, given the hosts that are linked at present. */
-	get reading(): Reading {
+	get storeAccess(): StoreAccess {
 		if (!this.#isShared) {
 			return 'for itself';
 		}
@@ -63,7 +63,7 @@
 	 *
 	 * @param timeout - Milliseconds to wait.
 	 */
-	async askReader(timeout: number): Promise<void> {
+	async requestFromRelay(timeout: number): Promise<void> {
 		const readers = this.#gateway.peers.relays.filter(name => name !== this.#options.self);
 		await this.#requestFromOne(readers, timeout);
 	}
@@ -73,7 +73,7 @@
 	 *
 	 * @param timeout - Milliseconds to wait.
 	 */
-	async askAnyone(timeout: number): Promise<void> {
+	async requestFromAnyPeer(timeout: number): Promise<void> {
 		await this.#requestFromOne(this.#gateway.peers.hosts.map(host => host.name), timeout);
 	}
 
@@ -82,7 +82,7 @@
 	 *
 	 * @param host - Host that has just been linked.
 	 */
-	joined(host: string): void {
+	handlePeerJoined(host: string): void {
 		this.#sentVersions.delete(host);
 	}
 
@@ -92,7 +92,7 @@
 	 * @param from - Requester.
 	 * @param request - Versions that the requester has.
 	 */
-	answer(from: string, request: StateRequest): void {
+	handleRequest(from: string, request: StateRequest): void {
 		const gateway = this.#gateway;
 		const configuration = gateway.directory?.configuration;
 		if (configuration === undefined || gateway.registrations.revision === 0) {
@@ -119,7 +119,7 @@
 	 * @param from - Peer that responded.
 	 * @param state - State of the peer.
 	 */
-	heard(from: string, state: PeerState): void {
+	handleState(from: string, state: PeerState): void {
 		const request = this.#pending.get(state.ask);
 		if (request?.host !== from) {
 			return;
--- a/src/gateway/upstreams.ts
+++ b/src/gateway/upstreams.ts
@@ -5,7 +5,7 @@
 export type UpstreamEvents = {
 	/** Another process has registered under the id. */
 	readonly restarted: (id: string) => void;
-	readonly gone: (id: string) => void;
+	readonly removed: (id: string) => void;
 };
 
 /** Origin of a registration or removal, with its revision of the store. */
@@ -66,7 +66,7 @@
 	 * @param service - Service.
 	 * @returns Upstreams of the service.
 	 */
-	of(service: string): readonly GatewayUpstream[] {
+	listByService(service: string): readonly GatewayUpstream[] {
 		this.#updateIndexes();
 		return this.#byService.get(service) ?? noUpstreams;
 	}
@@ -97,7 +97,7 @@
 		if (this.#byId.delete(id)) {
 			this.#isIndexed = false;
 			this.#log.write({event: 'upstream-gone', upstream: id, ...describeSource(source)});
-			this.#events.gone(id);
+			this.#events.removed(id);
 		}
 	}
 
