--- a/bench/beliefs/member.ts
+++ b/bench/beliefs/member.ts
@@ -94,7 +94,7 @@
 		});
 		const gateway = new Gateway(settings, this.#clock, log as Log);
 		Object.assign(gateway, {peers: this.#createPeers()});
-		gateway.adopt({
+		gateway.applyConfiguration({
 			version: 1, routes: [], services: [], limits: {
 				headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1,
 			},
@@ -104,7 +104,7 @@
 			gateway,
 			clock: this.#clock,
 			log: log as Log,
-			newsBound: stalenessBoundMs,
+			stalenessBound: stalenessBoundMs,
 			revocation: revocationMs,
 		});
 		follower.start();
--- a/bench/beliefs/store.ts
+++ b/bench/beliefs/store.ts
@@ -1,6 +1,6 @@
 /** The platform's store in virtual time: upstreams register, write heartbeats and leave; hosts read them unless it rejects their calls. */
 import {raise} from '../../src/core/index.js';
-import {type Change, type Page, type Watched} from '../../platform/store.js';
+import {type Change, type Page, type WatchResult} from '../../platform/store.js';
 
 const answerTimeMs = 4;
 const historyTimeMs = 20_000;
@@ -91,7 +91,7 @@
 	 * @param maxWait - Milliseconds to wait for the first change.
 	 * @returns The changes.
 	 */
-	async watch(after: number, maxWait: number): Promise<Watched> {
+	async watch(after: number, maxWait: number): Promise<WatchResult> {
 		await wait(answerTimeMs / 2);
 		const oldest = performance.now() - historyTimeMs;
 		const compactedRevision = this.#history.findLast(({at}) => at < oldest)?.change.revision ?? 0;
@@ -105,7 +105,7 @@
 		}
 
 		const changes = this.#history.map(({change}) => change).filter(change => change.revision > after);
-		const watched: Watched = {type: 'changes', changes, revision: this.#revision};
+		const watched: WatchResult = {type: 'changes', changes, revision: this.#revision};
 		await wait(answerTimeMs / 2);
 		return watched;
 	}
@@ -165,7 +165,7 @@
 		return this.#call(async () => this.#store.range(prefix));
 	}
 
-	async watch(_: string, after: number, maxWait: number): Promise<Watched> {
+	async watch(_: string, after: number, maxWait: number): Promise<WatchResult> {
 		return this.#call(async () => this.#store.watch(after, maxWait));
 	}
 
--- a/src/gateway/__tests__/attempt.test.ts
+++ b/src/gateway/__tests__/attempt.test.ts
@@ -5,7 +5,7 @@
 import {
 	afterEach, beforeEach, expect, it, vi,
 } from 'vitest';
-import {Attempt, type Ended, type Reply} from '../attempt.js';
+import {Attempt, type EndedAttempt, type Reply} from '../attempt.js';
 import {type HeaderFormat} from '../platform-adapter.js';
 
 const headerFormat: HeaderFormat = {
@@ -35,7 +35,7 @@
 	const attempt = new Attempt({
 		id: 'r', method: 'GET', path: '/', headers: [], body: Buffer.alloc(0), address: {host: '127.0.0.1', port: 1},
 	}, headerFormat, new UnresponsiveAgent());
-	const replies: Array<Reply | Ended> = [];
+	const replies: Array<Reply | EndedAttempt> = [];
 	void (async () => {
 		replies.push(await attempt.reply());
 	})();
--- a/src/gateway/__tests__/bytes.test.ts
+++ b/src/gateway/__tests__/bytes.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 import {isFailure} from '../../core/index.js';
 import {EventSplitter} from '../events.js';
-import {endToEnd} from '../headers.js';
+import {filterEndToEndHeaders} from '../headers.js';
 import {
 	encode, fromWireJob, messageReader, toWireJob, type Message,
 } from '../peers/messages.js';
@@ -37,7 +37,7 @@
 
 it('removes per-connection headers, headers named by Connection, and dropped headers', () => {
 	const raw = ['Host', 'a', 'Connection', 'close, X-Hop', 'X-Hop', '1', 'x-keep', '2', 'X-Keep', '3', 'Transfer-Encoding', 'chunked', 'X-Drop', '4'];
-	expect(endToEnd(raw, new Set(['x-drop']))).toEqual(['Host', 'a', 'x-keep', '2', 'X-Keep', '3']);
+	expect(filterEndToEndHeaders(raw, new Set(['x-drop']))).toEqual(['Host', 'a', 'x-keep', '2', 'X-Keep', '3']);
 });
 
 describe('peer messages', () => {
--- a/src/gateway/__tests__/dispatch.test.ts
+++ b/src/gateway/__tests__/dispatch.test.ts
@@ -106,8 +106,8 @@
 		service: () => undefined,
 		beginJob: () => ({id: 'j0', weight: 1}),
 		load: {size: 1},
-		judge: () => undefined,
-		tellAbsence: () => undefined,
+		recordVerdict: () => undefined,
+		publishAbsence: () => undefined,
 		forecastIterationTime: () => 0,
 	};
 	const services = {
--- a/src/gateway/attempt-verdicts.ts
+++ b/src/gateway/attempt-verdicts.ts
@@ -2,7 +2,7 @@
 import {endingToVerdict} from '../core/gateway/health.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
 import {type Attempts} from '../core/gateway/attempts.js';
-import {type Ended, type Reply} from './attempt.js';
+import {type EndedAttempt, type Reply} from './attempt.js';
 import {type Gateway} from './gateway.js';
 
 export class AttemptVerdicts {
@@ -26,12 +26,12 @@
 	 * @param upstream - Upstream of the attempt.
 	 * @returns Ending of the attempt.
 	 */
-	recordUnanswered({ending, absence}: Ended, upstream: string): AttemptEnding {
+	recordUnanswered({ending, absence}: EndedAttempt, upstream: string): AttemptEnding {
 		if (absence === undefined) {
 			this.recordEnding(ending, upstream);
 		} else {
-			this.#gateway.judge(upstream, 'unreachable');
-			this.#gateway.tellAbsence(upstream, absence);
+			this.#gateway.recordVerdict(upstream, 'unreachable');
+			this.#gateway.publishAbsence(upstream, absence);
 			this.#attempts.recordUnreached(upstream);
 		}
 
@@ -45,19 +45,19 @@
 	 * @param upstream - Upstream of the attempt.
 	 * @returns Ending of the attempt.
 	 */
-	recordNotRun({status, facts}: Reply, upstream: string): AttemptEnding {
-		const culprit = facts.culprit === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.culprit);
+	recordNotRun({status, metadata: facts}: Reply, upstream: string): AttemptEnding {
+		const culprit = facts.faultyEngine === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.faultyEngine);
 		if (culprit !== undefined && culprit.id !== upstream) {
-			this.#gateway.judge(culprit.id, 'unreachable');
+			this.#gateway.recordVerdict(culprit.id, 'unreachable');
 			this.#attempts.recordMissingHelper(upstream, culprit.id);
 		} else if (facts.isMisdirected) {
-			this.#gateway.judge(upstream, 'replaced');
-			this.#gateway.tellAbsence(upstream, 'replaced');
+			this.#gateway.recordVerdict(upstream, 'replaced');
+			this.#gateway.publishAbsence(upstream, 'replaced');
 		} else {
-			this.#gateway.judge(upstream, 'faulty');
+			this.#gateway.recordVerdict(upstream, 'faulty');
 		}
 
-		return {type: 'not-run', reason: `refused with ${status} by ${facts.culprit ?? upstream}`, isShed: !facts.isMisdirected};
+		return {type: 'not-run', reason: `refused with ${status} by ${facts.faultyEngine ?? upstream}`, isShed: !facts.isMisdirected};
 	}
 
 	/**
@@ -67,11 +67,11 @@
 	recordEnding(ending: AttemptEnding, upstream: string): void {
 		const verdict = endingToVerdict(ending);
 		if (verdict !== undefined) {
-			this.#gateway.judge(upstream, verdict);
+			this.#gateway.recordVerdict(upstream, verdict);
 		}
 
 		if (verdict === 'unreachable') {
-			this.#gateway.tellAbsence(upstream, 'silent');
+			this.#gateway.publishAbsence(upstream, 'silent');
 		}
 
 		if (ending.type === 'unknown') {
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -18,11 +18,11 @@
 export type Reply = {
 	readonly type: 'reply';
 	readonly status: number;
-	readonly raw: readonly string[];
-	readonly facts: ResponseMetadata;
+	readonly rawHeaders: readonly string[];
+	readonly metadata: ResponseMetadata;
 	readonly body: IncomingMessage;
 	/** Whether the body was received completely; to be called after its end. */
-	readonly isWhole: () => Promise<boolean>;
+	readonly isComplete: () => Promise<boolean>;
 };
 
 export type UpstreamRequest = {
@@ -35,7 +35,7 @@
 };
 
 /** An attempt that ended without a response. */
-export type Ended = {
+export type EndedAttempt = {
 	readonly type: 'ended';
 	readonly ending: AttemptEnding;
 	/** Why no connection was established; undefined if there was one or the attempt was cancelled. */
@@ -44,7 +44,7 @@
 
 const connectionRefusedCode = 'ECONNREFUSED';
 
-function createEnded(ending: AttemptEnding, absence?: Ended['absence']): Ended {
+function createEnded(ending: AttemptEnding, absence?: EndedAttempt['absence']): EndedAttempt {
 	return {type: 'ended', ending, absence};
 }
 
@@ -125,7 +125,7 @@
 	}
 
 	/** Sends the request; resolves with the head of the response, or with how the attempt ended without one. */
-	async reply(): Promise<Reply | Ended> {
+	async reply(): Promise<Reply | EndedAttempt> {
 		const outgoing = this.#outgoing;
 		return new Promise(resolve => {
 			outgoing.on('socket', socket => {
@@ -173,7 +173,7 @@
 		this.#outgoing.destroy();
 	}
 
-	#readHead(body: IncomingMessage): Reply | Ended {
+	#readHead(body: IncomingMessage): Reply | EndedAttempt {
 		const status = body.statusCode ?? 0;
 		const metadata = this.#headerFormat.parseResponse(status, body.headers);
 		const mismatch = findMismatch(this.#request.id, status, metadata, body);
@@ -192,18 +192,18 @@
 		return {
 			type: 'reply',
 			status,
-			raw: body.rawHeaders,
-			facts: metadata,
+			rawHeaders: body.rawHeaders,
+			metadata: metadata,
 			body,
 			// Node.js reports a body without a length as complete even if its connection was reset.
-			isWhole: async () => {
+			isComplete: async () => {
 				const isProper = await properEnd;
 				return body.complete && !this.#isBroken && isProper;
 			},
 		};
 	}
 
-	#endWithoutReply(reason: string, absence: Ended['absence']): Ended {
+	#endWithoutReply(reason: string, absence: EndedAttempt['absence']): EndedAttempt {
 		if (!this.#isConnected) {
 			return createEnded({type: 'not-run', reason, isShed: false}, this.#cancelled === undefined ? absence : undefined);
 		}
--- a/src/gateway/caller-response.ts
+++ b/src/gateway/caller-response.ts
@@ -166,7 +166,7 @@
 
 			case 'long': {
 				writeHead(this.#outgoing, reply);
-				if (await forwardLongBody(this.#outgoing, body) && await reply.isWhole()) {
+				if (await forwardLongBody(this.#outgoing, body) && await reply.isComplete()) {
 					this.#outgoing.end();
 					return {type: 'answered', status: reply.status};
 				}
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -300,7 +300,7 @@
 			return this.#verdicts.recordUnanswered(reply, upstream);
 		}
 
-		if (reply.facts.isNotRun || reply.facts.isMisdirected) {
+		if (reply.metadata.isNotRun || reply.metadata.isMisdirected) {
 			reply.body.resume();
 			return this.#verdicts.recordNotRun(reply, upstream);
 		}
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -149,7 +149,7 @@
 	 *
 	 * @param configuration - Configuration that was read.
 	 */
-	adopt(configuration: GatewayConfiguration): void {
+	applyConfiguration(configuration: GatewayConfiguration): void {
 		const previous = this.#directory?.configuration.version;
 		if (previous !== undefined && configuration.version <= previous) {
 			return;
@@ -177,7 +177,7 @@
 	 * @param state - Version of its configuration, and its upstreams if they differ.
 	 * @param age - Milliseconds since the peer's state was known to be current.
 	 */
-	takeState(peer: string, state: PeerState, age: number): void {
+	applyPeerState(peer: string, state: PeerState, age: number): void {
 		// Peers send a newer configuration before the state that refers to it. Without it, the state confirms nothing that is known here.
 		if (state.version > (this.#directory?.configuration.version ?? 0)) {
 			return;
@@ -272,7 +272,7 @@
 	 * @param upstream - Id of the upstream.
 	 * @param verdict - Verdict of the attempt.
 	 */
-	judge(upstream: string, verdict: Verdict): void {
+	recordVerdict(upstream: string, verdict: Verdict): void {
 		this.reputation.recordVerdict(upstream, this.upstreams.get(upstream), verdict, this.#clock.now());
 	}
 
@@ -282,7 +282,7 @@
 	 * @param upstream - Id of the upstream.
 	 * @param reason - How an attempt found it absent.
 	 */
-	tellAbsence(upstream: string, reason: AbsenceReason): void {
+	publishAbsence(upstream: string, reason: AbsenceReason): void {
 		this.loadUpdates.publishAbsence(createAbsence(upstream, reason, this.upstreams.get(upstream)?.failureDomain, this.#settings.failureDomain));
 	}
 
@@ -360,7 +360,7 @@
 			}
 
 			case 'configuration': {
-				this.adopt(message.configuration);
+				this.applyConfiguration(message.configuration);
 				return;
 			}
 
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -6,7 +6,7 @@
  * @param dropped - Further names to remove, in lower case.
  * @returns The headers to forward, in the same order.
  */
-export function endToEnd(raw: readonly string[], dropped: ReadonlySet<string>): string[] {
+export function filterEndToEndHeaders(raw: readonly string[], dropped: ReadonlySet<string>): string[] {
 	const connectionNames = new Set<string>();
 	for (let index = 0; index < raw.length; index += 2) {
 		if (raw[index]!.toLowerCase() === 'connection') {
--- a/src/gateway/platform-adapter.ts
+++ b/src/gateway/platform-adapter.ts
@@ -45,7 +45,7 @@
 	/** Whether another upstream than the intended one responded. */
 	readonly isMisdirected: boolean;
 	/** Address of the helper engine at fault, if the response names one. */
-	readonly culprit?: string;
+	readonly faultyEngine?: string;
 };
 
 /** Reads and writes the headers of callers and upstreams. */
--- a/src/gateway/response-forwarding.ts
+++ b/src/gateway/response-forwarding.ts
@@ -6,7 +6,7 @@
 import {type AttemptEnding} from '../core/gateway/retries.js';
 import {type Reply} from './attempt.js';
 import {EventSplitter} from './events.js';
-import {endToEnd} from './headers.js';
+import {filterEndToEndHeaders} from './headers.js';
 
 /** A body up to this size is buffered until it is complete; a longer one is forwarded as it arrives. */
 const maxBufferedBytes = 1_000_000;
@@ -33,7 +33,7 @@
  * @param length - Bytes of the body, if known.
  */
 export function writeHead(outgoing: ServerResponse, reply: Reply, length?: number): void {
-	const headers = endToEnd(reply.raw, contentLengthOnly);
+	const headers = filterEndToEndHeaders(reply.rawHeaders, contentLengthOnly);
 	if (length !== undefined) {
 		headers.push('Content-Length', String(length));
 	}
@@ -72,7 +72,7 @@
 		return {type: 'unknown', reason: messageOf(error)};
 	}
 
-	if (!await reply.isWhole()) {
+	if (!await reply.isComplete()) {
 		return {type: 'unknown', reason: brokenOffReason};
 	}
 
@@ -108,7 +108,7 @@
 		return {type: 'broken', reason: messageOf(error)};
 	}
 
-	return await reply.isWhole() ? {type: 'whole', bytes: Buffer.concat(chunks)} : {type: 'broken', reason: brokenOffReason};
+	return await reply.isComplete() ? {type: 'whole', bytes: Buffer.concat(chunks)} : {type: 'broken', reason: brokenOffReason};
 }
 
 /**
--- a/src/gateway/state-sync.ts
+++ b/src/gateway/state-sync.ts
@@ -127,7 +127,7 @@
 
 		this.#pending.delete(state.ask);
 		// The peer responded at an unknown time after the request was sent, so the age may be too high, never too low.
-		this.#gateway.takeState(from, state, state.age + this.#options.clock.since(request.at));
+		this.#gateway.applyPeerState(from, state, state.age + this.#options.clock.since(request.at));
 		request.done();
 	}
 
