--- a/bench/beliefs/member.ts
+++ b/bench/beliefs/member.ts
@@ -4,7 +4,7 @@
 import {type Store} from '../../platform/store.js';
 import {type GatewayUpstream} from '../../src/core/gateway/types.js';
 import {Clock} from '../../src/entry/clock.js';
-import {type Line, type Log} from '../../src/entry/logs.js';
+import {type LogLine, type Log} from '../../src/entry/logs.js';
 import {Gateway} from '../../src/gateway/gateway.js';
 import {messageReader, type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {selectRelays} from '../../src/gateway/peers/topology.js';
@@ -34,7 +34,7 @@
 export class Member {
 	readonly host: Host;
 	readonly storeClient: StoreClient;
-	readonly lines: Line[] = [];
+	readonly lines: LogLine[] = [];
 	/** End of the latest fault. */
 	disturbedUntil = Number.NEGATIVE_INFINITY;
 	frozenUntil = 0;
--- a/src/entry/__tests__/clock.test.ts
+++ b/src/entry/__tests__/clock.test.ts
@@ -17,16 +17,16 @@
 
 it('counts a suspension during which the monotonic clock stopped', () => {
 	const clock = new ManualClock();
-	const before = clock.moment();
+	const before = clock.createTimestamp();
 	clock.monotonicTime += 10;
 	clock.wallTime += 3010;
-	expect(clock.since(before)).toBe(3010);
+	expect(clock.getElapsedTime(before)).toBe(3010);
 });
 
 it('counts the elapsed time when the wall clock was set back', () => {
 	const clock = new ManualClock();
-	const before = clock.moment(100);
+	const before = clock.createTimestamp(100);
 	clock.monotonicTime += 500;
 	clock.wallTime -= 4000;
-	expect(clock.since(before)).toBe(600);
+	expect(clock.getElapsedTime(before)).toBe(600);
 });
--- a/src/entry/clock.ts
+++ b/src/entry/clock.ts
@@ -2,7 +2,7 @@
 import {performance} from 'node:perf_hooks';
 
 /** A point in time on both clocks, in milliseconds. */
-export type Moment = {
+export type Timestamp = {
 	readonly monotonic: number;
 	readonly wall: number;
 };
@@ -26,7 +26,7 @@
 	 * @param age - How far in the past the point in time lies, in milliseconds.
 	 * @returns The point in time on both clocks.
 	 */
-	moment(age = 0): Moment {
+	createTimestamp(age = 0): Timestamp {
 		return {monotonic: this.now() - age, wall: this.wall() - age};
 	}
 
@@ -36,7 +36,7 @@
 	 *
 	 * @returns Elapsed milliseconds; never too few unless both clocks are wrong at once.
 	 */
-	since(moment: Moment): number {
-		return Math.max(this.now() - moment.monotonic, this.wall() - moment.wall);
+	getElapsedTime(timestamp: Timestamp): number {
+		return Math.max(this.now() - timestamp.monotonic, this.wall() - timestamp.wall);
 	}
 }
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -8,7 +8,7 @@
 } from '../core/index.js';
 import {type Cost} from './admin/server.js';
 import {createContainer} from './container.js';
-import {Disposal} from './disposal.js';
+import {DisposalStack} from './disposal-stack.js';
 import {type Driver} from './driver.js';
 import {CoreExecutor} from './executor.js';
 import {Links} from './peers/links.js';
@@ -38,7 +38,7 @@
  * @returns The running daemon.
  */
 export async function startDaemon(settings: Settings): Promise<Daemon> {
-	const resources = new Disposal();
+	const resources = new DisposalStack();
 	try {
 		return await assemble(settings, resources);
 	} catch (error) {
@@ -47,7 +47,7 @@
 	}
 }
 
-async function assemble(settings: Settings, resources: Disposal): Promise<Daemon> {
+async function assemble(settings: Settings, resources: DisposalStack): Promise<Daemon> {
 	const container = createContainer(settings, () => getCost(container, links));
 	const driver = container.get(tokens.driver);
 	const started = container.get(tokens.clock).wall();
@@ -84,7 +84,7 @@
 }
 
 /** Registers each listener for disposal only once it listens. */
-async function startListeners(container: Container, resources: Disposal, links: Links): Promise<ListenerPorts> {
+async function startListeners(container: Container, resources: DisposalStack, links: Links): Promise<ListenerPorts> {
 	const callers = container.get(tokens.callers);
 	const admin = container.get(tokens.admin);
 	const callerPort = await callers.listen();
@@ -128,7 +128,7 @@
 	});
 }
 
-function startWatches(resources: Disposal, container: Container, settings: Settings, driver: Driver): void {
+function startWatches(resources: DisposalStack, container: Container, settings: Settings, driver: Driver): void {
 	const platform = container.get(tokens.platform);
 	const state = () => driver.state;
 	const dispatch = (event: Event) => {
--- a/src/entry/disposal.ts
+++ b/src/entry/disposal-stack.ts
@@ -1,5 +1,5 @@
 /** Disposes of resources together, the newest first. Node.js 20 has no `AsyncDisposableStack`. */
-export class Disposal implements AsyncDisposable {
+export class DisposalStack implements AsyncDisposable {
 	readonly #callbacks: Array<() => Promise<void>> = [];
 
 	/**
--- a/src/entry/listener.ts
+++ b/src/entry/listener.ts
@@ -2,7 +2,7 @@
 import {once} from 'node:events';
 import restify, {type Server} from 'restify';
 import {ignore} from './ignore.js';
-import {portOf} from './ports.js';
+import {getPort} from './ports.js';
 
 /** Longer than the idle timeout of load balancers, so that a connection isn't closed just as a balancer reuses it. */
 const idleTimeoutMs = 75_000;
@@ -33,7 +33,7 @@
 	async listen({host, port}: ListenAddress): Promise<number> {
 		this.server.listen(port, host);
 		await once(this.server.server, 'listening');
-		return portOf(this.server.server);
+		return getPort(this.server.server);
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
--- a/src/entry/logs.ts
+++ b/src/entry/logs.ts
@@ -5,7 +5,7 @@
 } from 'consola';
 
 /** Fields of a line in addition to its time, level and host. */
-export type Line = Readonly<Record<string, unknown>> & {readonly event: string};
+export type LogLine = Readonly<Record<string, unknown>> & {readonly event: string};
 
 const levels = {info: 'info', warn: 'warn', error: 'error'} as const;
 export type LogLevel = keyof typeof levels;
@@ -94,7 +94,7 @@
 		return dropped;
 	}
 
-	write(line: Line, level: LogLevel = 'info'): void {
+	write(line: LogLine, level: LogLevel = 'info'): void {
 		this.#consola[level]({host: this.#host, ...line});
 	}
 }
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -6,7 +6,7 @@
 import {messageOf, isFailure} from '../core/index.js';
 import {readSettings} from '../protocol/settings.js';
 import {startDaemon} from './daemon.js';
-import {codeOf} from './exit.js';
+import {getResultCode} from './result-code.js';
 import {Log} from './logs.js';
 import {settingsSchema, type Settings} from './settings.js';
 
@@ -33,7 +33,7 @@
 			await run(readSettings(settingsSchema, settings));
 			process.exitCode = 0;
 		} catch (error) {
-			new Log('').write({event: 'failed', code: codeOf(error), detail: messageOf(error)}, 'error');
+			new Log('').write({event: 'failed', code: getResultCode(error), detail: messageOf(error)}, 'error');
 			process.exitCode = isFailure(error) ? invalidSettingsExitCode : errorExitCode;
 		}
 	});
--- a/src/entry/ports.ts
+++ b/src/entry/ports.ts
@@ -4,7 +4,7 @@
  * @param listener - A listening TCP server.
  * @returns The port listened at; 0 if the server isn't listening on TCP.
  */
-export function portOf(listener: Pick<Server, 'address'>): number {
+export function getPort(listener: Pick<Server, 'address'>): number {
 	const address = listener.address();
 	return typeof address === 'object' ? (address?.port ?? 0) : 0;
 }
--- a/src/entry/exit.ts
+++ b/src/entry/result-code.ts
@@ -9,7 +9,7 @@
  * @param error - The error that ended the daemon.
  * @returns The code of a failure, `portInUse` for a port in use, otherwise `internal`.
  */
-export function codeOf(error: unknown): number {
+export function getResultCode(error: unknown): number {
 	if (isFailure(error)) {
 		return error.code;
 	}
--- a/src/gateway/daemon.ts
+++ b/src/gateway/daemon.ts
@@ -2,7 +2,7 @@
 import {setImmediate as turn, setTimeout as sleep} from 'node:timers/promises';
 import {type Agent} from 'node:http';
 import {Clock} from '../entry/clock.js';
-import {Disposal} from '../entry/disposal.js';
+import {DisposalStack} from '../entry/disposal-stack.js';
 import {type Log} from '../entry/logs.js';
 import {UpstreamAgent} from './agent.js';
 import {type HeaderFormat, type EngineControl} from './platform-adapter.js';
@@ -51,7 +51,7 @@
 export class Daemon implements AsyncDisposable {
 	readonly #settings: Settings;
 	readonly #log: Log;
-	readonly #disposal = new Disposal();
+	readonly #disposal = new DisposalStack();
 	readonly #clock = new Clock();
 	readonly #gateway: Gateway;
 	readonly #callers: CallerListener;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -14,7 +14,7 @@
 import {
 	type Demand, type EngineModel, type GatewayConfiguration, type GatewayService,
 } from '../core/gateway/types.js';
-import {type Clock, type Moment} from '../entry/clock.js';
+import {type Clock, type Timestamp} from '../entry/clock.js';
 import {type Log} from '../entry/logs.js';
 import {Convictions} from './convictions.js';
 import {LoadUpdates} from './load-updates.js';
@@ -49,7 +49,7 @@
 	readonly #startedAt: number;
 	readonly #expiryTimer: NodeJS.Timeout;
 	#directory: Directory | undefined;
-	#confirmedAt: Moment | undefined;
+	#confirmedAt: Timestamp | undefined;
 	#jobCount = 0;
 
 	/**
@@ -136,7 +136,7 @@
 
 	/** Milliseconds since the configuration in force and the upstreams were last known to be current. */
 	get confirmedAge(): number {
-		return this.#confirmedAt === undefined ? Number.POSITIVE_INFINITY : this.#clock.since(this.#confirmedAt);
+		return this.#confirmedAt === undefined ? Number.POSITIVE_INFINITY : this.#clock.getElapsedTime(this.#confirmedAt);
 	}
 
 	/** Whether a key of the configuration may have been revoked without this host knowing. */
@@ -166,7 +166,7 @@
 	 */
 	confirm(age: number): void {
 		if (age < this.confirmedAge) {
-			this.#confirmedAt = this.#clock.moment(age);
+			this.#confirmedAt = this.#clock.createTimestamp(age);
 		}
 	}
 
--- a/src/gateway/state-sync.ts
+++ b/src/gateway/state-sync.ts
@@ -3,7 +3,7 @@
  * state from them. A host that can't reach a relay reads the store itself; one that can't reach the store asks any linked host.
  */
 import {type GatewayConfiguration} from '../core/gateway/types.js';
-import {type Clock, type Moment} from '../entry/clock.js';
+import {type Clock, type Timestamp} from '../entry/clock.js';
 import {type Gateway} from './gateway.js';
 import {encode} from './peers/messages.js';
 import {type PeerState, type StateRequest} from './peers/state.js';
@@ -19,7 +19,7 @@
 
 type PendingRequest = {
 	readonly host: string;
-	readonly at: Moment;
+	readonly at: Timestamp;
 	readonly done: () => void;
 };
 
@@ -127,7 +127,7 @@
 
 		this.#pending.delete(state.ask);
 		// The peer responded at an unknown time after the request was sent, so the age may be too high, never too low.
-		this.#gateway.applyPeerState(from, state, state.age + this.#options.clock.since(request.at));
+		this.#gateway.applyPeerState(from, state, state.age + this.#options.clock.getElapsedTime(request.at));
 		request.done();
 	}
 
@@ -167,7 +167,7 @@
 			}, timeout);
 			this.#pending.set(id, {
 				host,
-				at: this.#options.clock.moment(),
+				at: this.#options.clock.createTimestamp(),
 				done() {
 					clearTimeout(timer);
 					resolve();
--- a/stand-ins/gateway/store.ts
+++ b/stand-ins/gateway/store.ts
@@ -5,7 +5,7 @@
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
 import {assertNever, type Address} from '../../src/core/index.js';
-import {portOf} from '../../src/entry/ports.js';
+import {getPort} from '../../src/entry/ports.js';
 
 type Item = {
 	readonly Key: string;
@@ -57,12 +57,12 @@
 	}
 
 	get address(): Address {
-		return {host: loopback, port: portOf(this.#server)};
+		return {host: loopback, port: getPort(this.#server)};
 	}
 
 	/** A second address of the same store, so that some hosts can lose the store while others keep it. */
 	get sideAddress(): Address {
-		return {host: loopback, port: portOf(this.#secondaryServer)};
+		return {host: loopback, port: getPort(this.#secondaryServer)};
 	}
 
 	/** Starts to listen on free ports. */
--- a/stand-ins/gateway/upstream.ts
+++ b/stand-ins/gateway/upstream.ts
@@ -6,7 +6,7 @@
 import {text} from 'node:stream/consumers';
 import {z} from 'zod';
 import {type Address} from '../../src/core/index.js';
-import {portOf} from '../../src/entry/ports.js';
+import {getPort} from '../../src/entry/ports.js';
 import {type EngineModel} from '../../src/core/gateway/types.js';
 import {Batch, computeMemory, type BatchJob} from './batch.js';
 import {sendPlainAnswer, type Fault} from './faults.js';
@@ -79,7 +79,7 @@
 	}
 
 	get address(): Address {
-		return {host: loopback, port: portOf(this.#server)};
+		return {host: loopback, port: getPort(this.#server)};
 	}
 
 	/** Names of the current memory reservations. */
