--- a/__tests__/examples.test.ts
+++ b/__tests__/examples.test.ts
@@ -2,7 +2,7 @@
 import {existsSync, readFileSync} from 'node:fs';
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
-import {statusOf} from '../src/entry/callers/statuses.js';
+import {getHttpStatus} from '../src/entry/callers/statuses.js';
 import {settingsSchema as entrySettings} from '../src/entry/settings.js';
 import {parseConfiguration, warningsOf} from '../src/protocol/configuration/index.js';
 import {settingsSchema as engineSettings} from '../stand-ins/engine/settings.js';
@@ -36,7 +36,7 @@
 	it('give the HTTP status of every result code that callers can receive', () => {
 		const rows = [...readPage('CODES.md').matchAll(/^\| (\d+) \| `\w+` \| [^\|]+ \| (\d{3}) \|/gmv)];
 		expect(rows.length).toBeGreaterThan(20);
-		expect(rows.filter(([, code, status]) => statusOf(Number(code)) !== Number(status))).toEqual([]);
+		expect(rows.filter(([, code, status]) => getHttpStatus(Number(code)) !== Number(status))).toEqual([]);
 	});
 
 	it.each(['OPERATIONS.md', 'CODES.md', 'GLOSSARY.md'])('%s links to files and headings that exist', name => {
--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -21,7 +21,7 @@
 const answerTimeoutMs = 5000;
 
 /** Content of a host's answer, or why there is none; `silent` covers hosts that are unreachable and hosts that refuse. */
-export type Answer<Content>
+export type HostAnswer<Content>
 	= | {readonly type: 'answered'; readonly address: Address; readonly content: Content}
 		| {readonly type: 'silent'; readonly address: Address; readonly failure: Failure};
 
@@ -39,7 +39,7 @@
  * @returns The configuration in force on the host.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
-export async function fetchInForce(address: Address, timeout = answerTimeoutMs): Promise<InForce> {
+export async function fetchConfiguration(address: Address, timeout = answerTimeoutMs): Promise<InForce> {
 	return fetchContent(address, {path: 'configuration', timeout}, inForceSchema);
 }
 
@@ -59,7 +59,7 @@
  * @returns Phase of the host and number of unfinished requests.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
-export async function orderDrain(address: Address, wanted: DrainWanted): Promise<Drain> {
+export async function requestDrain(address: Address, wanted: DrainWanted): Promise<Drain> {
 	return fetchContent(address, {path: 'drain', body: wanted}, drainSchema);
 }
 
@@ -68,10 +68,10 @@
  * @param fetch - Queries one host.
  * @returns Answers of the hosts, in the order of the addresses.
  */
-export async function askAll<Content>(
+export async function fetchFromHosts<Content>(
 	addresses: readonly Address[],
 	fetch: (address: Address) => Promise<Content>,
-): Promise<ReadonlyArray<Answer<Content>>> {
+): Promise<ReadonlyArray<HostAnswer<Content>>> {
 	return Promise.all(addresses.map(async address => {
 		try {
 			return {type: 'answered', address, content: await fetch(address)};
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -10,7 +10,7 @@
 } from '../../core/index.js';
 import {type Drain} from '../../protocol/admin.js';
 import {
-	askAll, fetchStatus, orderDrain,
+	fetchFromHosts, fetchStatus, requestDrain,
 } from '../../admin/client.js';
 import {addHostOptions} from '../fleet.js';
 import {formatAddress} from '../../protocol/address.js';
@@ -42,14 +42,14 @@
 
 async function drain(terminal: Terminal, host: string, options: DrainOptions): Promise<Code> {
 	const address = await findHostAddress(terminal, host, options);
-	const answer = await orderDrain(address, options.grace === undefined ? {} : {grace: options.grace});
+	const answer = await requestDrain(address, options.grace === undefined ? {} : {grace: options.grace});
 	terminal.write(`${answer.host} is ${answer.phase}; ${formatRequestCount(answer.unfinished)} to finish.\n`);
 	return options.wait === true ? waitForStop(terminal, address, answer) : codes.done;
 }
 
 async function findHostAddress(terminal: Terminal, host: string, options: DrainOptions): Promise<Address> {
 	const addresses = await readHostAddresses(terminal, {hosts: host.includes(':') ? host : undefined, ...options}, 'admin');
-	const answers = await askAll(addresses, fetchStatus);
+	const answers = await fetchFromHosts(addresses, fetchStatus);
 	for (const answer of answers) {
 		if (formatAddress(answer.address) === host || (answer.type === 'answered' && answer.content.incarnation.host === host)) {
 			return answer.address;
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -2,7 +2,7 @@
 import {type Command} from 'commander';
 import {codes, raise, type Code} from '../../core/index.js';
 import {type LoggedDecision} from '../../protocol/admin.js';
-import {askAll, fetchDecisions} from '../../admin/client.js';
+import {fetchFromHosts, fetchDecisions} from '../../admin/client.js';
 import {describeDecision} from '../decisions.js';
 import {addHostOptions, reportFailedHosts} from '../fleet.js';
 import {readHostAddresses, type HostOptions} from '../hosts.js';
@@ -60,7 +60,7 @@
 }
 
 async function fetchEntries(terminal: Terminal, request: string, options: ExplainOptions): Promise<readonly LogEntry[]> {
-	const answers = await askAll(
+	const answers = await fetchFromHosts(
 		await readHostAddresses(terminal, options, 'admin'),
 		async address => fetchDecisions(address, request),
 	);
--- a/src/cli/commands/show.ts
+++ b/src/cli/commands/show.ts
@@ -2,7 +2,7 @@
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
 import {type InForce} from '../../protocol/admin.js';
-import {askAll, fetchInForce, type Answer} from '../../admin/client.js';
+import {fetchFromHosts, fetchConfiguration, type HostAnswer} from '../../admin/client.js';
 import {formatAddress} from '../../protocol/address.js';
 import {readHostAddresses, type HostOptions} from '../hosts.js';
 import {type CommandServices} from '../command-services.js';
@@ -29,7 +29,7 @@
 }
 
 async function show(terminal: Terminal, options: ShowOptions): Promise<Code> {
-	const answers = await askAll(await readHostAddresses(terminal, options, 'admin'), async address => fetchInForce(address));
+	const answers = await fetchFromHosts(await readHostAddresses(terminal, options, 'admin'), async address => fetchConfiguration(address));
 	const documents = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	const newest = documents.toSorted((first, second) => second.revision - first.revision)[0];
 	if (options.document === true) {
@@ -45,7 +45,7 @@
 	return isDifferent ? codes.differs : getResultCode(answers);
 }
 
-function createJsonEntry(answer: Answer<InForce>): unknown {
+function createJsonEntry(answer: HostAnswer<InForce>): unknown {
 	const address = formatAddress(answer.address);
 	if (answer.type === 'silent') {
 		return {address, code: answer.failure.code};
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -3,7 +3,7 @@
 import {type Code} from '../../core/index.js';
 import {type Status} from '../../protocol/admin.js';
 import {durationInWords, groupBy} from '../../protocol/configuration/index.js';
-import {askAll, fetchStatus} from '../../admin/client.js';
+import {fetchFromHosts, fetchStatus} from '../../admin/client.js';
 import {addHostOptions, reportFailedHosts, getResultCode} from '../fleet.js';
 import {readHostAddresses, type HostOptions} from '../hosts.js';
 import {type CommandServices} from '../command-services.js';
@@ -27,7 +27,7 @@
 }
 
 async function showStatus(terminal: Terminal, options: StatusOptions): Promise<Code> {
-	const answers = await askAll(await readHostAddresses(terminal, options, 'admin'), fetchStatus);
+	const answers = await fetchFromHosts(await readHostAddresses(terminal, options, 'admin'), fetchStatus);
 	const statuses = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	if (options.json === true) {
 		writeJson(terminal, statuses);
--- a/src/cli/fleet.ts
+++ b/src/cli/fleet.ts
@@ -1,7 +1,7 @@
 /** Shared by commands that query several hosts: options, error output and the result code. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../core/index.js';
-import {type Answer} from '../admin/client.js';
+import {type HostAnswer} from '../admin/client.js';
 import {settingsVariable} from './hosts.js';
 import {type Terminal} from './terminal.js';
 
@@ -23,7 +23,7 @@
  * @param terminal - Receives the lines on standard error.
  * @param answers - Answers of all queried hosts.
  */
-export function reportFailedHosts(terminal: Terminal, answers: ReadonlyArray<Answer<unknown>>): void {
+export function reportFailedHosts(terminal: Terminal, answers: ReadonlyArray<HostAnswer<unknown>>): void {
 	for (const answer of answers) {
 		if (answer.type === 'silent') {
 			terminal.complain(`error ${answer.failure.code}: ${answer.failure.message}\n`);
@@ -35,7 +35,7 @@
  * @param answers - Answers of all queried hosts.
  * @returns `done` if every host answered, otherwise the code of the first failure.
  */
-export function getResultCode(answers: ReadonlyArray<Answer<unknown>>): Code {
+export function getResultCode(answers: ReadonlyArray<HostAnswer<unknown>>): Code {
 	for (const answer of answers) {
 		if (answer.type === 'silent') {
 			return answer.failure.code;
--- a/src/configuration-service/client.ts
+++ b/src/configuration-service/client.ts
@@ -13,7 +13,7 @@
 	readonly leaving: readonly string[];
 };
 
-export class Platform {
+export class PlatformClient {
 	readonly #address: Address;
 	#calls = 0;
 
--- a/src/console/source.ts
+++ b/src/console/source.ts
@@ -1,6 +1,6 @@
 /** Reads the document in force from hosts or a file, and checks whether a draft still starts from it. */
 import {readFile} from 'node:fs/promises';
-import {askAll, fetchInForce} from '../admin/client.js';
+import {fetchFromHosts, fetchConfiguration} from '../admin/client.js';
 import {isFailure, raise, type Address} from '../core/index.js';
 import {parseConfiguration, type Valid} from '../protocol/configuration/index.js';
 
@@ -63,7 +63,7 @@
 }
 
 async function readFromHosts(addresses: readonly Address[]): Promise<string> {
-	const answers = await askAll(addresses, async address => fetchInForce(address, hostTimeoutMs));
+	const answers = await fetchFromHosts(addresses, async address => fetchConfiguration(address, hostTimeoutMs));
 	const documents = answers.flatMap(answer => answer.type === 'answered' ? [answer.content] : []);
 	const newest = documents.toSorted((first, second) => second.revision - first.revision)[0];
 	if (newest !== undefined) {
--- a/src/entry/admin/server.ts
+++ b/src/entry/admin/server.ts
@@ -22,8 +22,8 @@
 	type Drain,
 	type InForce,
 } from '../../protocol/admin.js';
-import {decode, readBody} from '../callers/body.js';
-import {statusOf as httpStatusOf} from '../callers/statuses.js';
+import {decodeText, readBody} from '../callers/body.js';
+import {getHttpStatus as httpStatusOf} from '../callers/statuses.js';
 import {type Clock} from '../clock.js';
 import {Listener} from '../listener.js';
 import {type EventUsage} from '../driver.js';
@@ -141,7 +141,7 @@
 
 function parseDrainRequest(body: Uint8Array): DrainWanted {
 	try {
-		return drainWantedSchema.parse(body.byteLength === 0 ? {} : JSON.parse(decode(body)));
+		return drainWantedSchema.parse(body.byteLength === 0 ? {} : JSON.parse(decodeText(body)));
 	} catch (error) {
 		return raise('badArgument', messageOf(error));
 	}
--- a/src/entry/callers/__tests__/exchange.test.ts
+++ b/src/entry/callers/__tests__/exchange.test.ts
@@ -4,7 +4,7 @@
 import {codes, type Request} from '../../../core/index.js';
 import {Exchanges} from '../exchange.js';
 import {type Receiver} from '../receivers.js';
-import {statusOf} from '../statuses.js';
+import {getHttpStatus} from '../statuses.js';
 
 const large = new Uint8Array(3_000_000);
 
@@ -79,6 +79,6 @@
 		exchanges.replay('early', 'answer 0');
 		expect(late!.response.writableEnded).toBe(true);
 		expect(late!.response.statusCode).toBe(200);
-		expect(early!.response.statusCode).toBe(statusOf(codes.answerNotKept));
+		expect(early!.response.statusCode).toBe(getHttpStatus(codes.answerNotKept));
 	});
 });
--- a/src/entry/callers/body.ts
+++ b/src/entry/callers/body.ts
@@ -27,6 +27,6 @@
 /**
  * @param body - Text in UTF-8.
  */
-export function decode(body: Uint8Array): string {
+export function decodeText(body: Uint8Array): string {
 	return textDecoder.decode(body);
 }
--- a/src/entry/callers/chat.ts
+++ b/src/entry/callers/chat.ts
@@ -12,7 +12,7 @@
 	type Service,
 } from '../../core/index.js';
 import {countTokens, hashBlocks, renderPrompt} from '../../protocol/blocks.js';
-import {decode} from './body.js';
+import {decodeText} from './body.js';
 import {
 	callerHeaders,
 	getHeader,
@@ -82,7 +82,7 @@
 
 function parseJson(body: Uint8Array): unknown {
 	try {
-		return JSON.parse(decode(body));
+		return JSON.parse(decodeText(body));
 	} catch (error) {
 		return raise('badBody', messageOf(error));
 	}
@@ -138,7 +138,7 @@
 			callerPath: context.path,
 			headers: context.headers,
 			body: context.body,
-			engineBody: chat.stream ? decode(context.body) : JSON.stringify({...chat, stream: true}),
+			engineBody: chat.stream ? decodeText(context.body) : JSON.stringify({...chat, stream: true}),
 			key: getIdempotencyKey(common.proof, context.headers),
 			statedPromptTokens: stated,
 		},
--- a/src/entry/callers/exchange.ts
+++ b/src/entry/callers/exchange.ts
@@ -112,7 +112,7 @@
 	 * @param ticket - Signed ticket.
 	 * @param expires - Expiry in milliseconds since 1970.
 	 */
-	issue(request: string, ticket: string, expires: number): void {
+	issueTicket(request: string, ticket: string, expires: number): void {
 		const callback = this.#ticketCallbacks.get(request);
 		this.#ticketCallbacks.delete(request);
 		callback?.(ticket, expires);
--- a/src/entry/callers/plain.ts
+++ b/src/entry/callers/plain.ts
@@ -2,7 +2,7 @@
 import {type Method} from 'got';
 import {raise} from '../../core/index.js';
 import {countTokens} from '../../protocol/blocks.js';
-import {decode} from './body.js';
+import {decodeText} from './body.js';
 import {
 	getIdempotencyKey, parseCommonFields, type ParsedRequest, type RequestContext,
 } from './chat.js';
@@ -34,7 +34,7 @@
 	return {
 		request: {
 			...common,
-			promptTokens: countTokens(decode(context.body)),
+			promptTokens: countTokens(decodeText(context.body)),
 			blocks: [],
 		},
 		payload: {
--- a/src/entry/callers/receivers.ts
+++ b/src/entry/callers/receivers.ts
@@ -12,7 +12,7 @@
 	createOutcomeHeaders,
 	requestHeader,
 } from './outcomes.js';
-import {statusOf} from './statuses.js';
+import {getHttpStatus} from './statuses.js';
 
 type Headers = Readonly<Record<string, string | readonly string[]>>;
 
@@ -156,7 +156,7 @@
 
 function sendJson({response, request}: Receiver, outcome: Outcome, body: unknown, ticket?: string): void {
 	const text = JSON.stringify(body);
-	response.writeHead(statusOf(getResultCode(outcome)), {
+	response.writeHead(getHttpStatus(getResultCode(outcome)), {
 		'content-type': 'application/json',
 		'content-length': Buffer.byteLength(text),
 		...createOutcomeHeaders(request, outcome, ticket),
--- a/src/entry/callers/resumption.ts
+++ b/src/entry/callers/resumption.ts
@@ -74,7 +74,7 @@
 			priority: 0,
 			timeout: position.expires - clock.wall(),
 			owner: '',
-			mayRepeat: true,
+			isRepeatable: true,
 			signal: controller.signal,
 		}, position.offset, {
 			written: ignore,
--- a/src/entry/callers/statuses.ts
+++ b/src/entry/callers/statuses.ts
@@ -36,7 +36,7 @@
  * @param code - Result code.
  * @returns Its HTTP status; 503 for other requests that were not run, otherwise 502.
  */
-export function statusOf(code: number): number {
+export function getHttpStatus(code: number): number {
 	const status = httpStatuses.get(code);
 	if (status !== undefined) {
 		return status;
--- a/src/entry/container.ts
+++ b/src/entry/container.ts
@@ -1,6 +1,6 @@
 /** Wires the daemon's services together. */
 import {Container} from 'inversify';
-import {Platform} from '../configuration-service/client.js';
+import {PlatformClient} from '../configuration-service/client.js';
 import {AdminServer, type Cost} from './admin/server.js';
 import {DecisionHistory} from './admin/decisions.js';
 import {Directory} from './callers/directory.js';
@@ -33,7 +33,7 @@
 	container.bind(tokens.directory).toDynamicValue(() => new Directory());
 	container.bind(tokens.exchanges).toDynamicValue(() => new Exchanges());
 	container.bind(tokens.lifecycle).toDynamicValue(() => new Lifecycle());
-	container.bind(tokens.platform).toDynamicValue(() => new Platform(settings.platform));
+	container.bind(tokens.platform).toDynamicValue(() => new PlatformClient(settings.platform));
 	container.bind(tokens.decisions).toDynamicValue(({get}) => new DecisionHistory(settings.decisionsKept, get(tokens.clock)));
 	container.bind(tokens.driver).toDynamicValue(({get}) => {
 		const seed = settings.seed ?? Math.floor(Math.random() * seedLimit);
--- a/src/entry/executor.ts
+++ b/src/entry/executor.ts
@@ -10,10 +10,10 @@
 } from '../core/index.js';
 import {signTicket} from '../protocol/token.js';
 import {
-	giveOrder,
+	sendOrder,
 	readOrders,
 	releaseHold,
-	takeHold,
+	requestHold,
 } from '../upstream/control.js';
 import {type DecisionHistory} from './admin/decisions.js';
 import {type Exchanges} from './callers/exchange.js';
@@ -87,7 +87,7 @@
 			}
 
 			case 'issue-ticket': {
-				exchanges.issue(effect.request, signTicket(this.#getTokenKeys(), effect.ticket), effect.ticket.expires);
+				exchanges.issueTicket(effect.request, signTicket(this.#getTokenKeys(), effect.ticket), effect.ticket.expires);
 				break;
 			}
 
@@ -187,7 +187,7 @@
 		const owner = this.#options.state().self.incarnation;
 		let granted = false;
 		try {
-			granted = await takeHold(address, {
+			granted = await requestHold(address, {
 				id: hold,
 				owner,
 				tokens,
@@ -233,7 +233,7 @@
 
 	async #giveOrder({upstream, address, order}: EffectOf<'order'>): Promise<void> {
 		try {
-			const answer = await giveOrder(address, order);
+			const answer = await sendOrder(address, order);
 			this.#options.dispatch({
 				type: 'order-answered',
 				upstream,
--- a/src/entry/relays/relays.ts
+++ b/src/entry/relays/relays.ts
@@ -7,8 +7,8 @@
 } from '../../core/index.js';
 import {findUpstream as upstreamOf} from '../../core/features/configuration/queries.js';
 import {prefillSegment} from '../../upstream/control.js';
-import {runOnEngine, type Call} from '../../upstream/engine.js';
-import {endToEnd, runOnPlain, type PassedHeaders} from '../../upstream/plain.js';
+import {runOnEngine, type EngineCall} from '../../upstream/engine.js';
+import {filterEndToEndHeaders, runOnPlain, type EndToEndHeaders} from '../../upstream/plain.js';
 import {callerHeaders} from '../callers/headers.js';
 import {requestHeader} from '../callers/outcomes.js';
 import {type Exchange} from '../callers/exchange.js';
@@ -153,14 +153,14 @@
 
 		const {payload, request} = exchange;
 		const {self} = this.#services.state();
-		const call: Call = {
+		const call: EngineCall = {
 			address: effect.address,
 			attempt: effect.attempt,
 			body: payload.engineBody,
 			priority: effect.priority,
 			timeout: effect.deadline + deadlineMarginMs - this.#services.clock.now(),
 			owner: `${self.incarnation.host}/${self.incarnation.started}`,
-			mayRepeat: request.proof.type === 'idempotent',
+			isRepeatable: request.proof.type === 'idempotent',
 			key: payload.key,
 			...(segments.length > 0 && {holds: segments.map(segment => segment.hold)}),
 			promptTokens: payload.statedPromptTokens,
@@ -198,7 +198,7 @@
 			path: payload.path,
 			headers: this.#createPlainHeaders(exchange),
 			body: payload.body,
-			mayRepeat: request.proof.type === 'idempotent',
+			isRepeatable: request.proof.type === 'idempotent',
 			signal,
 		}, {
 			written() {
@@ -213,8 +213,8 @@
 	}
 
 	/** Removes the caller's credentials, which upstreams must not receive. */
-	#createPlainHeaders({payload, request}: Exchange): PassedHeaders {
-		const {authorization, [callerHeaders.ticket]: ticket, ...headers} = endToEnd(payload.headers);
+	#createPlainHeaders({payload, request}: Exchange): EndToEndHeaders {
+		const {authorization, [callerHeaders.ticket]: ticket, ...headers} = filterEndToEndHeaders(payload.headers);
 		return {
 			...headers,
 			[requestHeader]: request.id,
@@ -231,14 +231,14 @@
 			method: payload.method,
 			path: payload.callerPath,
 			headers: {
-				...endToEnd(payload.headers),
+				...filterEndToEndHeaders(payload.headers),
 				[callerHeaders.timeout]: String(Math.max(1, Math.round(effect.deadline - clock.now()))),
 				[callerHeaders.forwardedBy]: self.incarnation.host,
 				[callerHeaders.hops]: String((request.hops ?? 0) + 1),
 				...(effect.reason === 'spill' && {[callerHeaders.spilledFrom]: self.failureDomain}),
 			},
 			body: payload.body,
-			mayRepeat: request.proof.type === 'idempotent',
+			isRepeatable: request.proof.type === 'idempotent',
 			signal,
 		}, {
 			// The outcome is known from the other host's answer.
--- a/src/entry/relays/sink.ts
+++ b/src/entry/relays/sink.ts
@@ -1,6 +1,6 @@
 /** Passes an engine's frames to the caller and reports the attempt's progress to the core. */
 import {positionOf, signStream} from '../../protocol/token.js';
-import {type Sink} from '../../upstream/follower.js';
+import {type FrameSink} from '../../upstream/follower.js';
 import {type Exchange} from '../callers/exchange.js';
 import {type EffectOf, type RelayServices} from './services.js';
 
@@ -16,7 +16,7 @@
  * @param services - The daemon's services.
  * @returns A sink for the attempt's frames.
  */
-export function createSink(effect: EffectOf<'send'>, exchange: Exchange, services: RelayServices): Sink {
+export function createSink(effect: EffectOf<'send'>, exchange: Exchange, services: RelayServices): FrameSink {
 	const {attempt} = effect;
 	const {dispatch, metrics} = services;
 	const {answer} = exchange;
--- a/src/entry/tokens.ts
+++ b/src/entry/tokens.ts
@@ -1,6 +1,6 @@
 /** Identifiers of the daemon's services in the dependency injection container. */
 import {type ServiceIdentifier} from 'inversify';
-import {type Platform} from '../configuration-service/client.js';
+import {type PlatformClient} from '../configuration-service/client.js';
 import {type AdminServer} from './admin/server.js';
 import {type DecisionHistory} from './admin/decisions.js';
 import {type Directory} from './callers/directory.js';
@@ -29,7 +29,7 @@
 	exchanges: createToken<Exchanges>('Exchanges'),
 	driver: createToken<Driver>('Driver'),
 	lifecycle: createToken<Lifecycle>('Lifecycle'),
-	platform: createToken<Platform>('Platform'),
+	platform: createToken<PlatformClient>('Platform'),
 	relays: createToken<Relays>('Relays'),
 	resumption: createToken<Resumption>('Resumption'),
 	callers: createToken<CallerServer>('CallerServer'),
--- a/src/entry/watch/configuration.ts
+++ b/src/entry/watch/configuration.ts
@@ -1,6 +1,6 @@
 /** Watches the platform for new configurations and for changes to the host list. */
 import {codes, type Event, type State} from '../../core/index.js';
-import {type Platform} from '../../configuration-service/client.js';
+import {type PlatformClient} from '../../configuration-service/client.js';
 import {parseConfiguration} from '../../protocol/configuration/index.js';
 import {Loop} from './loop.js';
 
@@ -59,7 +59,7 @@
  * @returns The running watch; dispose of it to stop.
  */
 export function watchConfiguration(
-	platform: Platform,
+	platform: PlatformClient,
 	maxWait: number,
 	state: () => State,
 	dispatch: (event: Event) => void,
@@ -100,7 +100,7 @@
  * @param dispatch - Sends an event to the core.
  * @returns The running watch; dispose of it to stop.
  */
-export function watchHostList(platform: Platform, interval: number, dispatch: (event: Event) => void): Loop {
+export function watchHostList(platform: PlatformClient, interval: number, dispatch: (event: Event) => void): Loop {
 	return new Loop(async signal => {
 		try {
 			dispatch({type: 'hosts-listed', ...await platform.readHosts(signal)});
--- a/src/entry/watch/engines.ts
+++ b/src/entry/watch/engines.ts
@@ -9,7 +9,7 @@
 	type Event,
 	type State,
 } from '../../core/index.js';
-import {readCacheEvents, readHolds, readReport} from '../../upstream/control.js';
+import {readCacheEvents, readHolds, readLoadReport} from '../../upstream/control.js';
 import {type Clock} from '../clock.js';
 import {Loop} from './loop.js';
 
@@ -91,7 +91,7 @@
 	}
 
 	async #readReport({id, address}: Engine): Promise<void> {
-		this.#options.dispatch({type: 'report-received', report: await readReport(id, address)});
+		this.#options.dispatch({type: 'report-received', report: await readLoadReport(id, address)});
 	}
 
 	async #readHolds({id, address}: Engine): Promise<void> {
--- a/src/upstream/control.ts
+++ b/src/upstream/control.ts
@@ -16,7 +16,7 @@
 	orderStateSchema,
 	type CacheEvents,
 	type OrderState,
-	type SegmentWork,
+	type SegmentRequest,
 } from './protocol.js';
 
 const answerTimeoutMs = 2000;
@@ -35,7 +35,7 @@
  * @param upstream - Id of the engine.
  * @param address - Address of the engine.
  */
-export async function readReport(upstream: string, address: Address): Promise<LoadReport> {
+export async function readLoadReport(upstream: string, address: Address): Promise<LoadReport> {
 	const {engine, ...load} = loadSchema.parse(await readJson(address, '/v1/load'));
 	return {upstream, ...load};
 }
@@ -72,7 +72,7 @@
  * @param hold - Requested reservation.
  * @returns Whether the engine granted it.
  */
-export async function takeHold(address: Address, hold: Omit<Hold, 'upstream'>): Promise<boolean> {
+export async function requestHold(address: Address, hold: Omit<Hold, 'upstream'>): Promise<boolean> {
 	const {id, ...body} = hold;
 	const {statusCode} = await client.put(createUrl(address, `/v1/holds/${encodeURIComponent(id)}`), {json: body});
 	return statusCode === createdStatus || statusCode === okStatus;
@@ -103,7 +103,7 @@
  * @param timeout - Timeout in milliseconds.
  */
 export async function prefillSegment(address: Address, segment: Segment, blocks: readonly string[], timeout: number): Promise<void> {
-	const json: SegmentWork = {from: segment.from, to: segment.to, blocks};
+	const json: SegmentRequest = {from: segment.from, to: segment.to, blocks};
 	await client.post(createUrl(address, `/v1/segments/${encodeURIComponent(segment.hold)}`), {
 		json,
 		timeout: {request: timeout},
@@ -122,7 +122,7 @@
  * @param address - Address of the engine.
  * @param order - Order to send.
  */
-export async function giveOrder(address: Address, order: Order): Promise<OrderAnswer> {
+export async function sendOrder(address: Address, order: Order): Promise<OrderAnswer> {
 	const {statusCode, body} = await client.post(createUrl(address, '/v1/orders'), {json: order});
 	const state = orderStateSchema.safeParse(body);
 	return {accepted: statusCode === okStatus, seen: state.success ? state.data.highest : undefined};
--- a/src/upstream/engine.ts
+++ b/src/upstream/engine.ts
@@ -3,11 +3,11 @@
 import {type Request} from 'got';
 import {codes, type Address, type Ending} from '../core/index.js';
 import {getClient, SendTracker, createUrl} from './connection.js';
-import {FrameFollower, type Sink, type ConnectionEnd} from './follower.js';
-import {headers} from './protocol.js';
+import {FrameFollower, type FrameSink, type ConnectionEnd} from './follower.js';
+import {engineHeaders} from './protocol.js';
 
 /** One attempt at an engine. */
-export type Call = {
+export type EngineCall = {
 	readonly address: Address;
 	readonly attempt: string;
 	/** JSON body with `stream` set to true. */
@@ -17,7 +17,7 @@
 	readonly timeout: number;
 	/** This host as `host/started`. */
 	readonly owner: string;
-	readonly mayRepeat: boolean;
+	readonly isRepeatable: boolean;
 	/** Idempotency key, for engines that support it. */
 	readonly key?: string;
 	/** Ids of the holds that contain the prompt's KV cache. */
@@ -45,7 +45,7 @@
  * @param sink - Receives each frame once, in order.
  * @returns How the attempt ended, as far as it is certain.
  */
-export async function runOnEngine(call: Call, sink: Sink): Promise<Ending> {
+export async function runOnEngine(call: EngineCall, sink: FrameSink): Promise<Ending> {
 	const tracker = new SendTracker();
 	const follower = new FrameFollower(call.attempt, sink);
 	let connectionEnd = await postRequest(call, sink, tracker, follower);
@@ -76,7 +76,7 @@
  * @param sink - Receives each frame once, in order.
  * @returns How the attempt ended, as far as it is certain.
  */
-export async function resumeOnEngine(call: Call, offset: number, sink: Sink): Promise<Ending> {
+export async function resumeOnEngine(call: EngineCall, offset: number, sink: FrameSink): Promise<Ending> {
 	const follower = new FrameFollower(call.attempt, sink, offset);
 	let connectionEnd = await resumeStream(call, follower);
 	for (let resumptions = 1; connectionEnd.type === 'broken' && resumptions < maxResumptions && !call.signal.aborted; resumptions++) {
@@ -115,19 +115,19 @@
 	};
 }
 
-async function postRequest(call: Call, sink: Sink, tracker: SendTracker, follower: FrameFollower): Promise<ConnectionEnd> {
-	const stream = getClient(call.mayRepeat).stream.post(createUrl(call.address, '/v1/chat/completions'), {
+async function postRequest(call: EngineCall, sink: FrameSink, tracker: SendTracker, follower: FrameFollower): Promise<ConnectionEnd> {
+	const stream = getClient(call.isRepeatable).stream.post(createUrl(call.address, '/v1/chat/completions'), {
 		body: call.body,
 		headers: {
 			'content-type': 'application/json',
 			accept: 'text/event-stream',
-			[headers.attempt]: call.attempt,
-			[headers.priority]: String(call.priority),
-			[headers.timeout]: String(Math.max(1, Math.round(call.timeout))),
-			[headers.owner]: call.owner,
+			[engineHeaders.attempt]: call.attempt,
+			[engineHeaders.priority]: String(call.priority),
+			[engineHeaders.timeout]: String(Math.max(1, Math.round(call.timeout))),
+			[engineHeaders.owner]: call.owner,
 			...(call.key !== undefined && {'idempotency-key': call.key}),
-			...(call.holds !== undefined && {[headers.holds]: call.holds.join(',')}),
-			...(call.promptTokens !== undefined && {[headers.promptTokens]: String(call.promptTokens)}),
+			...(call.holds !== undefined && {[engineHeaders.holds]: call.holds.join(',')}),
+			...(call.promptTokens !== undefined && {[engineHeaders.promptTokens]: String(call.promptTokens)}),
 		},
 		signal: call.signal,
 	});
@@ -136,7 +136,7 @@
 	return connectionEnd.type === 'broken' && !tracker.isWritten ? {type: 'silent', detail: connectionEnd.detail} : connectionEnd;
 }
 
-async function resumeStream(call: Call, follower: FrameFollower): Promise<ConnectionEnd> {
+async function resumeStream(call: EngineCall, follower: FrameFollower): Promise<ConnectionEnd> {
 	const path = `/v1/attempts/${encodeURIComponent(call.attempt)}?offset=${follower.nextOffset}`;
 	const stream = getClient(true).stream(createUrl(call.address, path), {signal: call.signal});
 	return followConnection(stream, follower);
--- a/src/upstream/follower.ts
+++ b/src/upstream/follower.ts
@@ -4,7 +4,7 @@
 import {frameSchema, streamEnd} from './protocol.js';
 
 /** Receives the stream of an attempt. */
-export type Sink = {
+export type FrameSink = {
 	/** Called when bytes may have reached the engine. */
 	readonly written: () => void;
 	/** Called with the next frame. No more data is read from the engine until the returned promise settles. */
@@ -21,7 +21,7 @@
 		| {readonly type: 'silent'; readonly detail: string};
 
 export class FrameFollower {
-	readonly #sink: Sink;
+	readonly #sink: FrameSink;
 	readonly #idPrefix: string;
 	readonly #decoder = new TextDecoder();
 	#nextOffset: number;
@@ -31,7 +31,7 @@
 	#backpressure: Promise<void> | undefined;
 	#parser = this.#createParser();
 
-	constructor(attempt: string, sink: Sink, nextOffset = 0) {
+	constructor(attempt: string, sink: FrameSink, nextOffset = 0) {
 		this.#sink = sink;
 		this.#idPrefix = `${attempt}/`;
 		this.#nextOffset = nextOffset;
--- a/src/upstream/plain.ts
+++ b/src/upstream/plain.ts
@@ -7,7 +7,7 @@
 import {perConnectionHeaders} from '../protocol/per-connection.js';
 import {getClient, SendTracker, createUrl} from './connection.js';
 
-export type PassedHeaders = Readonly<Record<string, string | readonly string[]>>;
+export type EndToEndHeaders = Readonly<Record<string, string | readonly string[]>>;
 
 /** One call to an upstream or another host. */
 export type PlainCall = {
@@ -15,9 +15,9 @@
 	readonly method: Method;
 	/** Path with query. */
 	readonly path: string;
-	readonly headers: PassedHeaders;
+	readonly headers: EndToEndHeaders;
 	readonly body: Uint8Array;
-	readonly mayRepeat: boolean;
+	readonly isRepeatable: boolean;
 	readonly signal: AbortSignal;
 };
 
@@ -26,7 +26,7 @@
 	/** Called when bytes may have reached the upstream. */
 	readonly written: () => void;
 	/** Called with the status and the end-to-end headers. */
-	readonly head: (status: number, headers: PassedHeaders) => void;
+	readonly head: (status: number, headers: EndToEndHeaders) => void;
 	/** Called with the next bytes. No more are read until the returned promise settles. */
 	readonly bytes: (chunk: Uint8Array) => Promise<void> | undefined;
 };
@@ -38,7 +38,7 @@
  * @param headers - Headers of a request or response.
  * @returns Headers to pass on.
  */
-export function endToEnd(headers: NodeJS.Dict<string | readonly string[]>): PassedHeaders {
+export function filterEndToEndHeaders(headers: NodeJS.Dict<string | readonly string[]>): EndToEndHeaders {
 	const passed: Record<string, string | readonly string[]> = {};
 	for (const [name, value] of Object.entries(headers)) {
 		if (value !== undefined && !excludedHeaders.has(name)) {
@@ -49,7 +49,7 @@
 	return passed;
 }
 
-function toMutableHeaders(headers: PassedHeaders): Record<string, string | string[]> {
+function toMutableHeaders(headers: EndToEndHeaders): Record<string, string | string[]> {
 	return Object.fromEntries(Object.entries(headers).map(([name, value]) =>
 		[name, typeof value === 'string' ? value : [...value]]));
 }
@@ -71,7 +71,7 @@
  */
 export async function runOnPlain(call: PlainCall, sink: PlainSink): Promise<Ending> {
 	const tracker = new SendTracker();
-	const stream = getClient(call.mayRepeat).stream(createUrl(call.address, call.path), {
+	const stream = getClient(call.isRepeatable).stream(createUrl(call.address, call.path), {
 		method: call.method,
 		headers: toMutableHeaders(call.headers),
 		...getBodyOptions(call),
@@ -81,7 +81,7 @@
 	let hasAnswered = false;
 	stream.once('response', (response: IncomingMessage) => {
 		hasAnswered = true;
-		sink.head(response.statusCode ?? 0, endToEnd(response.headers));
+		sink.head(response.statusCode ?? 0, filterEndToEndHeaders(response.headers));
 	});
 	try {
 		for await (const chunk of stream) {
--- a/src/upstream/protocol.ts
+++ b/src/upstream/protocol.ts
@@ -8,9 +8,9 @@
  * GET    /v1/load                            {@link loadSchema}, with a lag
  * GET    /v1/cache-events?since=N&wait=MS    {@link cacheEventsSchema}, delayed and possibly with gaps
  * GET    /v1/holds                           {@link holdsSchema}
- * PUT    /v1/holds/{hold}                    {@link holdWantedSchema}; 201 granted, 409 out of memory
+ * PUT    /v1/holds/{hold}                    {@link holdRequestSchema}; 201 granted, 409 out of memory
  * DELETE /v1/holds/{hold}                    204, idempotent
- * POST   /v1/segments/{hold}                 prefill one segment of a prompt into a hold: {@link segmentSchema}
+ * POST   /v1/segments/{hold}                 prefill one segment of a prompt into a hold: {@link segmentRequestSchema}
  * POST   /v1/kv/export/{attempt}             remove a running stream from the engine: {@link exportSchema}
  * POST   /v1/kv/import                       continue an exported stream: {@link exportSchema}
  * POST   /v1/orders                          {@link orderSchema}; 200 accepted, 409 with the highest number seen
@@ -22,7 +22,7 @@
 export {blockTokens, charactersPerToken} from '../protocol/blocks.js';
 
 /** Request headers. */
-export const headers = {
+export const engineHeaders = {
 	/** Echoed in every frame. */
 	attempt: 'x-attempt-id',
 	/** 0 is the most urgent. */
@@ -91,7 +91,7 @@
 
 const owner = z.object({host: z.string(), started: z.number()}).readonly();
 
-export const holdWantedSchema = z.object({
+export const holdRequestSchema = z.object({
 	owner,
 	tokens: z.number().int().positive(),
 	/** Milliseconds since 1970. */
@@ -100,10 +100,10 @@
 
 export const holdsSchema = z.object({
 	incarnation: z.string(),
-	holds: z.array(holdWantedSchema.extend({id: z.string()})).readonly(),
+	holds: z.array(holdRequestSchema.extend({id: z.string()})).readonly(),
 });
 
-export const segmentSchema = z.object({
+export const segmentRequestSchema = z.object({
 	/** First token of the range. */
 	from: z.number().int(),
 	/** End of the range, exclusive. */
@@ -136,9 +136,9 @@
 export type Frame = z.infer<typeof frameSchema>;
 export type EngineLoad = z.infer<typeof loadSchema>;
 export type CacheEvents = z.infer<typeof cacheEventsSchema>;
-export type HoldWanted = z.infer<typeof holdWantedSchema>;
+export type HoldRequest = z.infer<typeof holdRequestSchema>;
 export type Holds = z.infer<typeof holdsSchema>;
-export type SegmentWork = z.infer<typeof segmentSchema>;
+export type SegmentRequest = z.infer<typeof segmentRequestSchema>;
 export type Export = z.infer<typeof exportSchema>;
 export type OrderBody = z.infer<typeof orderSchema>;
 export type OrderState = z.infer<typeof orderStateSchema>;
--- a/stand-ins/engine/chat-request.ts
+++ b/stand-ins/engine/chat-request.ts
@@ -5,7 +5,7 @@
 import {
 	countTokens, hashBlocks, renderPrompt, shortDigest,
 } from '../../src/protocol/blocks.js';
-import {headers} from '../../src/upstream/protocol.js';
+import {engineHeaders} from '../../src/upstream/protocol.js';
 import {header} from '../common/server.js';
 import {answerLength, promptDigest} from './answer.js';
 import {type RunRequest} from './engine.js';
@@ -61,8 +61,8 @@
 	validateModel(host, chat.model);
 	const prompt = renderPrompt(chat.messages);
 	const digest = promptDigest(prompt);
-	const promptTokens = getNumberHeader(incoming, headers.promptTokens) ?? countTokens(prompt);
-	const id = header(incoming, headers.attempt) ?? uuid();
+	const promptTokens = getNumberHeader(incoming, engineHeaders.promptTokens) ?? countTokens(prompt);
+	const id = header(incoming, engineHeaders.attempt) ?? uuid();
 	const poison = host.faults.findPoison(body);
 	return {
 		isStream: chat.stream,
@@ -73,10 +73,10 @@
 				promptTokens,
 				output: answerLength(digest, host.settings.answer, chat.max_tokens),
 			},
-			priority: getNumberHeader(incoming, headers.priority) ?? 0,
+			priority: getNumberHeader(incoming, engineHeaders.priority) ?? 0,
 			blocks: hashBlocks(prompt, promptTokens),
-			holds: header(incoming, headers.holds)?.split(',').map(each => each.trim()) ?? [],
-			timeout: getNumberHeader(incoming, headers.timeout),
+			holds: header(incoming, engineHeaders.holds)?.split(',').map(each => each.trim()) ?? [],
+			timeout: getNumberHeader(incoming, engineHeaders.timeout),
 			execution: {
 				attempt: id,
 				body: shortDigest(body),
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -3,7 +3,7 @@
 import {performance} from 'node:perf_hooks';
 import {type Address} from '../../src/core/index.js';
 import {
-	type EngineLoad, type Export, type HoldWanted, type Holds, type SegmentWork,
+	type EngineLoad, type Export, type HoldRequest, type Holds, type SegmentRequest,
 } from '../../src/upstream/protocol.js';
 import {Attempt, type Task} from './attempt.js';
 import {Batch, type Job} from './batch.js';
@@ -158,7 +158,7 @@
 	 * @param request - Tokens, owner and deadline.
 	 * @returns Whether the memory is held, newly or by an earlier hold with the same id and size.
 	 */
-	hold(id: string, request: HoldWanted): boolean {
+	hold(id: string, request: HoldRequest): boolean {
 		return this.#holds.reserve(id, request);
 	}
 
@@ -177,7 +177,7 @@
 	 * @param work - Range of prompt tokens.
 	 * @returns Whether it finished; false if the hold doesn't exist, is too small, is already being filled or was released meanwhile.
 	 */
-	async prefill(id: string, work: SegmentWork): Promise<boolean> {
+	async prefill(id: string, work: SegmentRequest): Promise<boolean> {
 		const tokens = work.to - work.from;
 		if (!this.#holds.canFit(id, tokens) || this.#segments.has(id)) {
 			return false;
--- a/stand-ins/engine/holds.ts
+++ b/stand-ins/engine/holds.ts
@@ -1,9 +1,9 @@
 /** KV memory holds at one engine. A hold stays until it is released, even after its deadline. */
-import {type HoldWanted, type Holds} from '../../src/upstream/protocol.js';
+import {type HoldRequest, type Holds} from '../../src/upstream/protocol.js';
 import {type Memory} from './memory.js';
 
 type HoldEntry = {
-	readonly request: HoldWanted;
+	readonly request: HoldRequest;
 	/** Tokens that a prefilled segment occupies. */
 	readonly filledTokens: number;
 };
@@ -27,7 +27,7 @@
 	 * @param request - Owner, tokens and deadline.
 	 * @returns Whether the memory is held.
 	 */
-	reserve(id: string, request: HoldWanted): boolean {
+	reserve(id: string, request: HoldRequest): boolean {
 		const existing = this.#holds.get(id);
 		const isHeld = existing === undefined
 			? this.#memory.reserve(formatOwner(id), request.tokens)
--- a/stand-ins/engine/routes.ts
+++ b/stand-ins/engine/routes.ts
@@ -3,7 +3,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {performance} from 'node:perf_hooks';
 import {
-	exportSchema, holdWantedSchema, orderSchema, segmentSchema,
+	exportSchema, holdRequestSchema, orderSchema, segmentRequestSchema,
 } from '../../src/upstream/protocol.js';
 import {
 	answerError, answerJson, readText, type Answer, type Call, type Server,
@@ -75,7 +75,7 @@
 
 function createHoldHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing, parameters}) => {
-		const request = holdWantedSchema.parse(JSON.parse(await readText(incoming)));
+		const request = holdRequestSchema.parse(JSON.parse(await readText(incoming)));
 		const isHeld = host.engine.hold(parameters.hold!, request);
 		if (isHeld) {
 			answerJson(outgoing, 201, {hold: parameters.hold, tokens: request.tokens});
@@ -87,7 +87,7 @@
 
 function createPrefillHandler(host: EngineHost): Answer {
 	return async ({incoming, outgoing, parameters}) => {
-		const work = segmentSchema.parse(JSON.parse(await readText(incoming)));
+		const work = segmentRequestSchema.parse(JSON.parse(await readText(incoming)));
 		const isDone = await host.engine.prefill(parameters.hold!, work);
 		if (isDone) {
 			answerJson(outgoing, 200, {hold: parameters.hold, tokens: work.to - work.from});
