--- a/__tests__/examples.test.ts
+++ b/__tests__/examples.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 import {getHttpStatus} from '../src/entry/callers/statuses.js';
 import {settingsSchema as entrySettings} from '../src/entry/settings.js';
-import {parseConfiguration, warningsOf} from '../src/protocol/configuration/index.js';
+import {parseConfiguration, findWarnings} from '../src/protocol/configuration/index.js';
 import {settingsSchema as engineSettings} from '../stand-ins/engine/settings.js';
 import {settingsSchema as plainSettings} from '../stand-ins/plain/service.js';
 import {settingsSchema as platformSettings} from '../stand-ins/platform/service.js';
@@ -17,7 +17,7 @@
 	it('has a valid configuration without warnings', () => {
 		const parsed = parseConfiguration(readExample('configuration.json'));
 		expect(parsed).toMatchObject({type: 'valid', unknownFields: []});
-		expect(parsed.type === 'valid' && warningsOf(parsed.configuration)).toEqual([]);
+		expect(parsed.type === 'valid' && findWarnings(parsed.configuration)).toEqual([]);
 	});
 
 	it.each([
--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -6,14 +6,14 @@
 } from '../core/index.js';
 import {
 	decisionsSchema,
-	drainSchema,
+	drainResponseSchema,
 	errorSchema,
-	inForceSchema,
+	configurationInForceSchema,
 	statusSchema,
 	type Decisions,
-	type Drain,
-	type DrainWanted,
-	type InForce,
+	type DrainResponse,
+	type DrainRequest,
+	type ConfigurationInForce,
 	type Status,
 } from '../protocol/admin.js';
 import {formatAddress} from '../protocol/address.js';
@@ -39,8 +39,8 @@
  * @returns The configuration in force on the host.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
-export async function fetchConfiguration(address: Address, timeout = answerTimeoutMs): Promise<InForce> {
-	return fetchContent(address, {path: 'configuration', timeout}, inForceSchema);
+export async function fetchConfiguration(address: Address, timeout = answerTimeoutMs): Promise<ConfigurationInForce> {
+	return fetchContent(address, {path: 'configuration', timeout}, configurationInForceSchema);
 }
 
 /**
@@ -59,8 +59,8 @@
  * @returns Phase of the host and number of unfinished requests.
  * @throws Failure `unreachableHost` or `refusedByHost`.
  */
-export async function requestDrain(address: Address, wanted: DrainWanted): Promise<Drain> {
-	return fetchContent(address, {path: 'drain', body: wanted}, drainSchema);
+export async function requestDrain(address: Address, wanted: DrainRequest): Promise<DrainResponse> {
+	return fetchContent(address, {path: 'drain', body: wanted}, drainResponseSchema);
 }
 
 /**
@@ -87,7 +87,7 @@
 
 type Query = {
 	readonly path: string;
-	readonly body?: DrainWanted;
+	readonly body?: DrainRequest;
 	/** Timeout in milliseconds. */
 	readonly timeout?: number;
 };
--- a/src/cli/__tests__/documents.test.ts
+++ b/src/cli/__tests__/documents.test.ts
@@ -4,7 +4,7 @@
 import {
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
-import {base, text} from '../../protocol/configuration/__tests__/documents.js';
+import {baseDocument, formatDocument} from '../../protocol/configuration/__tests__/documents.js';
 import {command} from './fakes.js';
 
 let folder = '';
@@ -12,9 +12,9 @@
 
 beforeAll(async () => {
 	folder = await mkdtemp(path.join(tmpdir(), 'cranberrytide-'));
-	await writeFile(file('a.json'), text());
-	await writeFile(file('b.json'), text({revision: 8, organisations: [base.organisations[0]]}));
-	await writeFile(file('bad.json'), text({revision: 0, services: []}));
+	await writeFile(file('a.json'), formatDocument());
+	await writeFile(file('b.json'), formatDocument({revision: 8, organisations: [baseDocument.organisations[0]]}));
+	await writeFile(file('bad.json'), formatDocument({revision: 0, services: []}));
 });
 
 afterAll(async () => {
@@ -26,7 +26,7 @@
 		const fromFile = await command(['check', file('a.json')]);
 		expect(fromFile).toMatchObject({code: 0, complaints: ''});
 		expect(fromFile.out).toContain('Revision 7 is valid: 2 services, 2 organisations, 5 upstreams.');
-		expect(await command(['check', '-'], text())).toEqual(fromFile);
+		expect(await command(['check', '-'], formatDocument())).toEqual(fromFile);
 	});
 
 	it('lists mistakes and exits with the class of their code', async () => {
@@ -51,7 +51,7 @@
 	});
 
 	it('writes nothing for identical documents', async () => {
-		expect(await command(['diff', file('a.json'), '-'], text())).toEqual({code: 0, out: '', complaints: ''});
+		expect(await command(['diff', file('a.json'), '-'], formatDocument())).toEqual({code: 0, out: '', complaints: ''});
 	});
 
 	it('rejects an invalid or missing document', async () => {
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -3,9 +3,9 @@
 import {codes, type Code} from '../../core/index.js';
 import {
 	parseConfiguration,
-	warningInWords,
-	warningsOf,
-	type Parsed,
+	describeWarning,
+	findWarnings,
+	type ParseResult,
 } from '../../protocol/configuration/index.js';
 import {formatMistakes, readConfiguration, readText} from '../input.js';
 import {type CommandServices} from '../command-services.js';
@@ -33,17 +33,17 @@
 async function check(terminal: Terminal, file: string, {against, json}: CheckOptions): Promise<Code> {
 	const before = against === undefined ? undefined : await readConfiguration(terminal, against);
 	const parsed = parseConfiguration(await readText(terminal, file));
-	const warnings = parsed.type === 'valid' ? warningsOf(parsed.configuration, before) : [];
+	const warnings = parsed.type === 'valid' ? findWarnings(parsed.configuration, before) : [];
 	if (json === true) {
-		writeJson(terminal, formatReport(parsed, warnings.map(warning => ({...warning, text: warningInWords(warning)}))));
+		writeJson(terminal, formatReport(parsed, warnings.map(warning => ({...warning, text: describeWarning(warning)}))));
 	} else {
-		writeLines(terminal, [...formatSummary(parsed), ...warnings.map(warning => `warning: ${warningInWords(warning)}`)]);
+		writeLines(terminal, [...formatSummary(parsed), ...warnings.map(warning => `warning: ${describeWarning(warning)}`)]);
 	}
 
 	return parsed.type === 'valid' ? codes.done : codes[parsed.mistakes[0]!.code];
 }
 
-function formatReport(parsed: Parsed, warnings: readonly unknown[]): unknown {
+function formatReport(parsed: ParseResult, warnings: readonly unknown[]): unknown {
 	return parsed.type === 'valid'
 		? {
 			valid: true,
@@ -59,7 +59,7 @@
 		};
 }
 
-function formatSummary(parsed: Parsed): readonly string[] {
+function formatSummary(parsed: ParseResult): readonly string[] {
 	if (parsed.type === 'invalid') {
 		return formatMistakes(parsed);
 	}
--- a/src/cli/commands/diff.ts
+++ b/src/cli/commands/diff.ts
@@ -2,10 +2,10 @@
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
 import {
-	changeInWords,
-	difference,
-	warningInWords,
-	warningsOf,
+	describeChange,
+	compareConfigurations,
+	describeWarning,
+	findWarnings,
 } from '../../protocol/configuration/index.js';
 import {readConfiguration} from '../input.js';
 import {type CommandServices} from '../command-services.js';
@@ -32,17 +32,17 @@
 async function compareDocuments(terminal: Terminal, a: string, b: string, {json}: DiffOptions): Promise<Code> {
 	const before = await readConfiguration(terminal, a);
 	const after = await readConfiguration(terminal, b);
-	const changes = difference(before, after);
-	const warnings = warningsOf(after, before);
+	const changes = compareConfigurations(before, after);
+	const warnings = findWarnings(after, before);
 	if (json === true) {
 		writeJson(terminal, {
-			changes: changes.map(change => ({...change, text: changeInWords(change)})),
-			warnings: warnings.map(warning => ({...warning, text: warningInWords(warning)})),
+			changes: changes.map(change => ({...change, text: describeChange(change)})),
+			warnings: warnings.map(warning => ({...warning, text: describeWarning(warning)})),
 		});
 	} else {
 		writeLines(terminal, [
-			...changes.map(change => changeInWords(change)),
-			...(changes.length === 0 ? [] : warnings.map(warning => `warning: ${warningInWords(warning)}`)),
+			...changes.map(change => describeChange(change)),
+			...(changes.length === 0 ? [] : warnings.map(warning => `warning: ${describeWarning(warning)}`)),
 		]);
 	}
 
--- a/src/cli/commands/drain.ts
+++ b/src/cli/commands/drain.ts
@@ -8,7 +8,7 @@
 	type Address,
 	type Code,
 } from '../../core/index.js';
-import {type Drain} from '../../protocol/admin.js';
+import {type DrainResponse} from '../../protocol/admin.js';
 import {
 	fetchFromHosts, fetchStatus, requestDrain,
 } from '../../admin/client.js';
@@ -59,7 +59,7 @@
 	return raise('unreachableHost', `None of the hosts that answered is called "${host}".`);
 }
 
-async function waitForStop(terminal: Terminal, address: Address, {host, unfinished}: Drain): Promise<Code> {
+async function waitForStop(terminal: Terminal, address: Address, {host, unfinished}: DrainResponse): Promise<Code> {
 	for (let remaining: number | undefined = unfinished; remaining !== undefined;) {
 		await setTimeout(pollIntervalMs);
 		const now = await countUnfinished(address);
--- a/src/cli/commands/show.ts
+++ b/src/cli/commands/show.ts
@@ -1,7 +1,7 @@
 /** `cranberrytide show`: lists which configuration document is in force on which host. */
 import {type Command} from 'commander';
 import {codes, type Code} from '../../core/index.js';
-import {type InForce} from '../../protocol/admin.js';
+import {type ConfigurationInForce} from '../../protocol/admin.js';
 import {fetchFromHosts, fetchConfiguration, type HostAnswer} from '../../admin/client.js';
 import {formatAddress} from '../../protocol/address.js';
 import {readHostAddresses, type HostOptions} from '../hosts.js';
@@ -45,7 +45,7 @@
 	return isDifferent ? codes.differs : getResultCode(answers);
 }
 
-function createJsonEntry(answer: HostAnswer<InForce>): unknown {
+function createJsonEntry(answer: HostAnswer<ConfigurationInForce>): unknown {
 	const address = formatAddress(answer.address);
 	if (answer.type === 'silent') {
 		return {address, code: answer.failure.code};
@@ -57,7 +57,7 @@
 	};
 }
 
-function formatDocuments(documents: readonly InForce[]): readonly string[] {
+function formatDocuments(documents: readonly ConfigurationInForce[]): readonly string[] {
 	const rows = documents
 		.toSorted((first, second) => second.revision - first.revision || first.host.localeCompare(second.host))
 		.map(({host, revision, digest}) => [host, revision, digest]);
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -2,7 +2,7 @@
 import {type Command} from 'commander';
 import {type Code} from '../../core/index.js';
 import {type Status} from '../../protocol/admin.js';
-import {durationInWords, groupBy} from '../../protocol/configuration/index.js';
+import {formatDuration, groupBy} from '../../protocol/configuration/index.js';
 import {fetchFromHosts, fetchStatus} from '../../admin/client.js';
 import {addHostOptions, reportFailedHosts, getResultCode} from '../fleet.js';
 import {readHostAddresses, type HostOptions} from '../hosts.js';
@@ -112,7 +112,7 @@
 			service,
 			sum(members, each => each.running),
 			sum(members, each => each.waiting),
-			durationInWords(Math.round(Math.max(...members.map(each => each.longestWait)))),
+			formatDuration(Math.round(Math.max(...members.map(each => each.longestWait)))),
 		]),
 	);
 }
--- a/src/cli/input.ts
+++ b/src/cli/input.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {readFile} from 'node:fs/promises';
 import {raise, type Configuration} from '../core/index.js';
-import {parseConfiguration, type Invalid, type Valid} from '../protocol/configuration/index.js';
+import {parseConfiguration, type InvalidDocument, type ValidDocument} from '../protocol/configuration/index.js';
 import {type Terminal} from './terminal.js';
 
 /** File argument that stands for standard input. */
@@ -35,7 +35,7 @@
  * @param invalid - Invalid document.
  * @returns One line for each mistake, and one for those left out.
  */
-export function formatMistakes({mistakes, further}: Invalid): readonly string[] {
+export function formatMistakes({mistakes, further}: InvalidDocument): readonly string[] {
 	const lines = mistakes.map(({path, code, text}) => `${path}: ${text} (${code})`);
 	return further === 0 ? lines : [...lines, `… and ${further} more`];
 }
@@ -46,7 +46,7 @@
  * @returns The valid document.
  * @throws Failure `unreadableFile`, or the code of the first mistake.
  */
-export async function readDocument(terminal: Terminal, file: string): Promise<Valid> {
+export async function readDocument(terminal: Terminal, file: string): Promise<ValidDocument> {
 	const parsed = parseConfiguration(await readText(terminal, file));
 	if (parsed.type === 'valid') {
 		return parsed;
--- a/src/console/__tests__/console.test.ts
+++ b/src/console/__tests__/console.test.ts
@@ -5,7 +5,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
-import {base, text} from '../../protocol/configuration/__tests__/documents.js';
+import {baseDocument, formatDocument} from '../../protocol/configuration/__tests__/documents.js';
 import {parseConfiguration} from '../../protocol/configuration/index.js';
 import {openConsole} from './browser.js';
 
@@ -19,7 +19,7 @@
 	it('edits the document in force and downloads one valid document', async () => {
 		const folder = await mkdtemp(path.join(tmpdir(), 'cranberrytide-'));
 		const document = path.join(folder, 'current.json');
-		await writeFile(document, text());
+		await writeFile(document, formatDocument());
 		await using console = await open({document});
 		const start = await console.start();
 		expect(start).toContain('Draft of revision 8 based on 7: 0 changes, 0 mistakes');
@@ -36,13 +36,13 @@
 			type: 'valid',
 			configuration: {revision: 8, services: [{id: 'check', idempotent: true, deadline: {most: 900_000}}, {id: 'reference'}]},
 		});
-		expect(await readFile(document, 'utf8')).toBe(text());
+		expect(await readFile(document, 'utf8')).toBe(formatDocument());
 		await rm(folder, {recursive: true});
 	});
 
 	it('shows each mistake next to its field, keeps the typed text and refuses the download', async () => {
 		await using console = await open();
-		const start = await console.start(text());
+		const start = await console.start(formatDocument());
 		const service = await console.next(start, openCheckService);
 		const wrong = await console.next(service, 'stay', {'field.deadline.default': '700000', 'field.retryBudget.ratio': 'a lot'});
 		expect(wrong).toMatch(/id="field\.retryBudget\.ratio"[^>]*aria-invalid="true" value="a lot"/v);
@@ -57,7 +57,7 @@
 
 	it('shows the mistakes of all sections together, without those caused by placeholders for malformed fields', async () => {
 		await using console = await open();
-		const service = await console.next(await console.start(text()), openCheckService);
+		const service = await console.next(await console.start(formatDocument()), openCheckService);
 		const upstream = await console.next(service, 'go/entry/upstreams/0', {'field.deadline.most': 'long', 'field.model': ''});
 		const review = await console.next(upstream, 'go/review', {'field.failureDomain': 'west', 'field.target.model': 'style', 'field.target.version': '1'});
 		expect([...review.matchAll(/value="go\/entry\/[^"]+" class="plain">([^<]+)<\/button>/gv)].map(match => match[1])).toEqual([
@@ -78,7 +78,7 @@
 		['tokenKeys', ''],
 	])('adds to %s a new entry of kind "%s" and removes it', async (section, kind) => {
 		await using console = await open();
-		const start = await console.start(text());
+		const start = await console.start(formatDocument());
 		const fresh = await console.next(start, `add/${section}/${kind}`);
 		expect(fresh).toContain('<h1>New ');
 		const index = /value="entry\/\w+\/(\d+)"/v.exec(fresh)![1]!;
@@ -88,7 +88,7 @@
 
 	it('adds an engine, a planned stop and a takeover', async () => {
 		await using console = await open();
-		const engine = await console.next(await console.start(text()), 'add/upstreams/engine');
+		const engine = await console.next(await console.start(formatDocument()), 'add/upstreams/engine');
 		const stop = await console.next(engine, 'add/plannedStops/', {
 			'field.id': 'n3',
 			'field.service': 'check',
@@ -113,7 +113,7 @@
 
 	it('creates an API key, shows it once and keeps its hash', async () => {
 		await using console = await open();
-		const created = await console.next(await console.start(text()), 'make-key/1');
+		const created = await console.next(await console.start(formatDocument()), 'make-key/1');
 		const key = /<code>([\w\-]+)<\/code>/v.exec(created)![1]!;
 		expect(created).toContain(createHash('sha256').update(key).digest('hex'));
 		expect(await console.next(created, 'stay')).not.toContain(key);
@@ -121,18 +121,18 @@
 
 	it('changes the signing key', async () => {
 		await using console = await open();
-		const review = await console.next(await console.next(await console.start(text()), 'sign/1'), 'go/review');
+		const review = await console.next(await console.next(await console.start(formatDocument()), 'sign/1'), 'go/review');
 		expect(review).toContain('Tokens are signed with the key &quot;k2&quot; in place of &quot;k1&quot;');
-		expect(review).not.toContain(base.tokenKeys[0]!.secret);
+		expect(review).not.toContain(baseDocument.tokenKeys[0]!.secret);
 	});
 
 	it('warns when the base is no longer in force', async () => {
 		const folder = await mkdtemp(path.join(tmpdir(), 'cranberrytide-'));
 		const document = path.join(folder, 'current.json');
-		await writeFile(document, text());
+		await writeFile(document, formatDocument());
 		await using console = await open({document});
 		const start = await console.start();
-		await writeFile(document, text({revision: 9, organisations: [base.organisations[0]]}));
+		await writeFile(document, formatDocument({revision: 9, organisations: [baseDocument.organisations[0]]}));
 		const later = await console.next(start, openCheckService);
 		expect(later).toContain('The base of this draft is no longer in force');
 		expect(later).toContain('Removes the organisation &quot;weekly&quot;');
@@ -143,7 +143,7 @@
 	it('escapes text from documents and forms', async () => {
 		await using console = await open();
 		const injection = '"><script>alert(1)</script>';
-		const page = await console.next(await console.start(text()), 'add/organisations/', {'field.id': injection});
+		const page = await console.next(await console.start(formatDocument()), 'add/organisations/', {'field.id': injection});
 		const typed = await console.next(page, 'stay', {'field.id': injection, 'field.priority': injection, 'field.keyHashes': injection});
 		const pages = [typed, await console.next(typed, 'go/list/organisations', {filter: injection}), await console.next(typed, 'go/review'), await console.start(`{"${injection}":1}`)];
 		for (const each of pages) {
@@ -154,7 +154,7 @@
 	it('filters a long list of organisations by parts of their names', async () => {
 		await using console = await open();
 		const organisations = Array.from({length: 300}, (_, index) => ({id: `member-${index}`, keyHashes: []}));
-		const list = await console.next(await console.start(text({organisations})), 'go/list/organisations');
+		const list = await console.next(await console.start(formatDocument({organisations})), 'go/list/organisations');
 		expect(list).toContain('100 of 300 entries shown');
 		expect(await console.next(list, 'stay', {filter: 'member-29'})).toContain('11 of 300 entries shown');
 	});
--- a/src/console/__tests__/security.test.ts
+++ b/src/console/__tests__/security.test.ts
@@ -1,7 +1,7 @@
 import {request} from 'node:http';
 import {deflateRawSync} from 'node:zlib';
 import {describe, expect, it} from 'vitest';
-import {text} from '../../protocol/configuration/__tests__/documents.js';
+import {formatDocument} from '../../protocol/configuration/__tests__/documents.js';
 import {openConsole} from './browser.js';
 
 async function fetchStatusAs(url: string, host: string): Promise<number> {
@@ -29,7 +29,7 @@
 		[{origin: 'null'}],
 	])('refuses posts from other sites: %j', async headers => {
 		await using console = await openConsole();
-		const response = await console.post('/start', new URLSearchParams({document: text()}), headers);
+		const response = await console.post('/start', new URLSearchParams({document: formatDocument()}), headers);
 		expect(response.status).toBe(403);
 		expect(await response.text()).toContain('Result code 7007');
 	});
@@ -37,7 +37,7 @@
 	it('refuses posts without a valid token', async () => {
 		await using console = await openConsole();
 		for (const token of ['', 'x'.repeat(43)]) {
-			const response = await console.post('/start', new URLSearchParams({document: text(), token}));
+			const response = await console.post('/start', new URLSearchParams({document: formatDocument(), token}));
 			expect(response.status).toBe(403);
 		}
 	});
@@ -67,7 +67,7 @@
 		[{action: 'go/entry/services/99'}],
 	])('rejects a tampered form with a result code: %j', async tampered => {
 		await using console = await openConsole();
-		const start = await console.start(text());
+		const start = await console.start(formatDocument());
 		const response = await console.press(start, 'stay', tampered);
 		expect(response.status).toBe(400);
 		expect(await response.text()).toContain('Result code 7008');
--- a/src/console/draft/mistakes.ts
+++ b/src/console/draft/mistakes.ts
@@ -1,5 +1,5 @@
 /** Finds all mistakes of a draft at once, including those that validation reports only after every field is well-formed. */
-import {parseConfiguration, type Mistake, type Parsed} from '../../protocol/configuration/index.js';
+import {parseConfiguration, type Mistake, type ParseResult} from '../../protocol/configuration/index.js';
 import {type FieldKind} from './fields.js';
 import {
 	getEntries,
@@ -22,7 +22,7 @@
  * @param parsed - Result of validating it.
  * @returns All mistakes found.
  */
-export function findMistakes(draft: Draft, parsed: Parsed): readonly Mistake[] {
+export function findMistakes(draft: Draft, parsed: ParseResult): readonly Mistake[] {
 	if (parsed.type === 'valid') {
 		return [];
 	}
--- a/src/console/draft/review.ts
+++ b/src/console/draft/review.ts
@@ -1,14 +1,14 @@
 /** Checks a draft and compares it with its base and with the document in force. */
 import {Buffer} from 'node:buffer';
 import {
-	changeInWords,
-	difference,
-	documentLimit,
+	describeChange,
+	compareConfigurations,
+	maxDocumentBytes,
 	parseConfiguration,
-	warningInWords,
-	warningsOf,
+	describeWarning,
+	findWarnings,
 	type Mistake,
-	type Parsed,
+	type ParseResult,
 } from '../../protocol/configuration/index.js';
 import {type BaseStatus} from '../source.js';
 import {findMistakes} from './mistakes.js';
@@ -41,7 +41,7 @@
 	return {revision, text, ...checkDocument(state, parsed)};
 }
 
-function checkDocument({base, draft}: DraftState, parsed: Parsed): Omit<Review, 'revision' | 'text'> {
+function checkDocument({base, draft}: DraftState, parsed: ParseResult): Omit<Review, 'revision' | 'text'> {
 	if (parsed.type === 'invalid') {
 		return {
 			mistakes: findMistakes(draft, parsed), further: parsed.further, changes: undefined, warnings: [],
@@ -49,14 +49,14 @@
 	}
 
 	const {configuration} = parsed;
-	const warnings = warningsOf(configuration, base.configuration).map(warning => warningInWords(warning));
+	const warnings = findWarnings(configuration, base.configuration).map(warning => describeWarning(warning));
 	const droppedFields = base.unknownFields.map(path => `${path} of the base is unknown to this version of the console and is left out.`);
 	return {
 		mistakes: [],
 		further: 0,
-		changes: difference(base.configuration, configuration)
+		changes: compareConfigurations(base.configuration, configuration)
 			.filter(change => change.type !== 'document-changed' || change.field !== 'revision')
-			.map(change => changeInWords(change)),
+			.map(change => describeChange(change)),
 		warnings: [...warnings, ...droppedFields],
 	};
 }
@@ -64,7 +64,7 @@
 /** Indents the document for readers unless that exceeds the size limit. */
 function formatDocument(document: unknown): string {
 	const indented = `${JSON.stringify(document, undefined, '\t')}\n`;
-	return Buffer.byteLength(indented) <= documentLimit ? indented : JSON.stringify(document);
+	return Buffer.byteLength(indented) <= maxDocumentBytes ? indented : JSON.stringify(document);
 }
 
 /**
--- a/src/console/draft/state.ts
+++ b/src/console/draft/state.ts
@@ -2,18 +2,18 @@
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {raise} from '../../core/index.js';
-import {documentLimit, parseConfiguration, type Valid} from '../../protocol/configuration/index.js';
+import {maxDocumentBytes, parseConfiguration, type ValidDocument} from '../../protocol/configuration/index.js';
 import {isJsonObject, type Draft} from './json.js';
 
 export type DraftState = {
 	/** Text and content of the document that the draft starts from. */
 	readonly baseText: string;
-	readonly base: Valid;
+	readonly base: ValidDocument;
 	readonly draft: Draft;
 };
 
 /** Bounds the memory for unpacking; a draft may be somewhat larger than a valid document. */
-const maxUnpackedBytes = 2 * documentLimit;
+const maxUnpackedBytes = 2 * maxDocumentBytes;
 
 /**
  * @param text - Text to carry in a form.
@@ -57,7 +57,7 @@
 	return {baseText, base: parseBase(baseText), draft: parseDraft(unpack(packedDraft))};
 }
 
-function parseBase(text: string): Valid {
+function parseBase(text: string): ValidDocument {
 	const parsed = parseConfiguration(text);
 	if (parsed.type === 'valid') {
 		return parsed;
--- a/src/console/pages/layout.ts
+++ b/src/console/pages/layout.ts
@@ -1,5 +1,5 @@
 /** Renders what all pages share: head, navigation, the hidden fields with the draft and the notice about its base. */
-import {changeInWords, difference} from '../../protocol/configuration/index.js';
+import {describeChange, compareConfigurations} from '../../protocol/configuration/index.js';
 import {formatPlace, type Place} from '../draft/actions.js';
 import {getEntries} from '../draft/json.js';
 import {filterMistakes, type Review} from '../draft/review.js';
@@ -125,7 +125,7 @@
 		}
 
 		case 'superseded': {
-			const changes = difference(state.base.configuration, baseStatus.inForce.configuration).map(change => changeInWords(change));
+			const changes = compareConfigurations(state.base.configuration, baseStatus.inForce.configuration).map(change => describeChange(change));
 			const further = changes.length - maxListedChanges;
 			return html`
 				<div class="notice strong" role="alert">
--- a/src/console/source.ts
+++ b/src/console/source.ts
@@ -2,7 +2,7 @@
 import {readFile} from 'node:fs/promises';
 import {fetchFromHosts, fetchConfiguration} from '../admin/client.js';
 import {isFailure, raise, type Address} from '../core/index.js';
-import {parseConfiguration, type Valid} from '../protocol/configuration/index.js';
+import {parseConfiguration, type ValidDocument} from '../protocol/configuration/index.js';
 
 /** Timeout of one host. Every page of a draft waits for the hosts. */
 const hostTimeoutMs = 1500;
@@ -16,7 +16,7 @@
 /** Whether the base document of a draft is still in force. */
 export type BaseStatus
 	= | {readonly type: 'in-force'}
-		| {readonly type: 'superseded'; readonly inForce: Valid}
+		| {readonly type: 'superseded'; readonly inForce: ValidDocument}
 		| {readonly type: 'unknown'; readonly reason: string};
 
 /**
@@ -45,7 +45,7 @@
  * @param base - Document that a draft starts from.
  * @returns Whether it is still in force; `unknown` if the document in force cannot be read.
  */
-export async function checkBase(source: Source, base: Valid): Promise<BaseStatus> {
+export async function checkBase(source: Source, base: ValidDocument): Promise<BaseStatus> {
 	try {
 		const parsed = parseConfiguration(await readInForce(source));
 		if (parsed.type === 'invalid') {
--- a/src/entry/admin/server.ts
+++ b/src/entry/admin/server.ts
@@ -16,11 +16,11 @@
 	type State,
 } from '../../core/index.js';
 import {
-	decisionsKept,
-	drainWantedSchema,
-	type DrainWanted,
-	type Drain,
-	type InForce,
+	defaultDecisionLimit,
+	drainRequestSchema,
+	type DrainRequest,
+	type DrainResponse,
+	type ConfigurationInForce,
 } from '../../protocol/admin.js';
 import {decodeText, readBody} from '../callers/body.js';
 import {getHttpStatus as httpStatusOf} from '../callers/statuses.js';
@@ -95,7 +95,7 @@
 		});
 	}
 
-	#getConfiguration(): InForce {
+	#getConfiguration(): ConfigurationInForce {
 		const {inForce, digest, text} = this.#options.state().configuration;
 		if (inForce === undefined) {
 			return raise('notConfigured');
@@ -120,7 +120,7 @@
 		return {...this.#options.cost(), processor: {user, system}, memory: process.memoryUsage()};
 	}
 
-	async #startDrain(request: IncomingMessage): Promise<Drain> {
+	async #startDrain(request: IncomingMessage): Promise<DrainResponse> {
 		const drainRequest = parseDrainRequest(await readBody(request, maxBodyBytes));
 		const {dispatch, settings, state} = this.#options;
 		dispatch({type: 'stop-asked', grace: drainRequest.grace ?? settings.drainGrace});
@@ -131,7 +131,7 @@
 
 const querySchema = z.object({
 	request: z.string().optional(),
-	limit: z.coerce.number().int().positive().default(decisionsKept),
+	limit: z.coerce.number().int().positive().default(defaultDecisionLimit),
 });
 
 function parseDecisionsQuery(query: unknown): z.infer<typeof querySchema> {
@@ -139,9 +139,9 @@
 	return result.success ? result.data : raise('badArgument', result.error.message);
 }
 
-function parseDrainRequest(body: Uint8Array): DrainWanted {
+function parseDrainRequest(body: Uint8Array): DrainRequest {
 	try {
-		return drainWantedSchema.parse(body.byteLength === 0 ? {} : JSON.parse(decodeText(body)));
+		return drainRequestSchema.parse(body.byteLength === 0 ? {} : JSON.parse(decodeText(body)));
 	} catch (error) {
 		return raise('badArgument', messageOf(error));
 	}
--- a/src/entry/callers/resumption.ts
+++ b/src/entry/callers/resumption.ts
@@ -10,7 +10,7 @@
 	type State,
 } from '../../core/index.js';
 import {findUpstream as findUpstream} from '../../core/features/configuration/queries.js';
-import {positionOf, verifyPosition, type StreamPosition} from '../../protocol/token.js';
+import {formatPosition, verifyPosition, type StreamPosition} from '../../protocol/token.js';
 import {resumeOnEngine} from '../../upstream/engine.js';
 import {type Clock} from '../clock.js';
 import {type Metrics} from '../metrics.js';
@@ -78,7 +78,7 @@
 			signal: controller.signal,
 		}, position.offset, {
 			written: ignore,
-			frame: async (offset, data) => answer.push({type: 'frame', position: positionOf(token, offset + 1), data}),
+			frame: async (offset, data) => answer.push({type: 'frame', position: formatPosition(token, offset + 1), data}),
 			stray(reason) {
 				metrics.count('frames.stray', 1, {reason});
 			},
--- a/src/entry/peers/__tests__/links.test.ts
+++ b/src/entry/peers/__tests__/links.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, it} from 'vitest';
 import {type Hello} from '../connection.js';
 import {Links, type LinkEvent} from '../links.js';
-import {encodeFrame, messageReader} from '../../../protocol/peers.js';
+import {encodeFrame, createMessageReader} from '../../../protocol/peers.js';
 
 function createHello(host: string, started: number, port = 1): Hello {
 	return {
@@ -188,7 +188,7 @@
 			encodeFrame({type: 'configuration', text: 'x'.repeat(70_000)}),
 		]);
 		for (const size of [1, 3, 1000, stream.length]) {
-			const reader = messageReader();
+			const reader = createMessageReader();
 			const messages = [];
 			for (let from = 0; from < stream.length; from += size) {
 				messages.push(...reader.push(stream.subarray(from, from + size)));
--- a/src/entry/peers/connection.ts
+++ b/src/entry/peers/connection.ts
@@ -1,7 +1,7 @@
 /** One TCP connection to another host, with a silence timeout and a bounded send buffer. */
 import {type Socket} from 'node:net';
 import {isFailure, type PeerMessage} from '../../core/index.js';
-import {encodeFrame, messageReader} from '../../protocol/peers.js';
+import {encodeFrame, createMessageReader} from '../../protocol/peers.js';
 
 export type Hello = Extract<PeerMessage, {readonly type: 'hello'}>;
 
@@ -33,7 +33,7 @@
 export class Connection implements AsyncDisposable {
 	readonly side: Side;
 	readonly #socket: Socket;
-	readonly #reader = messageReader();
+	readonly #reader = createMessageReader();
 	readonly #events: ConnectionEvents;
 	readonly #traffic: Traffic;
 	#peerHello: Hello | undefined;
--- a/src/entry/relays/sink.ts
+++ b/src/entry/relays/sink.ts
@@ -1,5 +1,5 @@
 /** Passes an engine's frames to the caller and reports the attempt's progress to the core. */
-import {positionOf, signStream} from '../../protocol/token.js';
+import {formatPosition, signStream} from '../../protocol/token.js';
 import {type FrameSink} from '../../upstream/follower.js';
 import {type Exchange} from '../callers/exchange.js';
 import {type EffectOf, type RelayServices} from './services.js';
@@ -33,7 +33,7 @@
 				unreportedTokens = 0;
 			}
 
-			return answer.push({type: 'frame', position: positionOf(token, offset + 1), data});
+			return answer.push({type: 'frame', position: formatPosition(token, offset + 1), data});
 		},
 		stray(reason) {
 			metrics.count('frames.stray', 1, {reason});
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -1,5 +1,5 @@
 /** Selects the headers of a message that are forwarded. */
-import {perConnectionHeaders} from '../protocol/per-connection.js';
+import {hopByHopHeaders} from '../protocol/hop-by-hop-headers.js';
 
 /**
  * @param raw - Alternating names and values, as received.
@@ -19,7 +19,7 @@
 	const kept: string[] = [];
 	for (let index = 0; index < raw.length; index += 2) {
 		const name = raw[index]!.toLowerCase();
-		if (!perConnectionHeaders.has(name) && !connectionNames.has(name) && !dropped.has(name)) {
+		if (!hopByHopHeaders.has(name) && !connectionNames.has(name) && !dropped.has(name)) {
 			kept.push(raw[index]!, raw[index + 1]!);
 		}
 	}
--- a/src/gateway/peers/messages.ts
+++ b/src/gateway/peers/messages.ts
@@ -3,7 +3,7 @@
 import {z} from 'zod';
 import {raise} from '../../core/index.js';
 import {type Job} from '../../core/gateway/load.js';
-import {frame, FrameReader} from '../../protocol/frames.js';
+import {createFrame, FrameReader} from '../../protocol/frames.js';
 import {configurationMessageSchema, stateSchema, stateRequestSchema} from './state.js';
 
 const shortText = z.string().max(256);
@@ -110,7 +110,7 @@
  * @returns Frame of the message.
  */
 export function encode(message: Message): Uint8Array {
-	return frame(codec.encode(message));
+	return createFrame(codec.encode(message));
 }
 
 function decode(body: Uint8Array): Message {
--- a/src/protocol/__tests__/peers.test.ts
+++ b/src/protocol/__tests__/peers.test.ts
@@ -3,7 +3,7 @@
 import {Encoder} from 'cbor-x';
 import {describe, expect, it} from 'vitest';
 import {codes} from '../../core/index.js';
-import {encodeFrame, messageReader, longestMessage} from '../peers.js';
+import {encodeFrame, createMessageReader, maxMessageBytes} from '../peers.js';
 
 function encodeRawFrame(value: unknown): Uint8Array {
 	const body = new Encoder({useRecords: false}).encode(value);
@@ -19,13 +19,13 @@
 	it('arrive unchanged and are sent compressed', () => {
 		const frame = encodeFrame({type: 'configuration', text});
 		expect(frame.length).toBeLessThan(text.length / 4);
-		expect(messageReader().push(frame)).toEqual([{type: 'configuration', text}]);
+		expect(createMessageReader().push(frame)).toEqual([{type: 'configuration', text}]);
 	});
 
 	it('are refused if they exceed the size limit when decompressed, or are not compressed', () => {
-		const bomb = deflateRawSync(Buffer.alloc(longestMessage * 4));
+		const bomb = deflateRawSync(Buffer.alloc(maxMessageBytes * 4));
 		for (const compressed of [bomb, new Uint8Array([1, 2, 3]), text]) {
-			expect(() => messageReader().push(encodeRawFrame({type: 'configuration', text: compressed})))
+			expect(() => createMessageReader().push(encodeRawFrame({type: 'configuration', text: compressed})))
 				.toThrow(expect.objectContaining({code: codes.badPeerMessage}));
 		}
 	});
--- a/src/protocol/__tests__/token.test.ts
+++ b/src/protocol/__tests__/token.test.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import {describe, expect, it} from 'vitest';
 import {
-	positionOf, signStream, signTicket, verifyPosition, verifyTicket,
+	formatPosition, signStream, signTicket, verifyPosition, verifyTicket,
 } from '../token.js';
 import {type Ticket, type TokenKey} from '../../core/index.js';
 
@@ -44,14 +44,14 @@
 			expect(verifyTicket([oldKey], text, 0)).toEqual({type: 'bad'});
 		}
 
-		expect(verifyPosition([oldKey], positionOf(token, 1), 0)).toEqual({type: 'bad'});
+		expect(verifyPosition([oldKey], formatPosition(token, 1), 0)).toEqual({type: 'bad'});
 	});
 
 	it('returns a stream position until it expires', () => {
 		const token = signStream([oldKey], stream);
-		expect(verifyPosition([oldKey], positionOf(token, 41), 0)).toEqual({type: 'valid', value: {...stream, offset: 41}});
+		expect(verifyPosition([oldKey], formatPosition(token, 41), 0)).toEqual({type: 'valid', value: {...stream, offset: 41}});
 		expect(verifyPosition([oldKey], `${token}:-1`, 0)).toEqual({type: 'bad'});
 		expect(verifyPosition([oldKey], token, 0)).toEqual({type: 'bad'});
-		expect(verifyPosition([oldKey], positionOf(token, 41), 1000)).toEqual({type: 'expired'});
+		expect(verifyPosition([oldKey], formatPosition(token, 41), 1000)).toEqual({type: 'expired'});
 	});
 });
--- a/src/protocol/admin.ts
+++ b/src/protocol/admin.ts
@@ -2,9 +2,9 @@
  * Schemas of a host's admin API, which serves operators on a separate listener. Requests and responses are JSON.
  *
  * GET  /admin/status                          {@link statusSchema}
- * GET  /admin/configuration                   {@link inForceSchema}; an error with `notConfigured` before the first document
+ * GET  /admin/configuration                   {@link configurationInForceSchema}; an error with `notConfigured` before the first document
  * GET  /admin/decisions?request=ID&limit=N    {@link decisionsSchema}; decisions on all requests without `request`
- * POST /admin/drain                           {@link drainWantedSchema}; 202 with {@link drainSchema}, also if the host is already leaving
+ * POST /admin/drain                           {@link drainRequestSchema}; 202 with {@link drainResponseSchema}, also if the host is already leaving
  *
  * Every other response is an {@link errorSchema}.
  */
@@ -12,7 +12,7 @@
 import {targetSchema} from '../core/index.js';
 
 /** Number of recent decisions returned if the query has no `limit`; older ones are in the host's log. */
-export const decisionsKept = 2000;
+export const defaultDecisionLimit = 2000;
 
 const incarnation = z.object({
 	host: z.string(),
@@ -78,7 +78,7 @@
 	queues: z.array(queue).readonly(),
 }).readonly();
 
-export const inForceSchema = z.object({
+export const configurationInForceSchema = z.object({
 	host: z.string(),
 	revision: z.number().int(),
 	digest: z.string(),
@@ -101,12 +101,12 @@
 	dropped: z.boolean(),
 }).readonly();
 
-export const drainWantedSchema = z.object({
+export const drainRequestSchema = z.object({
 	/** Time for running requests to finish, in milliseconds; defaults to the host's setting. */
 	grace: z.number().int().positive().optional(),
 }).readonly();
 
-export const drainSchema = z.object({
+export const drainResponseSchema = z.object({
 	host: z.string(),
 	phase,
 	/** Requests that have not finished yet. */
@@ -121,8 +121,8 @@
 }).readonly();
 
 export type Status = z.infer<typeof statusSchema>;
-export type InForce = z.infer<typeof inForceSchema>;
+export type ConfigurationInForce = z.infer<typeof configurationInForceSchema>;
 export type LoggedDecision = z.infer<typeof loggedDecisionSchema>;
 export type Decisions = z.infer<typeof decisionsSchema>;
-export type DrainWanted = z.infer<typeof drainWantedSchema>;
-export type Drain = z.infer<typeof drainSchema>;
+export type DrainRequest = z.infer<typeof drainRequestSchema>;
+export type DrainResponse = z.infer<typeof drainResponseSchema>;
--- a/src/protocol/configuration/__tests__/difference.test.ts
+++ b/src/protocol/configuration/__tests__/difference.test.ts
@@ -1,12 +1,12 @@
 import {describe, expect, it} from 'vitest';
 import {type Configuration} from '../../../core/index.js';
 import {
-	changeInWords, difference, parseConfiguration, warningsOf,
+	describeChange, compareConfigurations, parseConfiguration, findWarnings,
 } from '../index.js';
-import {base, text} from './documents.js';
+import {baseDocument, formatDocument} from './documents.js';
 
 function parse(overrides: Readonly<Record<string, unknown>> = {}): Configuration {
-	const parsed = parseConfiguration(text(overrides));
+	const parsed = parseConfiguration(formatDocument(overrides));
 	if (parsed.type === 'invalid') {
 		throw new Error(JSON.stringify(parsed.mistakes));
 	}
@@ -15,21 +15,21 @@
 }
 
 function describeChanges(overrides: Readonly<Record<string, unknown>>): readonly string[] {
-	return difference(parse(), parse(overrides)).map(change => changeInWords(change));
+	return compareConfigurations(parse(), parse(overrides)).map(change => describeChange(change));
 }
 
 function findWarningTypes(overrides: Readonly<Record<string, unknown>>): readonly string[] {
-	return warningsOf(parse({revision: 8, ...overrides}), parse()).map(({type}) => type);
+	return findWarnings(parse({revision: 8, ...overrides}), parse()).map(({type}) => type);
 }
 
-const [check, reference] = base.services;
-const [daily, weekly] = base.organisations;
-const [k1, k2] = base.tokenKeys;
+const [check, reference] = baseDocument.services;
+const [daily, weekly] = baseDocument.organisations;
+const [k1, k2] = baseDocument.tokenKeys;
 
 describe('difference', () => {
 	it('finds no changes in the same document, regardless of the order of its entries', () => {
 		expect(describeChanges({})).toEqual([]);
-		expect(describeChanges({services: [reference, check], upstreams: base.upstreams.toReversed()})).toEqual([]);
+		expect(describeChanges({services: [reference, check], upstreams: baseDocument.upstreams.toReversed()})).toEqual([]);
 	});
 
 	it.each([
@@ -70,13 +70,13 @@
 		[{services: [{...check, idempotent: true}, reference]}, 'service-now-idempotent'],
 		[{services: [{...check, deadline: {default: 1, most: 2}}, reference]}, 'deadline-shortened'],
 		[{services: [check, reference, {...reference, id: 'extra'}]}, 'service-without-upstream'],
-		[{services: [check], upstreams: base.upstreams.filter(each => each.kind !== 'plain')}, 'service-removed'],
+		[{services: [check], upstreams: baseDocument.upstreams.filter(each => each.kind !== 'plain')}, 'service-removed'],
 		[{organisations: [daily]}, 'organisation-removed'],
 		[{organisations: [{...daily, keyHashes: ['d'.repeat(64)]}, weekly]}, 'keys-replaced-at-once'],
 		[{organisations: [{...daily, keyHashes: []}, weekly]}, 'organisation-without-key'],
-		[{upstreams: base.upstreams.filter(each => each.failureDomain !== 'south')}, 'upstreams-halved'],
-		[{upstreams: base.upstreams.map(each => ({...each, fencing: false}))}, 'fencing-changed'],
-		[{upstreams: base.upstreams.map(each => ({...each, address: {...each.address, host: '10.0.0.2'}}))}, 'address-changed'],
+		[{upstreams: baseDocument.upstreams.filter(each => each.failureDomain !== 'south')}, 'upstreams-halved'],
+		[{upstreams: baseDocument.upstreams.map(each => ({...each, fencing: false}))}, 'fencing-changed'],
+		[{upstreams: baseDocument.upstreams.map(each => ({...each, address: {...each.address, host: '10.0.0.2'}}))}, 'address-changed'],
 		[{tokenKeys: [k2]}, 'token-key-removed-at-once'],
 		[{tokenKeys: [{id: 'k3', secret: k1!.secret}, k1]}, 'token-key-signs-at-once'],
 		[{tokenKeys: [k1, {...k2, secret: '3'.repeat(64)}]}, 'secret-changed'],
@@ -111,7 +111,7 @@
 
 	it('does not warn of a key rotation in three steps', () => {
 		const steps = [[k1, k2], [k2, k1], [k2]].map((tokenKeys, index) => parse({revision: 8 + index, tokenKeys}));
-		const types = steps.slice(1).flatMap((after, index) => warningsOf(after, steps[index]).map(({type}) => type));
+		const types = steps.slice(1).flatMap((after, index) => findWarnings(after, steps[index]).map(({type}) => type));
 		expect(types.filter(type => type.includes('key'))).toEqual([]);
 	});
 });
--- a/src/protocol/configuration/__tests__/documents.ts
+++ b/src/protocol/configuration/__tests__/documents.ts
@@ -3,7 +3,7 @@
 const repeatHashDigit = (digit: string) => digit.repeat(64);
 
 /** A valid document before parsing; tests override whole lists of it. */
-export const base = {
+export const baseDocument = {
 	schema: 1,
 	revision: 7,
 	failureDomains: [{id: 'north', region: 'r'}, {id: 'south', region: 'r'}],
@@ -39,6 +39,6 @@
 	};
 }
 
-export function text(overrides: Readonly<Record<string, unknown>> = {}): string {
-	return JSON.stringify({...base, ...overrides});
+export function formatDocument(overrides: Readonly<Record<string, unknown>> = {}): string {
+	return JSON.stringify({...baseDocument, ...overrides});
 }
--- a/src/protocol/configuration/__tests__/parse.test.ts
+++ b/src/protocol/configuration/__tests__/parse.test.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import {describe, expect, it} from 'vitest';
 import {parseConfiguration} from '../index.js';
-import {base, createEngine, text} from './documents.js';
+import {baseDocument, createEngine, formatDocument} from './documents.js';
 
 function findMistakes(document: string) {
 	const parsed = parseConfiguration(document);
@@ -10,14 +10,14 @@
 
 describe('parseConfiguration', () => {
 	it('returns the configuration with the digest of its text', () => {
-		const parsed = parseConfiguration(text());
+		const parsed = parseConfiguration(formatDocument());
 		expect(parsed).toMatchObject({type: 'valid', configuration: {revision: 7, stopRule: {concurrentHosts: 1}}, unknownFields: []});
-		expect(parsed).toHaveProperty('digest', createHash('sha256').update(text()).digest('hex'));
+		expect(parsed).toHaveProperty('digest', createHash('sha256').update(formatDocument()).digest('hex'));
 	});
 
 	it('refuses a document that is too large before parsing it', () => {
 		expect(findMistakes(' '.repeat(1_000_001))).toEqual(['documentTooLarge $']);
-		expect(parseConfiguration(text(), 10)).toMatchObject({type: 'invalid', mistakes: [{code: 'documentTooLarge'}]});
+		expect(parseConfiguration(formatDocument(), 10)).toMatchObject({type: 'invalid', mistakes: [{code: 'documentTooLarge'}]});
 		expect(parseConfiguration('é'.repeat(6), 11)).toMatchObject({mistakes: [{code: 'documentTooLarge'}]});
 	});
 
@@ -26,21 +26,21 @@
 	});
 
 	it('reports each schema violation with its path', () => {
-		const [daily] = base.organisations;
-		expect(findMistakes(text({revision: 0, organisations: [{...daily, priority: 12}]}))).toEqual([
+		const [daily] = baseDocument.organisations;
+		expect(findMistakes(formatDocument({revision: 0, organisations: [{...daily, priority: 12}]}))).toEqual([
 			'badDocument $.revision',
 			'badDocument $.organisations[0].priority',
 		]);
 	});
 
 	it('limits the list of mistakes', () => {
-		const parsed = parseConfiguration(text({services: Array.from({length: 250}, () => 0)}));
+		const parsed = parseConfiguration(formatDocument({services: Array.from({length: 250}, () => 0)}));
 		expect(parsed).toMatchObject({type: 'invalid', further: 150});
 	});
 
 	it('lists the unknown fields that it ignores', () => {
-		const [check] = base.services;
-		expect(parseConfiguration(text({takeover: [], services: [{...check, dead: 1}, base.services[1]]})))
+		const [check] = baseDocument.services;
+		expect(parseConfiguration(formatDocument({takeover: [], services: [{...check, dead: 1}, baseDocument.services[1]]})))
 			.toMatchObject({type: 'valid', unknownFields: ['$.services[0].dead', '$.takeover']});
 	});
 
@@ -57,7 +57,7 @@
 			'duplicateEntry $.upstreams[1].address',
 		]],
 		['organisations', [{id: 'a', keyHashes: ['c'.repeat(64)]}, {id: 'b', keyHashes: ['c'.repeat(64)]}], ['duplicateEntry $.organisations[1].keyHashes[0]']],
-		['tokenKeys', [base.tokenKeys[0], base.tokenKeys[0]], ['duplicateEntry $.tokenKeys[1].id']],
+		['tokenKeys', [baseDocument.tokenKeys[0], baseDocument.tokenKeys[0]], ['duplicateEntry $.tokenKeys[1].id']],
 		['plannedStops', [{id: 'p', target: {kind: 'upstream', id: 'x'}, notBefore: 0}], ['brokenReference $.plannedStops[0].target.id']],
 		['plannedStops', [
 			{id: 'p', target: {kind: 'host', id: 'h'}, notBefore: 0},
@@ -76,7 +76,7 @@
 			{service: 'check', failureDomain: 'north', servedBy: 'cranberrytide'},
 		], ['duplicateEntry $.takeovers[1]']],
 	])('checks references of %s', (list, value, expected) => {
-		expect(findMistakes(text({[list]: value}))).toEqual(expected);
+		expect(findMistakes(formatDocument({[list]: value}))).toEqual(expected);
 	});
 
 	it.each([
@@ -85,11 +85,11 @@
 		[{weights: {slowdown: 0, firstToken: 0}}, 'impossibleLimit $.services[0].weights'],
 		[{readyEngines: 2}, 'impossibleLimit $.services[0].readyEngines'],
 	])('finds limits that cannot be met: %j', (fields, expected) => {
-		const [check, reference] = base.services;
-		expect(findMistakes(text({services: [{...check, ...fields}, reference]}))).toEqual([expected]);
+		const [check, reference] = baseDocument.services;
+		expect(findMistakes(formatDocument({services: [{...check, ...fields}, reference]}))).toEqual([expected]);
 	});
 
 	it('finds engines too small for a short prompt', () => {
-		expect(findMistakes(text({upstreams: [{...createEngine('x', 'north', 1), memory: 4000}]}))).toEqual(['impossibleLimit $.upstreams[0].memory']);
+		expect(findMistakes(formatDocument({upstreams: [{...createEngine('x', 'north', 1), memory: 4000}]}))).toEqual(['impossibleLimit $.upstreams[0].memory']);
 	});
 });
--- a/src/protocol/configuration/__tests__/properties.test.ts
+++ b/src/protocol/configuration/__tests__/properties.test.ts
@@ -3,14 +3,14 @@
 import {describe, expect, it} from 'vitest';
 import {codes, type Configuration} from '../../../core/index.js';
 import {
-	changeInWords,
-	difference,
+	describeChange,
+	compareConfigurations,
 	parseConfiguration,
-	warningInWords,
-	warningsOf,
-	type Parsed,
+	describeWarning,
+	findWarnings,
+	type ParseResult,
 } from '../index.js';
-import {base, createEngine} from './documents.js';
+import {baseDocument, createEngine} from './documents.js';
 
 /** A fixed seed, so that every run has the same inputs. */
 const runOptions = {seed: 20_261_202, numRuns: 400};
@@ -27,9 +27,9 @@
 	return [path, ...Object.entries(value).flatMap(([key, child]) => listPaths(child, [...path, isList ? Number(key) : key]))];
 }
 
-const allPaths = listPaths(base);
+const allPaths = listPaths(baseDocument);
 const mutatedTexts = fc.array(fc.tuple(fc.nat(allPaths.length - 1), fc.jsonValue()), {minLength: 1, maxLength: 3}).map(changes => {
-	let document: unknown = base;
+	let document: unknown = baseDocument;
 	for (const [index, value] of changes) {
 		const path = allPaths[index]!;
 		if (hasIn(document, path)) {
@@ -40,7 +40,7 @@
 	return JSON.stringify(document);
 });
 
-function isValidOrCoded(parsed: Parsed): boolean {
+function isValidOrCoded(parsed: ParseResult): boolean {
 	return parsed.type === 'valid'
 		|| (parsed.mistakes.length > 0 && parsed.mistakes.every(({path, code, text}) => path.startsWith('$') && Object.hasOwn(codes, code) && text.endsWith('.')));
 }
@@ -60,14 +60,14 @@
 	limits: fc.record({requestsPerSecond: fc.integer({min: 1}), concurrent: fc.integer({min: 1})}, {requiredKeys: []}),
 }).map(({revision, domains, organisations, hashes, priority, most, keys, servedBy, limits}) => {
 	const parsed = parseConfiguration(JSON.stringify({
-		...base,
+		...baseDocument,
 		revision,
-		failureDomains: [...base.failureDomains, ...domains.filter(id => !['north', 'south'].includes(id)).map(id => ({id, region: 'r'}))],
-		services: [{...base.services[0], deadline: {default: 60_000, most}}, base.services[1]],
+		failureDomains: [...baseDocument.failureDomains, ...domains.filter(id => !['north', 'south'].includes(id)).map(id => ({id, region: 'r'}))],
+		services: [{...baseDocument.services[0], deadline: {default: 60_000, most}}, baseDocument.services[1]],
 		organisations: organisations.map((id, index) => ({
 			id, keyHashes: [hashes[index]], priority, limits,
 		})),
-		upstreams: [...base.upstreams, ...domains.map((id, index) => createEngine(`extra-${id}`, id, 10_000 + index))],
+		upstreams: [...baseDocument.upstreams, ...domains.map((id, index) => createEngine(`extra-${id}`, id, 10_000 + index))],
 		tokenKeys: keys.map((secret, index) => ({id: `k${index}`, secret})),
 		takeovers: [{service: 'check', organisation: organisations[0], servedBy}],
 	}));
@@ -94,7 +94,7 @@
 	it('handles deep nesting and the names of prototype members', () => {
 		const deep = `${'['.repeat(100_000)}${']'.repeat(100_000)}`;
 		expect(isValidOrCoded(parseConfiguration(deep))).toBe(true);
-		expect(parseConfiguration(JSON.stringify(base).replace('{', `{"x":${deep},"__proto__":{"revision":99},`)))
+		expect(parseConfiguration(JSON.stringify(baseDocument).replace('{', `{"x":${deep},"__proto__":{"revision":99},`)))
 			.toMatchObject({type: 'valid', configuration: {revision: 7}, unknownFields: ['$.x', '$.__proto__']});
 	});
 });
@@ -109,16 +109,16 @@
 				upstreams: document.upstreams.toReversed(),
 				failureDomains: document.failureDomains.toReversed(),
 			};
-			expect(difference(document, document)).toEqual([]);
-			expect(difference(document, reordered)).toEqual([]);
+			expect(compareConfigurations(document, document)).toEqual([]);
+			expect(compareConfigurations(document, reordered)).toEqual([]);
 		}), runOptions);
 	});
 
 	it('is not empty for documents that differ, and its description contains no secret', () => {
 		fc.assert(fc.property(documents, documents, (before, after) => {
-			const changes = difference(before, after);
+			const changes = compareConfigurations(before, after);
 			expect(changes.length > 0).toBe(JSON.stringify(before) !== JSON.stringify(after));
-			const description = [...changes.map(change => changeInWords(change)), ...warningsOf(after, before).map(warning => warningInWords(warning))].join('\n');
+			const description = [...changes.map(change => describeChange(change)), ...findWarnings(after, before).map(warning => describeWarning(warning))].join('\n');
 			for (const {secret} of [...before.tokenKeys, ...after.tokenKeys]) {
 				expect(description).not.toContain(secret);
 			}
--- a/src/protocol/configuration/change-warnings.ts
+++ b/src/protocol/configuration/change-warnings.ts
@@ -5,7 +5,7 @@
 	type Service,
 	type Takeover,
 } from '../../core/index.js';
-import {difference} from './difference.js';
+import {compareConfigurations} from './difference.js';
 import {groupBy} from './group.js';
 import {type Warning} from './warning.js';
 
@@ -176,7 +176,7 @@
 
 function findTakeoverWarnings(before: Configuration, after: Configuration): readonly Warning[] {
 	const services = indexById(after.services);
-	return difference(before, after).flatMap(change => {
+	return compareConfigurations(before, after).flatMap(change => {
 		if (change.type !== 'takeover-changed' || services.get(change.scope.service)?.idempotent !== false) {
 			return [];
 		}
--- a/src/protocol/configuration/descriptions.ts
+++ b/src/protocol/configuration/descriptions.ts
@@ -14,7 +14,7 @@
  * @param change - Change to describe.
  * @returns One sentence without a full stop. Contains no secrets and only the first digits of key hashes.
  */
-export function changeInWords(change: Change): string {
+export function describeChange(change: Change): string {
 	switch (change.type) {
 		case 'added': {
 			return `Adds the ${change.entry} "${change.id}"`;
@@ -94,7 +94,7 @@
 	}
 
 	if (durationFields.has(field)) {
-		return durationInWords(value);
+		return formatDuration(value);
 	}
 
 	return tokenCountFields.has(field) ? `${value} tokens` : String(value);
@@ -110,7 +110,7 @@
  * @param milliseconds - Duration in milliseconds.
  * @returns The duration in the largest unit that divides it evenly, such as `10 min`.
  */
-export function durationInWords(milliseconds: number): string {
+export function formatDuration(milliseconds: number): string {
 	for (const [unit, name] of [[hourMs, 'h'], [minuteMs, 'min'], [secondMs, 's']] as const) {
 		if (milliseconds >= unit && milliseconds % unit === 0) {
 			return `${milliseconds / unit} ${name}`;
--- a/src/protocol/configuration/difference.ts
+++ b/src/protocol/configuration/difference.ts
@@ -11,7 +11,7 @@
  * @param after - Next document.
  * @returns The changes; empty if the documents are equivalent.
  */
-export function difference(before: Configuration, after: Configuration): readonly Change[] {
+export function compareConfigurations(before: Configuration, after: Configuration): readonly Change[] {
 	return [
 		...findDocumentChanges(before, after),
 		...findEntryChanges('failure domain', before.failureDomains, after.failureDomains),
--- a/src/protocol/configuration/index.ts
+++ b/src/protocol/configuration/index.ts
@@ -1,13 +1,13 @@
 /** Parses, validates, compares and describes configuration documents. */
 export type {Change, EntryKind, FieldValue} from './changes.js';
-export {difference} from './difference.js';
+export {compareConfigurations as compareConfigurations} from './difference.js';
 export {groupBy} from './group.js';
 export {computeDigest, parseConfiguration} from './parse.js';
 export {formatPath} from './path.js';
-export {documentLimit, maxListedMistakes} from './types.js';
+export {maxDocumentBytes as maxDocumentBytes, maxListedMistakes} from './types.js';
 export type {
-	Invalid, Mistake, Parsed, Valid,
+	InvalidDocument as InvalidDocument, Mistake, ParseResult as ParseResult, ValidDocument as ValidDocument,
 } from './types.js';
-export {warningInWords, type Warning} from './warning.js';
-export {warningsOf} from './warnings.js';
-export {changeInWords, durationInWords, describeScope} from './descriptions.js';
+export {describeWarning as describeWarning, type Warning} from './warning.js';
+export {findWarnings as findWarnings} from './warnings.js';
+export {describeChange as describeChange, formatDuration as formatDuration, describeScope} from './descriptions.js';
--- a/src/protocol/configuration/parse.ts
+++ b/src/protocol/configuration/parse.ts
@@ -7,11 +7,11 @@
 import {formatPath} from './path.js';
 import {findReferenceMistakes} from './references.js';
 import {
-	documentLimit,
+	maxDocumentBytes,
 	maxListedMistakes,
-	type Invalid,
+	type InvalidDocument,
 	type Mistake,
-	type Parsed,
+	type ParseResult,
 } from './types.js';
 
 /**
@@ -21,7 +21,7 @@
  * @param maxBytes - Maximum size of the text as UTF-8, in bytes.
  * @returns The configuration with its digest, or the mistakes.
  */
-export function parseConfiguration(text: string, maxBytes = documentLimit): Parsed {
+export function parseConfiguration(text: string, maxBytes = maxDocumentBytes): ParseResult {
 	const sizeBytes = Buffer.byteLength(text, 'utf8');
 	if (sizeBytes > maxBytes) {
 		return createInvalidResult([{path: '$', code: 'documentTooLarge', text: `The document has ${sizeBytes} bytes; at most ${maxBytes} are allowed.`}]);
@@ -35,7 +35,7 @@
 	return parseValue(json.value, text);
 }
 
-function parseValue(raw: unknown, text: string): Parsed {
+function parseValue(raw: unknown, text: string): ParseResult {
 	const result = configurationSchema.safeParse(raw);
 	if (!result.success) {
 		return createInvalidResult(result.error.issues.map(issue => ({
@@ -77,7 +77,7 @@
 	}
 }
 
-function createInvalidResult(mistakes: readonly Mistake[]): Invalid {
+function createInvalidResult(mistakes: readonly Mistake[]): InvalidDocument {
 	return {
 		type: 'invalid',
 		mistakes: mistakes.slice(0, maxListedMistakes),
--- a/src/protocol/configuration/types.ts
+++ b/src/protocol/configuration/types.ts
@@ -10,7 +10,7 @@
 	readonly text: string;
 };
 
-export type Valid = {
+export type ValidDocument = {
 	readonly type: 'valid';
 	readonly configuration: Configuration;
 	/** SHA-256 of the text in UTF-8, in lower-case hexadecimal. */
@@ -19,7 +19,7 @@
 	readonly unknownFields: readonly string[];
 };
 
-export type Invalid = {
+export type InvalidDocument = {
 	readonly type: 'invalid';
 	/** At least one and at most {@link maxListedMistakes}, in document order where possible. */
 	readonly mistakes: readonly Mistake[];
@@ -27,10 +27,10 @@
 	readonly further: number;
 };
 
-export type Parsed = Valid | Invalid;
+export type ParseResult = ValidDocument | InvalidDocument;
 
 /** Maximum number of mistakes listed per document. */
 export const maxListedMistakes = 100;
 
 /** Maximum size of a document in bytes; the platform's configuration service has the same limit. */
-export const documentLimit = 1_000_000;
+export const maxDocumentBytes = 1_000_000;
--- a/src/protocol/configuration/warning.ts
+++ b/src/protocol/configuration/warning.ts
@@ -1,6 +1,6 @@
 /** Warnings that an operator should see before publishing a document. */
 import {assertNever, type Takeover} from '../../core/index.js';
-import {durationInWords, describeScope} from './descriptions.js';
+import {formatDuration, describeScope} from './descriptions.js';
 
 /** Warnings about a change from one document to the next. */
 export type ChangeWarning
@@ -37,7 +37,7 @@
  * @param warning - Warning to describe.
  * @returns What may happen and, if there is one, a safer alternative.
  */
-export function warningInWords(warning: Warning): string {
+export function describeWarning(warning: Warning): string {
 	switch (warning.type) {
 		case 'revision-not-higher': {
 			return `Revision ${warning.after} is not above ${warning.before}: no host will adopt the document.`;
@@ -60,7 +60,7 @@
 		}
 
 		case 'deadline-shortened': {
-			return `"${warning.service}" allows at most ${durationInWords(warning.after)} instead of ${durationInWords(warning.before)}: long requests may no longer finish.`;
+			return `"${warning.service}" allows at most ${formatDuration(warning.after)} instead of ${formatDuration(warning.before)}: long requests may no longer finish.`;
 		}
 
 		case 'organisation-removed': {
@@ -136,7 +136,7 @@
 		}
 
 		case 'grace-below-deadline': {
-			return `The planned stop "${warning.stop}" allows ${durationInWords(warning.grace)}, but requests may run for ${durationInWords(warning.deadline)}: some could be cut off.`;
+			return `The planned stop "${warning.stop}" allows ${formatDuration(warning.grace)}, but requests may run for ${formatDuration(warning.deadline)}: some could be cut off.`;
 		}
 
 		case 'organisation-without-key': {
--- a/src/protocol/configuration/warnings.ts
+++ b/src/protocol/configuration/warnings.ts
@@ -9,7 +9,7 @@
  * @param before - The previous document, if there is one.
  * @returns All warnings.
  */
-export function warningsOf(after: Configuration, before?: Configuration): readonly Warning[] {
+export function findWarnings(after: Configuration, before?: Configuration): readonly Warning[] {
 	return [
 		...(before === undefined ? [] : findChangeWarnings(before, after)),
 		...findServicesWithoutUpstream(after),
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -10,7 +10,7 @@
  * @param body - Encoded message.
  * @returns The body with its length prefix.
  */
-export function frame(body: Uint8Array): Uint8Array {
+export function createFrame(body: Uint8Array): Uint8Array {
 	const bytes = new Uint8Array(lengthPrefixBytes + body.length);
 	new DataView(bytes.buffer).setUint32(0, body.length);
 	bytes.set(body, lengthPrefixBytes);
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -4,10 +4,10 @@
 import {Encoder} from 'cbor-x';
 import {z, type RefinementCtx} from 'zod';
 import {messageOf, raise, type PeerMessage} from '../core/index.js';
-import {frame, FrameReader} from './frames.js';
+import {createFrame, FrameReader} from './frames.js';
 
 /** Maximum size of a message in bytes: a configuration document of the maximum size, plus overhead. */
-export const longestMessage = 1_200_000;
+export const maxMessageBytes = 1_200_000;
 
 const maxListItems = 4096;
 
@@ -112,7 +112,7 @@
 
 function inflateText(bytes: Uint8Array, context: RefinementCtx): string {
 	try {
-		return inflateRawSync(bytes, {maxOutputLength: longestMessage}).toString('utf8');
+		return inflateRawSync(bytes, {maxOutputLength: maxMessageBytes}).toString('utf8');
 	} catch (error) {
 		context.addIssue({code: 'custom', message: messageOf(error)});
 		return z.NEVER;
@@ -158,7 +158,7 @@
  */
 export function encodeFrame(message: PeerMessage): Uint8Array {
 	const body = codec.encode(message.type === 'configuration' ? {...message, text: deflateText(message.text)} : message);
-	return frame(body);
+	return createFrame(body);
 }
 
 function decodeBody(body: Uint8Array): PeerMessage {
@@ -179,6 +179,6 @@
 }
 
 /** @returns A reader that decodes the messages of one connection. */
-export function messageReader(): FrameReader<PeerMessage> {
-	return new FrameReader(decodeBody, longestMessage);
+export function createMessageReader(): FrameReader<PeerMessage> {
+	return new FrameReader(decodeBody, maxMessageBytes);
 }
--- a/src/protocol/token.ts
+++ b/src/protocol/token.ts
@@ -113,7 +113,7 @@
  *
  * @param keys - Keys of the configuration; the first one signs.
  * @param stream - Stream of one attempt.
- * @returns Token that {@link positionOf} combines with the offset of each frame.
+ * @returns Token that {@link formatPosition} combines with the offset of each frame.
  */
 export function signStream(keys: readonly TokenKey[], stream: StreamToken): string {
 	return sign(keys, 'stream', stream);
@@ -126,7 +126,7 @@
  * @param offset - Offset of the next frame to send.
  * @returns The position as an event id.
  */
-export function positionOf(token: string, offset: number): string {
+export function formatPosition(token: string, offset: number): string {
 	return `${token}${offsetSeparator}${offset}`;
 }
 
--- a/src/upstream/plain.ts
+++ b/src/upstream/plain.ts
@@ -4,7 +4,7 @@
 import {
 	messageOf, codes, type Address, type Ending,
 } from '../core/index.js';
-import {perConnectionHeaders} from '../protocol/per-connection.js';
+import {hopByHopHeaders} from '../protocol/hop-by-hop-headers.js';
 import {getClient, SendTracker, createUrl} from './connection.js';
 
 export type EndToEndHeaders = Readonly<Record<string, string | readonly string[]>>;
@@ -32,7 +32,7 @@
 };
 
 /** Headers of a single connection, and headers that got sets itself. */
-const excludedHeaders: ReadonlySet<string> = new Set([...perConnectionHeaders, 'content-length', 'host']);
+const excludedHeaders: ReadonlySet<string> = new Set([...hopByHopHeaders, 'content-length', 'host']);
 
 /**
  * @param headers - Headers of a request or response.
