--- a/__tests__/gateway/explain.test.ts
+++ b/__tests__/gateway/explain.test.ts
@@ -6,7 +6,7 @@
 import {
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
-import {command} from '../../src/cli/__tests__/fakes.js';
+import {runCommand} from '../../src/cli/__tests__/fakes.js';
 import {call, prompt} from '../../bench/gateway/asking.js';
 import {Site} from '../../bench/gateway/site.js';
 
@@ -32,7 +32,7 @@
 
 async function runExplain(id: string): Promise<string> {
 	await expect.poll(() => site.hosts[0]!.logged('ended', id).length, {timeout: 3000}).toBe(1);
-	const {code, out} = await command(['explain', id, '--logs', writeLogs()]);
+	const {code, out} = await runCommand(['explain', id, '--logs', writeLogs()]);
 	expect(code).toBe(0);
 	return out;
 }
@@ -77,7 +77,7 @@
 	});
 
 	it('reports that the log does not contain the request', async () => {
-		const {code, complaints} = await command(['explain', 'complaint-0', '--logs', writeLogs()]);
+		const {code, complaints} = await runCommand(['explain', 'complaint-0', '--logs', writeLogs()]);
 		expect(code).toBe(70);
 		expect(complaints).toContain('7006');
 	});
@@ -88,19 +88,19 @@
 		await site.plains[0]!.crash();
 		site.store.remove('servers/plain-0');
 		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').length, {timeout: 4000}).toBe(1);
-		const {code, out} = await command(['incidents', '--logs', writeLogs()]);
+		const {code, out} = await runCommand(['incidents', '--logs', writeLogs()]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/Requests: .*refusedByUpstream 1/v);
 		expect(out).toMatch(/upstream-gone plain-0 \(host-0\)/v);
 		expect(out).toMatch(/Attempts without an answer at engine-\d: /v);
-		const json = await command(['incidents', '--logs', writeLogs(), '--json']);
+		const json = await runCommand(['incidents', '--logs', writeLogs(), '--json']);
 		expect(JSON.parse(json.out)).toMatchObject({outcomes: {outcomeUnknown: 1}});
 	});
 
 	it('rejects a window without log lines and an invalid time', async () => {
-		const empty = await command(['incidents', '--logs', writeLogs(), '--to', '2001-01-01T00:00:00Z']);
+		const empty = await runCommand(['incidents', '--logs', writeLogs(), '--to', '2001-01-01T00:00:00Z']);
 		expect(empty.code).toBe(70);
-		const bad = await command(['incidents', '--logs', writeLogs(), '--to', 'soon']);
+		const bad = await runCommand(['incidents', '--logs', writeLogs(), '--to', 'soon']);
 		expect(bad).toMatchObject({code: 70});
 		expect(bad.complaints).toContain('7003');
 	});
@@ -132,7 +132,7 @@
 	await expect.poll(() => limited.hosts[0]!.logged('ended', 'denied-1').length, {timeout: 3000}).toBe(1);
 	const file = path.join(directory, 'denied.log');
 	writeFileSync(file, limited.hosts[0]!.lines.map(line => JSON.stringify(line)).join('\n'));
-	const {code, out} = await command(['explain', 'denied-1', '--logs', file]);
+	const {code, out} = await runCommand(['explain', 'denied-1', '--logs', file]);
 	expect(code).toBe(0);
 	expect(out).toMatch(/Not sent once more: this host's part of the retries for model is used up \(hosts that share them: 1\)/v);
 });
--- a/__tests__/operators.test.ts
+++ b/__tests__/operators.test.ts
@@ -4,7 +4,7 @@
 } from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
 import {apiKey} from '../bench/fleet/shape.js';
-import {command} from '../src/cli/__tests__/fakes.js';
+import {runCommand} from '../src/cli/__tests__/fakes.js';
 import {openConsole} from '../src/console/__tests__/browser.js';
 import {formatAddress} from '../src/protocol/address.js';
 import {decisionsSchema} from '../src/protocol/admin.js';
@@ -42,24 +42,24 @@
 
 describe('operator tools', () => {
 	it('shows the current configuration and the state of the fleet', async () => {
-		const shown = await command(['show', '--hosts', formatAddresses('admin')]);
+		const shown = await runCommand(['show', '--hosts', formatAddresses('admin')]);
 		expect(shown).toMatchObject({code: 0, complaints: ''});
 		expect(shown.out.trim().split('\n')).toHaveLength(3);
-		const document = await command(['show', '--document', '--hosts', formatAddresses('admin')]);
-		const checked = await command(['check', '-'], document.out);
+		const document = await runCommand(['show', '--document', '--hosts', formatAddresses('admin')]);
+		const checked = await runCommand(['check', '-'], document.out);
 		expect(checked.code).toBe(0);
-		const status = await command(['status', '--hosts', formatAddresses('admin')]);
+		const status = await runCommand(['status', '--hosts', formatAddresses('admin')]);
 		expect(status.code).toBe(0);
 		expect(status.out).toMatch(/^a-host-2 +a +serving/mv);
 		expect(status.out).toMatch(/^a-check-1 +engine +check/mv);
 	});
 
 	it('sends a prompt and explains its outcome', async () => {
-		const answer = await command(['send', '--service', 'check', '--max-tokens', '20', '--hosts', formatAddresses('caller')], 'one line', environment);
+		const answer = await runCommand(['send', '--service', 'check', '--max-tokens', '20', '--hosts', formatAddresses('caller')], 'one line', environment);
 		expect(answer).toMatchObject({code: 0, complaints: ''});
 		expect(answer.out.length).toBeGreaterThan(1);
 		const {host, request} = await findConcludedRequest();
-		const explained = await command(['explain', request, '--hosts', formatAddresses('admin')]);
+		const explained = await runCommand(['explain', request, '--hosts', formatAddresses('admin')]);
 		expect(explained.code).toBe(0);
 		expect(explained.out).toContain(`${host}  Sent to a-check-1 as attempt ${request}`);
 		expect(explained.out).toContain('Answered in full');
@@ -67,8 +67,8 @@
 
 	it('runs a non-idempotent call with the ticket from the refusal', async () => {
 		const commandLine = ['send', '--service', 'book', '--path', '/bookings', '--once', '--hosts', formatAddresses('caller')];
-		expect(await command(commandLine, '{"seat":1}', environment)).toMatchObject({code: 0, complaints: ''});
-		const unknown = await command(['send', '--service', 'none', '--hosts', formatAddresses('caller')], 'x', environment);
+		expect(await runCommand(commandLine, '{"seat":1}', environment)).toMatchObject({code: 0, complaints: ''});
+		const unknown = await runCommand(['send', '--service', 'none', '--hosts', formatAddresses('caller')], 'x', environment);
 		expect(unknown.code).toBe(10);
 		expect(unknown.complaints).toContain('error 1004');
 	});
@@ -83,10 +83,10 @@
 	});
 
 	it('drains a host', async () => {
-		const drained = await command(['drain', 'a-host-2', '--wait', '--hosts', formatAddresses('admin')]);
+		const drained = await runCommand(['drain', 'a-host-2', '--wait', '--hosts', formatAddresses('admin')]);
 		expect(drained.code).toBe(0);
 		expect(drained.out).toContain('a-host-2 is leaving');
-		expect(await command(['status', '--hosts', formatAddresses('admin')])).toMatchObject({code: 70});
+		expect(await runCommand(['status', '--hosts', formatAddresses('admin')])).toMatchObject({code: 70});
 	});
 });
 
--- a/src/cli/__tests__/fakes.ts
+++ b/src/cli/__tests__/fakes.ts
@@ -4,7 +4,7 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {runCommandLine} from '../program.js';
 
-export async function command(commandArguments: readonly string[], input = '', environment: Readonly<Record<string, string>> = {}) {
+export async function runCommand(commandArguments: readonly string[], input = '', environment: Readonly<Record<string, string>> = {}) {
 	const written: string[] = [];
 	const complaints: string[] = [];
 	const code = await runCommandLine(commandArguments, {
--- a/src/cli/__tests__/fleet.test.ts
+++ b/src/cli/__tests__/fleet.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {type Status} from '../../protocol/admin.js';
 import {
-	command, sendJson, startServer, type RequestHandler,
+	runCommand, sendJson, startServer, type RequestHandler,
 } from './fakes.js';
 
 const unreachableAddress = '127.0.0.1:1';
@@ -94,7 +94,7 @@
 	it('shows hosts, upstreams and queues of the whole fleet in tables', async () => {
 		await using a = await startServer(createHostHandler('a'));
 		await using b = await startServer(createHostHandler('b'));
-		const {code, out} = await command(['status', '--hosts', `${a.address},${b.address}`]);
+		const {code, out} = await runCommand(['status', '--hosts', `${a.address},${b.address}`]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/^a +north +serving +7 +1\/1 +2 +1$/mv);
 		expect(out).toMatch(/^n1 .*ready +4 +3 +1 +25% +style@2\+urdu +2\/2$/mv);
@@ -103,7 +103,7 @@
 
 	it('reports a host that does not answer by its exit code', async () => {
 		await using a = await startServer(createHostHandler('a'));
-		const {code, out, complaints} = await command(['status', '--json', '--hosts', `${a.address},${unreachableAddress}`]);
+		const {code, out, complaints} = await runCommand(['status', '--json', '--hosts', `${a.address},${unreachableAddress}`]);
 		expect(code).toBe(70);
 		expect(JSON.parse(out)).toHaveLength(1);
 		expect(complaints).toMatch(/^error 7002: /v);
@@ -115,11 +115,11 @@
 		await using a = await startServer(createHostHandler('a'));
 		await using b = await startServer(createHostHandler('b', 8));
 		const hosts = `${a.address},${b.address}`;
-		const {code, out} = await command(['show', '--hosts', hosts]);
+		const {code, out} = await runCommand(['show', '--hosts', hosts]);
 		expect(code).toBe(1);
 		expect(out.split('\n').slice(1, 3)).toEqual(['b            8  d8', 'a            7  d7']);
-		expect(await command(['show', '--document', '--hosts', hosts])).toMatchObject({out: '{"revision":8}'});
-		expect(await command(['show', '--hosts', a.address])).toMatchObject({code: 0});
+		expect(await runCommand(['show', '--document', '--hosts', hosts])).toMatchObject({out: '{"revision":8}'});
+		expect(await runCommand(['show', '--hosts', a.address])).toMatchObject({code: 0});
 	});
 });
 
@@ -127,9 +127,9 @@
 	it('finds the host by name', async () => {
 		await using a = await startServer(createHostHandler('a'));
 		await using b = await startServer(createHostHandler('b'));
-		const {code, out} = await command(['drain', 'b', '--grace', '9', '--hosts', `${a.address},${b.address}`]);
+		const {code, out} = await runCommand(['drain', 'b', '--grace', '9', '--hosts', `${a.address},${b.address}`]);
 		expect({code, out}).toEqual({code: 0, out: 'b is leaving; 2 requests to finish.\n'});
-		expect(await command(['drain', 'c', '--hosts', a.address])).toMatchObject({code: 70});
+		expect(await runCommand(['drain', 'c', '--hosts', a.address])).toMatchObject({code: 70});
 	});
 
 	it('waits until the host no longer answers', async () => {
@@ -142,7 +142,7 @@
 				createHostHandler('a')(request, response, body);
 			}
 		});
-		const {code, out} = await command(['drain', a.address, '--wait']);
+		const {code, out} = await runCommand(['drain', a.address, '--wait']);
 		expect(code).toBe(0);
 		expect(out.trim().split('\n').at(-1)).toBe('a no longer answers.');
 	});
@@ -158,7 +158,7 @@
 	it('queries hosts', async () => {
 		await using a = await startServer(createHostHandler('a'));
 		await using b = await startServer(createHostHandler('b'));
-		const {code, out} = await command(['explain', 'r1', '--hosts', `${a.address},${b.address}`]);
+		const {code, out} = await runCommand(['explain', 'r1', '--hosts', `${a.address},${b.address}`]);
 		expect({code, lines: out.trim().split('\n')}).toEqual({code: 0, lines: timeline});
 	});
 
@@ -168,16 +168,16 @@
 				time: new Date(time).toISOString(), level: 'info', host: 'a', event: type, ...fields,
 			});
 		const log = [line(5, concluded), 'r1 no JSON', line(1, {...routed, request: 'r10', attempt: 'r10.1'}), line(2, routed), ''];
-		const {out} = await command(['explain', 'r1', '--log', '-'], log.join('\n'));
+		const {out} = await runCommand(['explain', 'r1', '--log', '-'], log.join('\n'));
 		expect(out.trim().split('\n')).toEqual(timeline);
 		const unknown = line(7, {type: 'new-kind', attempt: 'r1.1', reason: 'x'});
-		const generic = await command(['explain', 'r1', '--log', '-'], unknown);
+		const generic = await runCommand(['explain', 'r1', '--log', '-'], unknown);
 		expect(generic.out).toContain('new-kind, attempt r1.1, reason x');
 	});
 
 	it('reports that no decision is known, and why', async () => {
 		await using a = await startServer(createHostHandler('a'));
-		const {code, complaints} = await command(['explain', 'r2', '--hosts', a.address]);
+		const {code, complaints} = await runCommand(['explain', 'r2', '--hosts', a.address]);
 		expect(code).toBe(70);
 		expect(complaints).toContain('a no longer keeps its older decisions');
 		expect(complaints).toContain('error 7006');
--- a/src/cli/__tests__/losses.test.ts
+++ b/src/cli/__tests__/losses.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {parseLog} from '../log-lines.js';
 import {createLossReport} from '../losses/causes.js';
-import {command} from './fakes.js';
+import {runCommand} from './fakes.js';
 
 type Fields = Readonly<Record<string, unknown>>;
 
@@ -71,11 +71,11 @@
 
 it('the command sums losses by cause and prompt length, and lists each with --each', async () => {
 	const log = [placed(0, 'a', {predicted: 500}), ended(900, 'a', {firstByte: 480}), placed(10, 'b'), ended(900, 'b')].join('\n');
-	const summed = await command(['losses', '--logs', '-'], log);
+	const summed = await runCommand(['losses', '--logs', '-'], log);
 	expect(summed.code).toBe(0);
 	expect(summed.out).toMatch(/Lost 1\.5 of 4\.0 asked \(37\.5%\)\n.*\nall engines busy +short +1 +1\.5 +37\.5%/v);
-	const named = await command(['losses', '--logs', '-', '--each'], log);
+	const named = await runCommand(['losses', '--logs', '-', '--each'], log);
 	expect(named.out).toMatch(/a .*host-1 .*e1 .*all engines busy/v);
-	const nothing = await command(['losses', '--logs', '-'], 'nothing');
+	const nothing = await runCommand(['losses', '--logs', '-'], 'nothing');
 	expect(nothing.complaints).toContain('the log contains no requests');
 });
--- a/src/cli/__tests__/send.test.ts
+++ b/src/cli/__tests__/send.test.ts
@@ -1,7 +1,7 @@
 import {type ServerResponse} from 'node:http';
 import {describe, expect, it} from 'vitest';
 import {
-	command, sendJson, startServer, type RequestHandler,
+	runCommand, sendJson, startServer, type RequestHandler,
 } from './fakes.js';
 
 const key = {CRANBERRYTIDE_KEY: 'secret'};
@@ -30,7 +30,7 @@
 
 async function send(handleRequest: RequestHandler, ...extraArguments: readonly string[]) {
 	await using host = await startServer(handleRequest);
-	const result = await command(['send', '--service', 'check', '--hosts', `${unreachableAddress},${host.address}`, ...extraArguments], 'Hello', key);
+	const result = await runCommand(['send', '--service', 'check', '--hosts', `${unreachableAddress},${host.address}`, ...extraArguments], 'Hello', key);
 	return result;
 }
 
@@ -126,7 +126,7 @@
 	});
 
 	it('fails if no host is reachable', async () => {
-		expect(await command(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello', key)).toMatchObject({code: 20});
-		expect(await command(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello')).toMatchObject({code: 70});
+		expect(await runCommand(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello', key)).toMatchObject({code: 20});
+		expect(await runCommand(['send', '--service', 'check', '--hosts', unreachableAddress], 'Hello')).toMatchObject({code: 70});
 	});
 });
