--- a/__tests__/fleet.test.ts
+++ b/__tests__/fleet.test.ts
@@ -3,7 +3,7 @@
 import {describe, expect, it} from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
 import {apiKey, type ShapeInput} from '../bench/fleet/shape.js';
-import {answerLength, answerText, promptDigest} from '../stand-ins/engine/answer.js';
+import {calculateAnswerLength, generateAnswer, digestPrompt} from '../stand-ins/engine/answer.js';
 import {renderPrompt} from '../src/protocol/blocks.js';
 
 const messages = [{role: 'user', content: 'one line'}];
@@ -39,8 +39,8 @@
 }
 
 function getExpectedAnswer(): string {
-	const digest = promptDigest(renderPrompt(messages));
-	return answerText(digest, answerLength(digest, {least: 16, most: 256}, 20));
+	const digest = digestPrompt(renderPrompt(messages));
+	return generateAnswer(digest, calculateAnswerLength(digest, {least: 16, most: 256}, 20));
 }
 
 async function fetchRevision(fleet: Fleet, host: string): Promise<number> {
--- a/__tests__/support/caller.ts
+++ b/__tests__/support/caller.ts
@@ -5,7 +5,7 @@
 import {type Address} from '../../src/core/index.js';
 import {type Fleet} from '../../bench/fleet/fleet.js';
 import {apiKey} from '../../bench/fleet/shape.js';
-import {answerLength, answerText, promptDigest} from '../../stand-ins/engine/answer.js';
+import {calculateAnswerLength, generateAnswer, digestPrompt} from '../../stand-ins/engine/answer.js';
 import {renderPrompt} from '../../src/protocol/blocks.js';
 
 /** The response to a request, as its caller received it. */
@@ -218,6 +218,6 @@
  * @param tokens - Length of the answer; the engines must be set to answer with exactly this many tokens.
  */
 export function getExpectedAnswer(prompt: string, tokens: number): string {
-	const digest = promptDigest(renderPrompt([{role: 'user', content: prompt}]));
-	return answerText(digest, answerLength(digest, {least: tokens, most: tokens}, tokens));
+	const digest = digestPrompt(renderPrompt([{role: 'user', content: prompt}]));
+	return generateAnswer(digest, calculateAnswerLength(digest, {least: tokens, most: tokens}, tokens));
 }
--- a/bench/load/run.ts
+++ b/bench/load/run.ts
@@ -2,7 +2,7 @@
 import {performance} from 'node:perf_hooks';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {renderPrompt} from '../../src/protocol/blocks.js';
-import {answerLength, answerText, promptDigest} from '../../stand-ins/engine/answer.js';
+import {calculateAnswerLength, generateAnswer, digestPrompt} from '../../stand-ins/engine/answer.js';
 import {sendRequest, type Ending} from './client.js';
 import {Recorder, type Result} from './recorder.js';
 import {type Scenario} from './scenario.js';
@@ -16,8 +16,8 @@
 		return true;
 	}
 
-	const digest = promptDigest(renderPrompt([{role: 'user', content}]));
-	return ending.content === answerText(digest, answerLength(digest, scenario.answer, planned.output));
+	const digest = digestPrompt(renderPrompt([{role: 'user', content}]));
+	return ending.content === generateAnswer(digest, calculateAnswerLength(digest, scenario.answer, planned.output));
 }
 
 async function runRequest(planned: Planned, scenario: Scenario, intendedAt: number, recorder: Recorder): Promise<void> {
--- a/stand-ins/common/command.ts
+++ b/stand-ins/common/command.ts
@@ -9,7 +9,7 @@
 import {type z} from 'zod';
 
 /** A running stand-in. */
-export type Running = AsyncDisposable & {
+export type RunningProgram = AsyncDisposable & {
 	/** Addresses printed in the ready line. */
 	readonly addresses: Readonly<Record<string, unknown>>;
 };
@@ -19,7 +19,7 @@
 	readonly name: string;
 	readonly description: string;
 	readonly settings: Schema;
-	readonly start: (settings: z.infer<Schema>) => Promise<Running>;
+	readonly start: (settings: z.infer<Schema>) => Promise<RunningProgram>;
 };
 
 async function readSettings(source: string): Promise<unknown> {
--- a/stand-ins/common/server.ts
+++ b/stand-ins/common/server.ts
@@ -22,7 +22,7 @@
 	readonly query: URLSearchParams;
 };
 
-export type Answer = (call: Call) => Promise<void>;
+export type RouteHandler = (call: Call) => Promise<void>;
 
 const parametersSchema = z.record(z.string(), z.string());
 const maxParameterLength = 1000;
@@ -38,7 +38,7 @@
  * @param name - Header name in lower case.
  * @returns The first value of the header.
  */
-export function header(incoming: Incoming, name: string): string | undefined {
+export function getHeader(incoming: Incoming, name: string): string | undefined {
 	const value = incoming.headers[name];
 	return typeof value === 'string' ? value : value?.[0];
 }
@@ -50,7 +50,7 @@
  * @param status - HTTP status.
  * @param body - Value to serialize; without it the response body is empty.
  */
-export function answerJson(outgoing: Outgoing, status: number, body?: unknown): void {
+export function sendJson(outgoing: Outgoing, status: number, body?: unknown): void {
 	if (outgoing.headersSent || outgoing.destroyed) {
 		return;
 	}
@@ -68,8 +68,8 @@
  * @param type - Machine-readable error type.
  * @param message - Human-readable description.
  */
-export function answerError(outgoing: Outgoing, status: number, type: string, message: string): void {
-	answerJson(outgoing, status, {error: {type, message}});
+export function sendError(outgoing: Outgoing, status: number, type: string, message: string): void {
+	sendJson(outgoing, status, {error: {type, message}});
 }
 
 /** An HTTP server for one address. */
@@ -96,7 +96,7 @@
 	 * @param path - Path, with parameters as `:name`.
 	 * @param handler - Sends the response; an error that it throws becomes a 400.
 	 */
-	route(method: Method, path: string, handler: Answer): void {
+	route(method: Method, path: string, handler: RouteHandler): void {
 		this.#restify[method](path, async (incoming: Incoming, outgoing: Outgoing) => {
 			try {
 				await handler({
@@ -106,12 +106,12 @@
 					query: new URLSearchParams(incoming.getQuery()),
 				});
 			} catch (error) {
-				answerError(outgoing, 400, 'bad-request', error instanceof Error ? error.message : String(error));
+				sendError(outgoing, 400, 'bad-request', error instanceof Error ? error.message : String(error));
 			}
 		});
 	}
 
-	/** Starts listening; after {@link vanish} on the same port as before. */
+	/** Starts listening; after {@link close} on the same port as before. */
 	async listen(): Promise<void> {
 		this.#restify.server.listen(this.#port, this.#host);
 		await once(this.#restify.server, 'listening');
@@ -122,7 +122,7 @@
 	}
 
 	/** Closes every connection and refuses new ones until {@link listen} is called again. */
-	async vanish(): Promise<void> {
+	async close(): Promise<void> {
 		const {server} = this.#restify;
 		if (!server.listening) {
 			return;
@@ -135,6 +135,6 @@
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
-		await this.vanish();
+		await this.close();
 	}
 }
--- a/stand-ins/engine/__tests__/engine.test.ts
+++ b/stand-ins/engine/__tests__/engine.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {hashBlocks, renderPrompt} from '../../../src/protocol/blocks.js';
 import {frameSchema, streamEnd, type Frame} from '../../../src/upstream/protocol.js';
-import {answerLength, answerText, promptDigest} from '../answer.js';
+import {calculateAnswerLength, generateAnswer, digestPrompt} from '../answer.js';
 import {EngineProcess} from '../process.js';
 import {settingsSchema} from '../settings.js';
 import {type Fault} from '../faults.js';
@@ -40,12 +40,12 @@
 }
 
 function digestContent(content: string): string {
-	return promptDigest(renderPrompt([{role: 'user', content}]));
+	return digestPrompt(renderPrompt([{role: 'user', content}]));
 }
 
 function expectedAnswer(content: string, maxTokens = 40): string {
 	const digest = digestContent(content);
-	return answerText(digest, answerLength(digest, lengths, maxTokens));
+	return generateAnswer(digest, calculateAnswerLength(digest, lengths, maxTokens));
 }
 
 function parseFrames(text: string): Frame[] {
--- a/stand-ins/engine/answer.ts
+++ b/stand-ins/engine/answer.ts
@@ -18,7 +18,7 @@
 }
 
 /** Returns the digest of a rendered prompt, from which its answer is derived. */
-export function promptDigest(prompt: string): string {
+export function digestPrompt(prompt: string): string {
 	return shortDigest(prompt);
 }
 
@@ -44,7 +44,7 @@
  * @param limit - Maximum number of tokens that the caller accepts.
  * @returns Answer length in tokens.
  */
-export function answerLength(
+export function calculateAnswerLength(
 	digest: string,
 	lengths: {readonly least: number; readonly most: number},
 	limit: number = Number.MAX_SAFE_INTEGER,
@@ -58,6 +58,6 @@
  * @param tokens - Answer length in tokens.
  * @returns The complete answer.
  */
-export function answerText(digest: string, tokens: number): string {
+export function generateAnswer(digest: string, tokens: number): string {
 	return Array.from({length: tokens}, (_, index) => generateToken(digest, index)).join('');
 }
--- a/stand-ins/engine/chat-request.ts
+++ b/stand-ins/engine/chat-request.ts
@@ -6,8 +6,8 @@
 	countTokens, hashBlocks, renderPrompt, shortDigest,
 } from '../../src/protocol/blocks.js';
 import {engineHeaders} from '../../src/upstream/protocol.js';
-import {header} from '../common/server.js';
-import {answerLength, promptDigest} from './answer.js';
+import {getHeader} from '../common/server.js';
+import {calculateAnswerLength, digestPrompt} from './answer.js';
 import {type RunRequest} from './engine.js';
 import {type EngineHost} from './host.js';
 
@@ -36,7 +36,7 @@
 };
 
 function getNumberHeader(incoming: Incoming, name: string): number | undefined {
-	const value = header(incoming, name);
+	const value = getHeader(incoming, name);
 	return value === undefined ? undefined : z.coerce.number().nonnegative().parse(value);
 }
 
@@ -60,9 +60,9 @@
 	const chat = chatSchema.parse(JSON.parse(body));
 	validateModel(host, chat.model);
 	const prompt = renderPrompt(chat.messages);
-	const digest = promptDigest(prompt);
+	const digest = digestPrompt(prompt);
 	const promptTokens = getNumberHeader(incoming, engineHeaders.promptTokens) ?? countTokens(prompt);
-	const id = header(incoming, engineHeaders.attempt) ?? uuid();
+	const id = getHeader(incoming, engineHeaders.attempt) ?? uuid();
 	const poison = host.faults.findPoison(body);
 	return {
 		isStream: chat.stream,
@@ -71,18 +71,18 @@
 				id,
 				digest,
 				promptTokens,
-				output: answerLength(digest, host.settings.answer, chat.max_tokens),
+				output: calculateAnswerLength(digest, host.settings.answer, chat.max_tokens),
 			},
 			priority: getNumberHeader(incoming, engineHeaders.priority) ?? 0,
 			blocks: hashBlocks(prompt, promptTokens),
-			holds: header(incoming, engineHeaders.holds)?.split(',').map(each => each.trim()) ?? [],
+			holds: getHeader(incoming, engineHeaders.holds)?.split(',').map(each => each.trim()) ?? [],
 			timeout: getNumberHeader(incoming, engineHeaders.timeout),
 			execution: {
 				attempt: id,
 				body: shortDigest(body),
 				prompt: digest,
-				idempotencyKey: header(incoming, 'idempotency-key'),
-				ticket: header(incoming, 'x-ticket'),
+				idempotencyKey: getHeader(incoming, 'idempotency-key'),
+				ticket: getHeader(incoming, 'x-ticket'),
 			},
 			onStart() {
 				if (poison !== undefined) {
--- a/stand-ins/engine/host.ts
+++ b/stand-ins/engine/host.ts
@@ -106,7 +106,7 @@
 		this.#isUp = false;
 		this.#log.count('crashes');
 		this.#engine[Symbol.dispose]();
-		await this.#server.vanish();
+		await this.#server.close();
 		if (returnAfter !== undefined) {
 			this.#restartTimer = setTimeout(() => {
 				void this.#restart();
--- a/stand-ins/engine/process.ts
+++ b/stand-ins/engine/process.ts
@@ -1,7 +1,7 @@
 /** Runs several engines in one process, each on its own port, with one control server through which tests inject faults. */
 import {z} from 'zod';
-import {answerJson, readText, Server} from '../common/server.js';
-import {type Running} from '../common/command.js';
+import {sendJson, readText, Server} from '../common/server.js';
+import {type RunningProgram} from '../common/command.js';
 import {faultSchema} from './faults.js';
 import {EngineHost} from './host.js';
 import {type Settings} from './settings.js';
@@ -11,7 +11,7 @@
 
 export type Control = z.infer<typeof controlSchema>;
 
-export class EngineProcess implements Running {
+export class EngineProcess implements RunningProgram {
 	/**
 	 * @param settings - Validated settings.
 	 * @returns The engines, already listening.
@@ -56,14 +56,14 @@
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
 			const {engine, fault} = controlSchema.parse(JSON.parse(await readText(incoming)));
 			await Promise.all(this.#selectHosts(engine).map(async each => each.applyFault(fault)));
-			answerJson(outgoing, 204);
+			sendJson(outgoing, 204);
 		});
 		this.#control.route('get', '/control/counters', async ({outgoing}) => {
-			answerJson(outgoing, 200, {engines: this.#hosts.map(({id, log}) => ({engine: id, counters: log.counters}))});
+			sendJson(outgoing, 200, {engines: this.#hosts.map(({id, log}) => ({engine: id, counters: log.counters}))});
 		});
 		this.#control.route('get', '/control/executions', async ({outgoing, query}) => {
 			const selected = this.#selectHosts(query.get('engine') ?? undefined);
-			answerJson(outgoing, 200, {engines: selected.map(each => each.executions)});
+			sendJson(outgoing, 200, {engines: selected.map(each => each.executions)});
 		});
 	}
 }
--- a/stand-ins/engine/routes.ts
+++ b/stand-ins/engine/routes.ts
@@ -6,7 +6,7 @@
 	exportSchema, holdRequestSchema, orderSchema, segmentRequestSchema,
 } from '../../src/upstream/protocol.js';
 import {
-	answerError, answerJson, readText, type Answer, type Call, type Server,
+	sendError, sendJson, readText, type RouteHandler, type Call, type Server,
 } from '../common/server.js';
 import {type Attempt} from './attempt.js';
 import {type Refusal} from './engine.js';
@@ -22,13 +22,13 @@
 }
 
 /** Runs a chat request, unless a fault or the engine refuses it. */
-function createChatHandler(host: EngineHost): Answer {
+function createChatHandler(host: EngineHost): RouteHandler {
 	return async call => {
 		const body = await readText(call.incoming);
 		const status = host.faults.takeRefusal();
 		if (status !== undefined) {
 			host.log.count('refused');
-			answerError(call.outgoing, status, 'refused', 'refused on demand');
+			sendError(call.outgoing, status, 'refused', 'refused on demand');
 			return;
 		}
 
@@ -36,7 +36,7 @@
 		const outcome = host.engine.run(run);
 		if (isRefusal(outcome)) {
 			host.log.count('refused');
-			answerError(call.outgoing, outcome.status, outcome.type, outcome.message);
+			sendError(call.outgoing, outcome.status, outcome.type, outcome.message);
 			return;
 		}
 
@@ -46,11 +46,11 @@
 	};
 }
 
-function createResumeHandler(host: EngineHost): Answer {
+function createResumeHandler(host: EngineHost): RouteHandler {
 	return async ({outgoing, parameters, query}) => {
 		const attempt = host.engine.attempt(parameters.attempt!);
 		if (attempt === undefined || attempt.status === 'cancelled' || attempt.status === 'exported') {
-			answerError(outgoing, 404, 'unknown-attempt', 'the attempt is not here');
+			sendError(outgoing, 404, 'unknown-attempt', 'the attempt is not here');
 			return;
 		}
 
@@ -59,7 +59,7 @@
 }
 
 /** Long poll: waits until a change is visible, at most for the time in the `wait` parameter. */
-function createCacheEventsHandler(host: EngineHost): Answer {
+function createCacheEventsHandler(host: EngineHost): RouteHandler {
 	return async ({outgoing, query}) => {
 		const since = Number(query.get('since') ?? 0);
 		const deadline = performance.now() + Math.min(Number(query.get('wait') ?? 0), maxWaitMs);
@@ -69,55 +69,55 @@
 			events = host.engine.cacheEvents.read(since, performance.now());
 		}
 
-		answerJson(outgoing, 200, events);
+		sendJson(outgoing, 200, events);
 	};
 }
 
-function createHoldHandler(host: EngineHost): Answer {
+function createHoldHandler(host: EngineHost): RouteHandler {
 	return async ({incoming, outgoing, parameters}) => {
 		const request = holdRequestSchema.parse(JSON.parse(await readText(incoming)));
 		const isHeld = host.engine.hold(parameters.hold!, request);
 		if (isHeld) {
-			answerJson(outgoing, 201, {hold: parameters.hold, tokens: request.tokens});
+			sendJson(outgoing, 201, {hold: parameters.hold, tokens: request.tokens});
 		} else {
-			answerError(outgoing, 409, 'no-memory', 'the memory is in use');
+			sendError(outgoing, 409, 'no-memory', 'the memory is in use');
 		}
 	};
 }
 
-function createPrefillHandler(host: EngineHost): Answer {
+function createPrefillHandler(host: EngineHost): RouteHandler {
 	return async ({incoming, outgoing, parameters}) => {
 		const work = segmentRequestSchema.parse(JSON.parse(await readText(incoming)));
 		const isDone = await host.engine.prefill(parameters.hold!, work);
 		if (isDone) {
-			answerJson(outgoing, 200, {hold: parameters.hold, tokens: work.to - work.from});
+			sendJson(outgoing, 200, {hold: parameters.hold, tokens: work.to - work.from});
 		} else {
-			answerError(outgoing, 409, 'hold-gone', 'the hold is gone or too small');
+			sendError(outgoing, 409, 'hold-gone', 'the hold is gone or too small');
 		}
 	};
 }
 
-function createExportHandler(host: EngineHost): Answer {
+function createExportHandler(host: EngineHost): RouteHandler {
 	return async ({outgoing, parameters}) => {
 		const exported = host.engine.export(parameters.attempt!);
 		if (exported === undefined) {
-			answerError(outgoing, 404, 'unknown-attempt', 'the attempt does not run here');
+			sendError(outgoing, 404, 'unknown-attempt', 'the attempt does not run here');
 			return;
 		}
 
 		await host.simulateTransfer(exported.prompt);
-		answerJson(outgoing, 200, exported);
+		sendJson(outgoing, 200, exported);
 	};
 }
 
-function createImportHandler(host: EngineHost): Answer {
+function createImportHandler(host: EngineHost): RouteHandler {
 	return async ({incoming, outgoing}) => {
 		const exported = exportSchema.parse(JSON.parse(await readText(incoming)));
 		const task = taskSchema.parse(JSON.parse(Buffer.from(exported.cache, 'base64').toString('utf8')));
 		await host.simulateTransfer(exported.prompt);
 		const attempt = host.engine.import(exported, task);
 		if (attempt === undefined) {
-			answerError(outgoing, 409, 'no-memory', 'the memory is in use or the attempt is here');
+			sendError(outgoing, 409, 'no-memory', 'the memory is in use or the attempt is here');
 			return;
 		}
 
@@ -125,15 +125,15 @@
 	};
 }
 
-function createOrderHandler(host: EngineHost): Answer {
+function createOrderHandler(host: EngineHost): RouteHandler {
 	return async ({incoming, outgoing}) => {
 		const {accepted, highest} = host.engine.orders.apply(orderSchema.parse(JSON.parse(await readText(incoming))));
-		answerJson(outgoing, accepted ? 200 : 409, {highest});
+		sendJson(outgoing, accepted ? 200 : 409, {highest});
 	};
 }
 
 /** Applies `hang` and `late` faults before a route is handled. */
-function withFaults(host: EngineHost, handler: Answer): Answer {
+function withFaults(host: EngineHost, handler: RouteHandler): RouteHandler {
 	return async (call: Call) => {
 		await host.faults.waitWhileHanging();
 		if (host.faults.late > 0) {
@@ -146,7 +146,7 @@
 
 /** Adds the routes of an engine to its server. */
 export function addRoutes(server: Server, host: EngineHost): void {
-	const add = (method: Parameters<Server['route']>[0], path: string, handler: Answer): void => {
+	const add = (method: Parameters<Server['route']>[0], path: string, handler: RouteHandler): void => {
 		server.route(method, path, withFaults(host, handler));
 	};
 
@@ -154,25 +154,25 @@
 	add('get', '/v1/attempts/:attempt', createResumeHandler(host));
 	add('del', '/v1/attempts/:attempt', async ({outgoing, parameters}) => {
 		host.engine.cancel(parameters.attempt!);
-		answerJson(outgoing, 204);
+		sendJson(outgoing, 204);
 	});
 	add('get', '/v1/load', async ({outgoing}) => {
-		answerJson(outgoing, 200, host.engine.load);
+		sendJson(outgoing, 200, host.engine.load);
 	});
 	add('get', '/v1/cache-events', createCacheEventsHandler(host));
 	add('get', '/v1/holds', async ({outgoing}) => {
-		answerJson(outgoing, 200, host.engine.holds);
+		sendJson(outgoing, 200, host.engine.holds);
 	});
 	add('put', '/v1/holds/:hold', createHoldHandler(host));
 	add('del', '/v1/holds/:hold', async ({outgoing, parameters}) => {
 		host.engine.release(parameters.hold!);
-		answerJson(outgoing, 204);
+		sendJson(outgoing, 204);
 	});
 	add('post', '/v1/segments/:hold', createPrefillHandler(host));
 	add('post', '/v1/kv/export/:attempt', createExportHandler(host));
 	add('post', '/v1/kv/import', createImportHandler(host));
 	add('post', '/v1/orders', createOrderHandler(host));
 	add('get', '/v1/orders', async ({outgoing}) => {
-		answerJson(outgoing, 200, host.engine.orders.getState(host.engine.incarnation));
+		sendJson(outgoing, 200, host.engine.orders.getState(host.engine.incarnation));
 	});
 }
--- a/stand-ins/engine/subscriber.ts
+++ b/stand-ins/engine/subscriber.ts
@@ -1,8 +1,8 @@
 /** Connections subscribed to an attempt, answered by an event stream or by one JSON response. */
 import {type Response as Outgoing} from 'restify';
 import {type Frame} from '../../src/upstream/protocol.js';
-import {answerJson} from '../common/server.js';
-import {answerText} from './answer.js';
+import {sendJson} from '../common/server.js';
+import {generateAnswer} from './answer.js';
 import {endEvent, formatEvent, type Attempt} from './attempt.js';
 import {type Faults} from './faults.js';
 
@@ -146,12 +146,12 @@
 		}
 
 		const {id, digest, output, promptTokens} = attempt.task;
-		answerJson(this.#outgoing, 200, {
+		sendJson(this.#outgoing, 200, {
 			id,
 			object: 'chat.completion',
 			choices: [{
 				index: 0,
-				message: {role: 'assistant', content: answerText(digest, output)},
+				message: {role: 'assistant', content: generateAnswer(digest, output)},
 				finish_reason: 'stop',
 			}],
 			usage: {prompt_tokens: promptTokens, completion_tokens: output, cached_tokens: attempt.cachedTokens},
--- a/stand-ins/plain/service.ts
+++ b/stand-ins/plain/service.ts
@@ -4,9 +4,9 @@
 import {shortDigest} from '../../src/protocol/blocks.js';
 import {Gate} from '../common/gate.js';
 import {
-	answerError, answerJson, header, readText, Server, type Call,
+	sendError, sendJson, getHeader, readText, Server, type Call,
 } from '../common/server.js';
-import {type Running} from '../common/command.js';
+import {type RunningProgram} from '../common/command.js';
 import {listenSchema, millisecondsSchema} from '../common/settings.js';
 import {type CallFault, type Fault, faultSchema} from './faults.js';
 
@@ -36,7 +36,7 @@
 	table.set(key, (table.get(key) ?? 0) + 1);
 }
 
-export class PlainService implements Running {
+export class PlainService implements RunningProgram {
 	/**
 	 * @param settings - Validated settings.
 	 * @returns The service, already listening.
@@ -72,10 +72,10 @@
 
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
 			await this.#applyFault(faultSchema.parse(JSON.parse(await readText(incoming))));
-			answerJson(outgoing, 204);
+			sendJson(outgoing, 204);
 		});
 		this.#control.route('get', '/control/executions', async ({outgoing}) => {
-			answerJson(outgoing, 200, this.counts);
+			sendJson(outgoing, 200, this.counts);
 		});
 	}
 
@@ -102,7 +102,7 @@
 		const body = await readText(incoming);
 		const fault = this.#takeDueFault();
 		if (fault?.type === 'refuse') {
-			answerError(outgoing, fault.status, 'refused', 'refused on demand');
+			sendError(outgoing, fault.status, 'refused', 'refused on demand');
 			return;
 		}
 
@@ -111,7 +111,7 @@
 			return;
 		}
 
-		const key = header(incoming, 'idempotency-key');
+		const key = getHeader(incoming, 'idempotency-key');
 		this.#execute(key, body);
 		await sleep(this.#settings.duration + this.#delay);
 		await this.#gate.waitUntilOpen();
@@ -121,11 +121,11 @@
 		}
 
 		if (fault?.type === 'fail-after') {
-			answerError(outgoing, fault.status, 'failed', 'failed on demand');
+			sendError(outgoing, fault.status, 'failed', 'failed on demand');
 			return;
 		}
 
-		answerJson(outgoing, 200, {
+		sendJson(outgoing, 200, {
 			service: this.#settings.id, method: incoming.method, path: incoming.url, key, body: shortDigest(body),
 		});
 	}
@@ -204,7 +204,7 @@
 		}
 
 		this.#isUp = false;
-		await this.#server.vanish();
+		await this.#server.close();
 		if (returnAfter !== undefined) {
 			this.#restartTimer = setTimeout(() => {
 				void this.#restart();
--- a/stand-ins/platform/service.ts
+++ b/stand-ins/platform/service.ts
@@ -4,9 +4,9 @@
 import {assertNever} from '../../src/core/index.js';
 import {revisionHeader, type Hosts} from '../../src/configuration-service/protocol.js';
 import {
-	answerError, answerJson, header, readText, Server, type Answer, type Call,
+	sendError, sendJson, getHeader, readText, Server, type RouteHandler, type Call,
 } from '../common/server.js';
-import {type Running} from '../common/command.js';
+import {type RunningProgram} from '../common/command.js';
 import {listenSchema, millisecondsSchema} from '../common/settings.js';
 import {CallBudget} from './budget.js';
 import {controlSchema, type Control} from './control.js';
@@ -29,7 +29,7 @@
 /** Identifies the reader for the call budget; without it, the remote address does. */
 const readerHeader = 'x-reader';
 
-export class PlatformService implements Running {
+export class PlatformService implements RunningProgram {
 	/** Starts the platform and waits until it listens. */
 	static async start(settings: Settings): Promise<PlatformService> {
 		const platform = new PlatformService(settings);
@@ -54,14 +54,14 @@
 		this.#control = new Server('platform-control', settings.control);
 		this.#server.route('get', '/v1/configuration', this.#withBudget(async call => this.#sendConfiguration(call)));
 		this.#server.route('get', '/v1/hosts', this.#withBudget(async ({outgoing}) => {
-			answerJson(outgoing, 200, {hosts: this.#getVisibleHosts()});
+			sendJson(outgoing, 200, {hosts: this.#getVisibleHosts()});
 		}));
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
 			await this.apply(controlSchema.parse(JSON.parse(await readText(incoming))));
-			answerJson(outgoing, 204);
+			sendJson(outgoing, 204);
 		});
 		this.#control.route('get', '/control/calls', async ({outgoing}) => {
-			answerJson(outgoing, 200, this.counts);
+			sendJson(outgoing, 200, this.counts);
 		});
 	}
 
@@ -101,7 +101,7 @@
 
 			case 'down': {
 				this.#isUp = false;
-				await this.#server.vanish();
+				await this.#server.close();
 				break;
 			}
 
@@ -136,11 +136,11 @@
 		}
 	}
 
-	#withBudget(handler: Answer): Answer {
+	#withBudget(handler: RouteHandler): RouteHandler {
 		return async call => {
-			const reader = header(call.incoming, readerHeader) ?? call.incoming.socket.remoteAddress ?? '';
+			const reader = getHeader(call.incoming, readerHeader) ?? call.incoming.socket.remoteAddress ?? '';
 			if (!this.#budget.countCall(reader, performance.now())) {
-				answerError(call.outgoing, 429, 'too-many-calls', 'the call budget is used up');
+				sendError(call.outgoing, 429, 'too-many-calls', 'the call budget is used up');
 				return;
 			}
 
--- a/stand-ins/proxy/service.ts
+++ b/stand-ins/proxy/service.ts
@@ -3,8 +3,8 @@
 import {createServer, type Server as TcpServer, type Socket} from 'node:net';
 import {z} from 'zod';
 import {type Address} from '../../src/core/index.js';
-import {answerJson, readText, Server} from '../common/server.js';
-import {type Running} from '../common/command.js';
+import {sendJson, readText, Server} from '../common/server.js';
+import {type RunningProgram} from '../common/command.js';
 import {addressSchema, listenSchema} from '../common/settings.js';
 import {
 	affects, combineFaults, faultSchema, type Fault, type Route,
@@ -32,7 +32,7 @@
 
 type OpenLink = {readonly name: string; readonly server: TcpServer; readonly address: Address};
 
-export class FaultProxy implements Running {
+export class FaultProxy implements RunningProgram {
 	/** Starts the proxy with its links and waits until they listen. */
 	static async start(settings: Settings): Promise<FaultProxy> {
 		const proxy = new FaultProxy(settings);
@@ -56,7 +56,7 @@
 		this.#control = new Server('proxy-control', settings.control);
 		this.#control.route('post', '/control', async ({incoming, outgoing}) => {
 			this.apply(faultSchema.parse(JSON.parse(await readText(incoming))));
-			answerJson(outgoing, 204);
+			sendJson(outgoing, 204);
 		});
 	}
 
--- a/stand-ins/weights/service.ts
+++ b/stand-ins/weights/service.ts
@@ -1,8 +1,8 @@
 /** A weight store that serves a limited number of loads per second, over all clients. */
 import {performance} from 'node:perf_hooks';
 import {z} from 'zod';
-import {answerError, answerJson, Server} from '../common/server.js';
-import {type Running} from '../common/command.js';
+import {sendError, sendJson, Server} from '../common/server.js';
+import {type RunningProgram} from '../common/command.js';
 import {listenSchema} from '../common/settings.js';
 
 export const settingsSchema = z.object({
@@ -15,7 +15,7 @@
 
 const secondMs = 1000;
 
-export class WeightStoreService implements Running {
+export class WeightStoreService implements RunningProgram {
 	/**
 	 * @param settings - Validated settings.
 	 * @returns The store, already listening.
@@ -40,14 +40,14 @@
 			const wait = this.#takeLoad(performance.now());
 			if (wait > 0) {
 				outgoing.setHeader('retry-after', Math.ceil(wait / secondMs));
-				answerError(outgoing, 429, 'too-many-loads', 'the store is at its rate');
+				sendError(outgoing, 429, 'too-many-loads', 'the store is at its rate');
 				return;
 			}
 
-			answerJson(outgoing, 200, {model: parameters.model, version: parameters.version});
+			sendJson(outgoing, 200, {model: parameters.model, version: parameters.version});
 		});
 		this.#server.route('get', '/control/counters', async ({outgoing}) => {
-			answerJson(outgoing, 200, this.#counters);
+			sendJson(outgoing, 200, this.#counters);
 		});
 	}
 
