--- a/__tests__/gateway/explain.test.ts
+++ b/__tests__/gateway/explain.test.ts
@@ -7,7 +7,7 @@
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
 import {runCommand} from '../../src/cli/__tests__/fakes.js';
-import {call, prompt} from '../../bench/gateway/asking.js';
+import {sendRequest, createPromptHeaders} from '../../bench/gateway/caller-requests.js';
 import {Site} from '../../bench/gateway/site.js';
 
 let site: Site;
@@ -31,7 +31,7 @@
 }
 
 async function runExplain(id: string): Promise<string> {
-	await expect.poll(() => site.hosts[0]!.logged('ended', id).length, {timeout: 3000}).toBe(1);
+	await expect.poll(() => site.hosts[0]!.findLogLines('ended', id).length, {timeout: 3000}).toBe(1);
 	const {code, out} = await runCommand(['explain', id, '--logs', writeLogs()]);
 	expect(code).toBe(0);
 	return out;
@@ -43,7 +43,7 @@
 			engine.fault = 'shed';
 		}
 
-		const answer = await site.ask({path: '/ask/x', id: 'complaint-1', headers: prompt(1000, 3)});
+		const answer = await site.ask({path: '/ask/x', id: 'complaint-1', headers: createPromptHeaders(1000, 3)});
 		expect(answer.status).toBe(503);
 		const out = await runExplain('complaint-1');
 		expect(out).toMatch(/Sent to engine-\d as attempt .+ of 1000 tokens/v);
@@ -56,7 +56,7 @@
 			engine.fault = 'cut';
 		}
 
-		const answer = await site.ask({path: '/ask/x', id: 'complaint-2', headers: prompt(1000, 30)});
+		const answer = await site.ask({path: '/ask/x', id: 'complaint-2', headers: createPromptHeaders(1000, 30)});
 		expect(answer.isWhole).toBe(false);
 		const out = await runExplain('complaint-2');
 		expect(out.match(/may have run at engine-\d, no whole answer came/gv)?.length).toBe(2);
@@ -87,7 +87,7 @@
 	it('summarizes failed upstreams and the outcomes of requests', async () => {
 		await site.plains[0]!.crash();
 		site.store.remove('servers/plain-0');
-		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').length, {timeout: 4000}).toBe(1);
+		await expect.poll(() => site.hosts[0]!.findLogLines('upstream-gone').length, {timeout: 4000}).toBe(1);
 		const {code, out} = await runCommand(['incidents', '--logs', writeLogs()]);
 		expect(code).toBe(0);
 		expect(out).toMatch(/Requests: .*refusedByUpstream 1/v);
@@ -107,7 +107,7 @@
 });
 
 it('metrics are in the Prometheus text format and count requests by outcome', async () => {
-	const answer = await call(site.hosts[0]!.metrics, {path: '/metrics', id: '', method: 'GET'});
+	const answer = await sendRequest(site.hosts[0]!.metrics, {path: '/metrics', id: '', method: 'GET'});
 	expect(answer.status).toBe(200);
 	expect(answer.body).toMatch(/^cranberrytide_requests_total\{service="plain",kind="non-idempotent",length="none",outcome="outcomeUnknown"\} 1$/mv);
 	expect(answer.body).toMatch(/^cranberrytide_first_byte_milliseconds_bucket\{le="300",service="model",length="short"\} \d+$/mv);
@@ -127,9 +127,9 @@
 		engine.fault = 'shed';
 	}
 
-	const answer = await limited.ask({path: '/ask/x', id: 'denied-1', headers: prompt(1000, 3)});
+	const answer = await limited.ask({path: '/ask/x', id: 'denied-1', headers: createPromptHeaders(1000, 3)});
 	expect(answer.status).toBe(503);
-	await expect.poll(() => limited.hosts[0]!.logged('ended', 'denied-1').length, {timeout: 3000}).toBe(1);
+	await expect.poll(() => limited.hosts[0]!.findLogLines('ended', 'denied-1').length, {timeout: 3000}).toBe(1);
 	const file = path.join(directory, 'denied.log');
 	writeFileSync(file, limited.hosts[0]!.lines.map(line => JSON.stringify(line)).join('\n'));
 	const {code, out} = await runCommand(['explain', 'denied-1', '--logs', file]);
--- a/__tests__/gateway/forwarding.test.ts
+++ b/__tests__/gateway/forwarding.test.ts
@@ -3,8 +3,8 @@
 import {
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
-import {eventsOf, prompt} from '../../bench/gateway/asking.js';
-import {configuration} from '../../bench/gateway/figures.js';
+import {parseEventIds, createPromptHeaders} from '../../bench/gateway/caller-requests.js';
+import {createConfiguration} from '../../bench/gateway/configuration.js';
 import {Site} from '../../bench/gateway/site.js';
 
 let site: Site;
@@ -23,7 +23,7 @@
 			path: '/once/a%20b?x=1', id: 'pass-1', body: 'pay 10', headers: {'X-Custom': 'kept', 'X-Tenant': 'forged'},
 		});
 		expect(answer).toMatchObject({status: 200, isWhole: true, body: 'answer to pass-1: pay 10'});
-		const [run, ...more] = site.ledger.of('pass-1');
+		const [run, ...more] = site.ledger.findRuns('pass-1');
 		expect(more).toEqual([]);
 		expect(run).toMatchObject({method: 'POST', path: '/once/a%20b?x=1', body: 'pay 10'});
 		expect(run!.headers).toMatchObject({
@@ -40,14 +40,14 @@
 		const answer = await site.ask({
 			path: '/ask/x',
 			id: 'stream-1',
-			headers: prompt(3000, 12),
+			headers: createPromptHeaders(3000, 12),
 			body: 'prompt',
 			onData() {
 				times.push(performance.now());
 			},
 		});
 		expect(answer).toMatchObject({status: 200, isWhole: true});
-		expect(eventsOf(answer)).toEqual([1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]);
+		expect(parseEventIds(answer)).toEqual([1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]);
 		expect(times.length).toBeGreaterThan(5);
 	});
 
@@ -75,7 +75,7 @@
 		const answer = await site.ask(asking);
 		expect(answer.status).toBe(status);
 		expect(answer.took).toBeLessThan(700);
-		expect(site.ledger.of(asking.id)).toEqual([]);
+		expect(site.ledger.findRuns(asking.id)).toEqual([]);
 	});
 
 	it('has a Retry-After header if it has not run', async () => {
@@ -86,7 +86,7 @@
 	it('needs no key on a public route', async () => {
 		const answer = await site.ask({path: '/open/x', id: 'open-1', headers: {authorization: 'Bearer other'}});
 		expect(answer.status).toBe(200);
-		expect(site.ledger.of('open-1')[0]!.headers['x-tenant']).toBeUndefined();
+		expect(site.ledger.findRuns('open-1')[0]!.headers['x-tenant']).toBeUndefined();
 	});
 });
 
@@ -111,28 +111,28 @@
 		const pendingAnswer = site.ask({
 			path: '/ask/x',
 			id: 'gone-1',
-			headers: prompt(2000, 400),
+			headers: createPromptHeaders(2000, 400),
 			signal: leaving.signal,
 			onData() {
 				leaving.abort();
 			},
 		});
 		await expect(pendingAnswer.then(answer => answer.isWhole)).resolves.toBe(false);
-		await expect.poll(() => site.hosts[0]!.logged('ended', 'gone-1').length, {timeout: 2000}).toBe(1);
-		expect(site.hosts[0]!.logged('ended', 'gone-1')[0]).toMatchObject({outcome: 'caller left'});
+		await expect.poll(() => site.hosts[0]!.findLogLines('ended', 'gone-1').length, {timeout: 2000}).toBe(1);
+		expect(site.hosts[0]!.findLogLines('ended', 'gone-1')[0]).toMatchObject({outcome: 'caller left'});
 	});
 });
 
 describe('configuration', () => {
 	it('is applied soon after it is written, and never reverts to an older version', async () => {
-		site.store.put('op/config', configuration(7, {Tenants: [{Name: 'acme', ApiKeys: ['key-of-acme', 'new-key']}]}));
+		site.store.put('op/config', createConfiguration(7, {Tenants: [{Name: 'acme', ApiKeys: ['key-of-acme', 'new-key']}]}));
 		await expect.poll(async () => {
 			const answer = await site.ask({path: '/read/x', id: 'new-1', headers: {authorization: 'Bearer new-key'}});
 			return answer.status;
 		}, {timeout: 2000, interval: 50}).toBe(200);
-		site.store.put('op/config', configuration(3));
+		site.store.put('op/config', createConfiguration(3));
 		site.store.put('op/config', {Version: 'nine'});
-		await expect.poll(() => site.hosts[0]!.logged('configuration-refused').length, {timeout: 3000}).toBe(1);
+		await expect.poll(() => site.hosts[0]!.findLogLines('configuration-refused').length, {timeout: 3000}).toBe(1);
 		const answer = await site.ask({path: '/read/x', id: 'new-2', headers: {authorization: 'Bearer new-key'}});
 		expect(answer.status).toBe(200);
 	});
@@ -140,7 +140,7 @@
 	it('skips an invalid registration and keeps the others', async () => {
 		site.store.put('servers/odd', {Service: 'plain', Address: 12});
 		site.store.put('servers/odder', 'text');
-		await expect.poll(() => site.hosts[0]!.logged('registration-refused').length, {timeout: 3000}).toBe(2);
+		await expect.poll(() => site.hosts[0]!.findLogLines('registration-refused').length, {timeout: 3000}).toBe(2);
 		const answer = await site.ask({path: '/read/x', id: 'odd-1'});
 		expect(answer.status).toBe(200);
 	});
--- a/__tests__/gateway/rerouting.test.ts
+++ b/__tests__/gateway/rerouting.test.ts
@@ -1,7 +1,7 @@
 /** Hosts that choose the same engine at the same time: one of the requests is rerouted before it is delayed. */
 import {createConnection} from 'node:net';
 import {expect, it} from 'vitest';
-import {eventsOf, prompt} from '../../bench/gateway/asking.js';
+import {parseEventIds, createPromptHeaders} from '../../bench/gateway/caller-requests.js';
 import {Site} from '../../bench/gateway/site.js';
 import {ignore} from '../../src/entry/ignore.js';
 import {Link} from '../../src/gateway/peers/link.js';
@@ -37,22 +37,22 @@
 		},
 		known: [],
 	});
-	await expect.poll(() => host.logged('peer-linked').length, {timeout: 3000}).toBe(1);
+	await expect.poll(() => host.findLogLines('peer-linked').length, {timeout: 3000}).toBe(1);
 
 	let reroutedId: string | undefined;
 	for (let index = 0; index < maxAttempts && reroutedId === undefined; index++) {
 		const id = `met-${index}`;
-		const answer = await site.ask({path: '/ask/x', id, headers: prompt(40_000, 3)});
-		expect(eventsOf(answer)).toEqual([1, 2, 3]);
-		reroutedId = host.logged('moving', id).length > 0 ? id : undefined;
+		const answer = await site.ask({path: '/ask/x', id, headers: createPromptHeaders(40_000, 3)});
+		expect(parseEventIds(answer)).toEqual([1, 2, 3]);
+		reroutedId = host.findLogLines('moving', id).length > 0 ? id : undefined;
 	}
 
 	expect(reroutedId).toBeDefined();
-	const runs = site.ledger.of(reroutedId ?? '').map(run => run.upstream);
+	const runs = site.ledger.findRuns(reroutedId ?? '').map(run => run.upstream);
 	expect(runs.length).toBeLessThanOrEqual(2);
-	await expect.poll(() => host.logged('ended', reroutedId)).toMatchObject([{outcome: 'answered', attempts: 2}]);
-	const [first, second] = host.logged('placed', reroutedId);
+	await expect.poll(() => host.findLogLines('ended', reroutedId)).toMatchObject([{outcome: 'answered', attempts: 2}]);
+	const [first, second] = host.findLogLines('placed', reroutedId);
 	expect(second!.upstream).not.toBe(first!.upstream);
-	expect(host.logged('moving', reroutedId)).toHaveLength(1);
+	expect(host.findLogLines('moving', reroutedId)).toHaveLength(1);
 	link.close('over');
 });
--- a/__tests__/gateway/stops.test.ts
+++ b/__tests__/gateway/stops.test.ts
@@ -9,8 +9,8 @@
 } from 'vitest';
 import {z} from 'zod';
 import {messageOf, type Address} from '../../src/core/index.js';
-import {eventsOf, prompt} from '../../bench/gateway/asking.js';
-import {configuration} from '../../bench/gateway/figures.js';
+import {parseEventIds, createPromptHeaders} from '../../bench/gateway/caller-requests.js';
+import {createConfiguration} from '../../bench/gateway/configuration.js';
 import {Site, type SiteOptions} from '../../bench/gateway/site.js';
 
 let site: Site;
@@ -66,7 +66,7 @@
 		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
 		const agent = new Agent({keepAlive: true});
-		const running = site.ask({path: '/ask/x', id: 'long-1', headers: prompt(2000, 120)});
+		const running = site.ask({path: '/ask/x', id: 'long-1', headers: createPromptHeaders(2000, 120)});
 		await sleep(150);
 		host!.process.kill('SIGTERM');
 		await sleep(300);
@@ -78,7 +78,7 @@
 		expect(late.headers.connection).toBe('close');
 		const answer = await running;
 		expect(answer.isWhole).toBe(true);
-		expect(eventsOf(answer).length).toBe(120);
+		expect(parseEventIds(answer).length).toBe(120);
 		await expect.poll(() => host!.process.exitCode, {timeout: 6000}).toBe(0);
 		agent.destroy();
 	});
@@ -88,13 +88,13 @@
 	it('accepts no request that it would have to cut: late ones are refused as not run', async () => {
 		await startSite({settings: {grace: 6000}});
 		const [host] = site.hosts;
-		const running = site.ask({path: '/ask/x', id: 'long-2', headers: prompt(2000, 380)});
+		const running = site.ask({path: '/ask/x', id: 'long-2', headers: createPromptHeaders(2000, 380)});
 		await sleep(100);
 		host!.process.kill('SIGTERM');
 		await sleep(3000);
-		const late = await site.ask({path: '/ask/x', id: 'late-2', headers: prompt(2000, 380)});
+		const late = await site.ask({path: '/ask/x', id: 'late-2', headers: createPromptHeaders(2000, 380)});
 		expect(late.status).toBe(503);
-		expect(site.ledger.of('late-2')).toEqual([]);
+		expect(site.ledger.findRuns('late-2')).toEqual([]);
 		const answer = await running;
 		expect(answer.isWhole).toBe(true);
 	});
@@ -104,7 +104,7 @@
 	it('cuts no request on a connection that was just opened', async () => {
 		await startSite({settings: {grace: 8000}});
 		const [host] = site.hosts;
-		const running = site.ask({path: '/ask/x', id: 'long-3', headers: prompt(2000, 380)});
+		const running = site.ask({path: '/ask/x', id: 'long-3', headers: createPromptHeaders(2000, 380)});
 		await sleep(100);
 		host!.process.kill('SIGTERM');
 		await sleep(3000);
@@ -161,7 +161,7 @@
 		await startSite({});
 		site.store.mode = 'busy';
 		await sleep(1300);
-		site.store.put('op/config', configuration(5, {Tenants: [{Name: 'acme', ApiKeys: ['fresh']}]}));
+		site.store.put('op/config', createConfiguration(5, {Tenants: [{Name: 'acme', ApiKeys: ['fresh']}]}));
 		site.store.remove('servers/plain-0');
 		site.store.compact();
 		site.store.mode = 'serving';
@@ -169,7 +169,7 @@
 			const answer = await site.ask({path: '/read/x', id: 'fresh-1', headers: {authorization: 'Bearer fresh'}});
 			return answer.status;
 		}, {timeout: 4000}).toBe(200);
-		await expect.poll(() => site.hosts[0]!.logged('upstream-gone').map(line => line.upstream), {timeout: 4000}).toEqual(['plain-0']);
+		await expect.poll(() => site.hosts[0]!.findLogLines('upstream-gone').map(line => line.upstream), {timeout: 4000}).toEqual(['plain-0']);
 	});
 
 	it('is read at most twice a second by each host, no matter how often upstreams write', async () => {
@@ -186,32 +186,32 @@
 
 describe('the only host that cannot reach the store', () => {
 	it('receives changes from its peers, including revoked keys', async () => {
-		await startSite({hosts: 3, apart: 1, settings: {revocation: 2500}});
+		await startSite({hosts: 3, secondaryStoreHost: 1, settings: {revocation: 2500}});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
-		await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
-		site.store.sideMode = 'reset';
+		await expect.poll(() => second!.findLogLines('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		await expect.poll(() => first!.findLogLines('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		site.store.secondaryMode = 'reset';
 		await sleep(3500);
 		const served = await site.ask({path: '/read/x', id: 'lost-1'}, second);
 		expect(served.status).toBe(200);
-		site.store.put('op/config', configuration(9, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
+		site.store.put('op/config', createConfiguration(9, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
 		site.store.remove('servers/plain-0');
 		await sleep(2500);
 		const revoked = await site.ask({path: '/read/x', id: 'lost-2'}, second);
 		expect(revoked.status).toBe(401);
-		expect(second!.logged('upstream-gone').map(line => line.upstream)).toEqual(['plain-0']);
+		expect(second!.findLogLines('upstream-gone').map(line => line.upstream)).toEqual(['plain-0']);
 	});
 });
 
 describe('a failure domain of many hosts', () => {
 	it('has two hosts read the store, and all of them receive changes in time', async () => {
 		await startSite({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.findLogLines('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		await sleep(1500);
 		const before = site.store.calls;
 		await sleep(3000);
 		expect(site.store.calls - before).toBeLessThanOrEqual(10);
-		site.store.put('op/config', configuration(4, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
+		site.store.put('op/config', createConfiguration(4, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
 		await sleep(1900);
 		for (const host of site.hosts) {
 			const answer = await site.ask({path: '/read/x', id: `all-${host.name}`}, host);
@@ -221,11 +221,11 @@
 
 	it('keeps reading the store after the reading hosts fail', async () => {
 		await startSite({hosts: 6});
-		await expect.poll(() => Math.min(...site.hosts.map(host => host.logged('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
+		await expect.poll(() => Math.min(...site.hosts.map(host => host.findLogLines('peer-linked').length)), {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(5);
 		const [kept, ...others] = site.hosts;
 		await Promise.all(others.map(async host => host.kill()));
 		await sleep(500);
-		site.store.put('op/config', configuration(4, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
+		site.store.put('op/config', createConfiguration(4, {Tenants: [{Name: 'acme', ApiKeys: ['other']}]}));
 		await sleep(1900);
 		const answer = await site.ask({path: '/read/x', id: 'alone-1'}, kept);
 		expect(answer.status).toBe(401);
@@ -236,15 +236,15 @@
 	it('know what each other sent, and discard the jobs of a killed host', async () => {
 		await startSite({hosts: 3});
 		const [first, second] = site.hosts;
-		await expect.poll(() => second!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
-		const pendingAnswer = site.ask({path: '/ask/x', id: 'seen-1', headers: prompt(2000, 200)}, first).catch(() => undefined);
+		await expect.poll(() => second!.findLogLines('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+		const pendingAnswer = site.ask({path: '/ask/x', id: 'seen-1', headers: createPromptHeaders(2000, 200)}, first).catch(() => undefined);
 		await sleep(300);
 		await site.ask({path: '/read/x', id: 'seen-2'}, second);
-		expect(second!.logged('placed', 'seen-2')[0]).toMatchObject({jobs: 2});
+		expect(second!.findLogLines('placed', 'seen-2')[0]).toMatchObject({jobs: 2});
 		await first!.kill();
 		await sleep(200);
 		await site.ask({path: '/read/x', id: 'seen-3'}, second);
-		expect(second!.logged('placed', 'seen-3')[0]).toMatchObject({jobs: 1});
+		expect(second!.findLogLines('placed', 'seen-3')[0]).toMatchObject({jobs: 1});
 		await pendingAnswer;
 	});
 });
@@ -252,30 +252,30 @@
 it('drops an unresponsive peer even though it is still sent messages', async () => {
 	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(1);
+	await expect.poll(() => first!.findLogLines('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(1);
 	second!.process.kill('SIGSTOP');
-	await expect.poll(() => first!.logged('peer-lost').map(line => line.reason), {timeout: linkTimeoutMs}).toEqual(['silent']);
+	await expect.poll(() => first!.findLogLines('peer-lost').map(line => line.reason), {timeout: linkTimeoutMs}).toEqual(['silent']);
 	second!.process.kill('SIGCONT');
-	await expect.poll(() => first!.logged('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
+	await expect.poll(() => first!.findLogLines('peer-linked').length, {timeout: linkTimeoutMs}).toBeGreaterThanOrEqual(2);
 });
 
 it('exits with a result code when its settings are invalid', async () => {
 	await startSite({});
 	const [host] = site.hosts;
 	await host!.kill();
-	writeFileSync(host!.file, '{"host": 5}');
+	writeFileSync(host!.settingsFile, '{"host": 5}');
 	host!.start();
 	await expect.poll(() => host!.process.exitCode, {timeout: 5000}).toBe(2);
-	expect(host!.logged('failed')[0]).toMatchObject({code: 6001});
+	expect(host!.findLogLines('failed')[0]).toMatchObject({code: 6001});
 });
 
 it('exits with a result code when its port is in use', async () => {
 	await startSite({hosts: 2});
 	const [first, second] = site.hosts;
 	await second!.kill();
-	const settings = z.record(z.string(), z.unknown()).parse(JSON.parse(readFileSync(second!.file, 'utf8')));
-	writeFileSync(second!.file, JSON.stringify({...settings, ready: `${first!.ready.host}:${first!.ready.port}`}));
+	const settings = z.record(z.string(), z.unknown()).parse(JSON.parse(readFileSync(second!.settingsFile, 'utf8')));
+	writeFileSync(second!.settingsFile, JSON.stringify({...settings, ready: `${first!.ready.host}:${first!.ready.port}`}));
 	second!.start();
 	await expect.poll(() => second!.process.exitCode, {timeout: linkTimeoutMs}).toBe(1);
-	expect(second!.logged('failed')[0]).toMatchObject({code: 6003});
+	expect(second!.findLogLines('failed')[0]).toMatchObject({code: 6003});
 });
--- a/__tests__/gateway/upstreams.test.ts
+++ b/__tests__/gateway/upstreams.test.ts
@@ -8,7 +8,7 @@
 } from 'vitest';
 import {type Fault} from '../../stand-ins/gateway/faults.js';
 import {type UpstreamStandIn} from '../../stand-ins/gateway/upstream.js';
-import {eventsOf, prompt} from '../../bench/gateway/asking.js';
+import {parseEventIds, createPromptHeaders} from '../../bench/gateway/caller-requests.js';
 import {Site} from '../../bench/gateway/site.js';
 
 let site: Site;
@@ -38,7 +38,7 @@
 		for (const [index, path] of ['/once/x', '/read/x', '/once/y', '/read/y'].entries()) {
 			const id = `${fault}-${index}`;
 			const answer = await site.ask({path, id, body: 'b'.repeat(index * 30_000)});
-			const runs = site.ledger.of(id);
+			const runs = site.ledger.findRuns(id);
 			expect(answer.status).toBeGreaterThanOrEqual(500);
 			expect(path.startsWith('/once') ? runs.length : 0).toBeLessThanOrEqual(1);
 			expect(notRunStatuses.has(answer.status) && path.startsWith('/once') && runs.length > 0).toBe(false);
@@ -60,10 +60,10 @@
 	const answer = await site.ask({path: '/once/x', id: 'promise-once'});
 	expect(answer.status).toBe(502);
 	const host = site.hosts[0]!;
-	await expect.poll(() => host.logged('ended', 'promise-once').length, {timeout: 2000}).toBeGreaterThan(0);
+	await expect.poll(() => host.findLogLines('ended', 'promise-once').length, {timeout: 2000}).toBeGreaterThan(0);
 	await site.ask({path: '/open/x', id: 'promise-after'});
-	await expect.poll(() => host.logged('ended', 'promise-after').length, {timeout: 2000}).toBeGreaterThan(0);
-	expect(host.logged('ended', 'promise-once')).toMatchObject([{outcome: 'outcomeUnknown', attempts: 1}]);
+	await expect.poll(() => host.findLogLines('ended', 'promise-after').length, {timeout: 2000}).toBeGreaterThan(0);
+	expect(host.findLogLines('ended', 'promise-once')).toMatchObject([{outcome: 'outcomeUnknown', attempts: 1}]);
 });
 
 it('skips an upstream that refuses connections, even where only one attempt is allowed', async () => {
@@ -71,7 +71,7 @@
 	for (let index = 0; index < 4; index++) {
 		const answer = await site.ask({path: '/single/x', id: `single-${index}`});
 		expect(answer.status).toBe(200);
-		expect(site.ledger.of(`single-${index}`).length).toBe(1);
+		expect(site.ledger.findRuns(`single-${index}`).length).toBe(1);
 	}
 });
 
@@ -98,39 +98,39 @@
 describe('a stream', () => {
 	it('continues at another engine after it breaks off, without gaps or repeats', async () => {
 		// Each host has its own preference among idle engines, so find out which one it chooses.
-		await site.ask({path: '/ask/x', id: 'probe-1', headers: prompt(1000, 1)});
-		const first = site.engines.find(engine => engine.id === site.ledger.of('probe-1')[0]!.upstream)!;
+		await site.ask({path: '/ask/x', id: 'probe-1', headers: createPromptHeaders(1000, 1)});
+		const first = site.engines.find(engine => engine.id === site.ledger.findRuns('probe-1')[0]!.upstream)!;
 		first.fault = 'cut';
-		const answer = await site.ask({path: '/ask/x', id: 'resumed-1', headers: prompt(1000, 8)});
+		const answer = await site.ask({path: '/ask/x', id: 'resumed-1', headers: createPromptHeaders(1000, 8)});
 		expect(answer.isWhole).toBe(true);
-		expect(eventsOf(answer)).toEqual([1, 2, 3, 4, 5, 6, 7, 8]);
-		const ran = site.ledger.of('resumed-1').map(run => run.upstream);
+		expect(parseEventIds(answer)).toEqual([1, 2, 3, 4, 5, 6, 7, 8]);
+		const ran = site.ledger.findRuns('resumed-1').map(run => run.upstream);
 		expect([ran[0], new Set(ran).size, ran.length]).toEqual([first.id, 2, 2]);
 	});
 
 	it('is sent to another engine if the first one does not respond', async () => {
-		await site.ask({path: '/ask/x', id: 'probe-2', headers: prompt(1000, 1)});
-		site.engines.find(engine => engine.id === site.ledger.of('probe-2')[0]!.upstream)!.fault = 'dark';
+		await site.ask({path: '/ask/x', id: 'probe-2', headers: createPromptHeaders(1000, 1)});
+		site.engines.find(engine => engine.id === site.ledger.findRuns('probe-2')[0]!.upstream)!.fault = 'dark';
 		for (let index = 0; index < 3; index++) {
-			const answer = await site.ask({path: '/ask/x', id: `dark-${index}`, headers: prompt(1000, 3)});
-			expect(eventsOf(answer)).toEqual([1, 2, 3]);
+			const answer = await site.ask({path: '/ask/x', id: `dark-${index}`, headers: createPromptHeaders(1000, 3)});
+			expect(parseEventIds(answer)).toEqual([1, 2, 3]);
 		}
 	});
 
 	it('never looks complete when every engine breaks it off', async () => {
 		setFault(site.engines, 'cut');
-		const answer = await site.ask({path: '/ask/x', id: 'cut-1', headers: prompt(1000, 20)});
+		const answer = await site.ask({path: '/ask/x', id: 'cut-1', headers: createPromptHeaders(1000, 20)});
 		expect(answer.isWhole).toBe(false);
-		expect(site.ledger.of('cut-1').length).toBe(2);
+		expect(site.ledger.findRuns('cut-1').length).toBe(2);
 	});
 });
 
 describe('a prompt larger than an engine', () => {
 	it('is prefilled by several engines, and their memory is released afterwards', async () => {
-		const answer = await site.ask({path: '/ask/x', id: 'large-1', headers: prompt(150_000, 5)});
+		const answer = await site.ask({path: '/ask/x', id: 'large-1', headers: createPromptHeaders(150_000, 5)});
 		expect(answer).toMatchObject({status: 200, isWhole: true});
-		expect(eventsOf(answer)).toEqual([1, 2, 3, 4, 5]);
-		expect(String(site.ledger.of('large-1')[0]!.headers['x-helpers'])).toMatch(/\//v);
+		expect(parseEventIds(answer)).toEqual([1, 2, 3, 4, 5]);
+		expect(String(site.ledger.findRuns('large-1')[0]!.headers['x-helpers'])).toMatch(/\//v);
 		await expect.poll(() => site.engines.flatMap(each => each.tickets), {timeout: 2000}).toEqual([]);
 	});
 
@@ -139,7 +139,7 @@
 		const pendingAnswer = site.ask({
 			path: '/ask/x',
 			id: 'large-2',
-			headers: prompt(150_000, 500),
+			headers: createPromptHeaders(150_000, 500),
 			signal: leaving.signal,
 			onData() {
 				leaving.abort();
@@ -151,7 +151,7 @@
 		const cut = site.ask({
 			path: '/ask/x',
 			id: 'large-3',
-			headers: prompt(150_000, 500),
+			headers: createPromptHeaders(150_000, 500),
 			onData() {
 				site.hosts[0]!.process.kill('SIGKILL');
 			},
@@ -165,18 +165,18 @@
 	setFault(site.engines, 'lost');
 	for (let index = 0; index < 5; index++) {
 		await site.ask({
-			path: '/ask/x', id: `crash-${index}`, headers: prompt(1000, 3), body: 'the same',
+			path: '/ask/x', id: `crash-${index}`, headers: createPromptHeaders(1000, 3), body: 'the same',
 		});
 	}
 
 	setFault(site.engines, 'none');
 	const answer = await site.ask({
-		path: '/ask/x', id: 'crash-9', headers: prompt(1000, 3), body: 'the same',
+		path: '/ask/x', id: 'crash-9', headers: createPromptHeaders(1000, 3), body: 'the same',
 	});
 	expect(answer.status).toBe(503);
-	expect(site.ledger.of('crash-9')).toEqual([]);
+	expect(site.ledger.findRuns('crash-9')).toEqual([]);
 	const other = await site.ask({
-		path: '/ask/x', id: 'crash-10', headers: prompt(1000, 3), body: 'another',
+		path: '/ask/x', id: 'crash-10', headers: createPromptHeaders(1000, 3), body: 'another',
 	});
 	expect(other.status).toBe(200);
 });
@@ -199,12 +199,12 @@
 
 it('prefills a long prompt on one engine when no other engine helps', async () => {
 	for (const engine of site.engines) {
-		engine.isAloof = true;
+		engine.isRefusingHelp = true;
 	}
 
-	const answer = await site.ask({path: '/ask/x', id: 'aloof', headers: prompt(80_000, 3)});
-	expect([answer.status, eventsOf(answer)]).toEqual([200, [1, 2, 3]]);
-	const sent = site.hosts[0]!.logged('placed', 'aloof');
+	const answer = await site.ask({path: '/ask/x', id: 'aloof', headers: createPromptHeaders(80_000, 3)});
+	expect([answer.status, parseEventIds(answer)]).toEqual([200, [1, 2, 3]]);
+	const sent = site.hosts[0]!.findLogLines('placed', 'aloof');
 	expect(new Set(sent.map(line => line.upstream)).size).toBeLessThanOrEqual(2);
 	expect(sent.length).toBeGreaterThan(2);
 });
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -29,7 +29,7 @@
 ): Promise<ReadonlyMap<string, Address>> {
 	const addresses = new Map<string, Address>();
 	for (const {id, domain} of [...listEngines(shape), ...listPlainServices(shape)]) {
-		addresses.set(id, await proxy.open({name: id, domain, target: targets.get(id)}));
+		addresses.set(id, await proxy.openLink({name: id, domain, target: targets.get(id)}));
 	}
 
 	return addresses;
--- a/bench/fleet/hosts.ts
+++ b/bench/fleet/hosts.ts
@@ -194,11 +194,11 @@
 			return this.#links.get(id);
 		}
 
-		proxy.place(source, domain);
+		proxy.setFailureDomain(source, domain);
 		const links: HostLinks = {
-			caller: await proxy.open({name: `${id}-caller`, domain}),
-			peer: await proxy.open({name: `${id}-peer`, domain}),
-			platform: await proxy.open({name: `${id}-platform`, domain: 'platform', target: this.#platform}),
+			caller: await proxy.openLink({name: `${id}-caller`, domain}),
+			peer: await proxy.openLink({name: `${id}-peer`, domain}),
+			platform: await proxy.openLink({name: `${id}-platform`, domain: 'platform', target: this.#platform}),
 		};
 		this.#links.set(id, links);
 		return links;
--- a/bench/gateway/asking.ts
+++ b/bench/gateway/caller-requests.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {Agent, request} from 'node:http';
 import {type Address} from '../../src/core/index.js';
-import {engineConfiguration} from './figures.js';
+import {engineConfiguration} from './configuration.js';
 
 export type Answer = {
 	readonly status: number;
@@ -15,7 +15,7 @@
 };
 
 /** A request of a caller. */
-export type Asking = {
+export type CallerRequest = {
 	readonly path: string;
 	/** Sent as `X-Request-Id` unless empty. */
 	readonly id: string;
@@ -29,7 +29,7 @@
 };
 
 /** The connection failed before any answer arrived. */
-export class CallFailure extends Error {
+export class ConnectionError extends Error {
 	/** Whether the connection had carried other requests. */
 	readonly isReused: boolean;
 
@@ -43,9 +43,9 @@
  * Sends a request.
  *
  * @returns The answer, which may be incomplete.
- * @throws {CallFailure} If the connection fails before the answer begins.
+ * @throws {ConnectionError} If the connection fails before the answer begins.
  */
-export async function call(address: Address, callerRequest: Asking): Promise<Answer> {
+export async function sendRequest(address: Address, callerRequest: CallerRequest): Promise<Answer> {
 	const began = performance.now();
 	return new Promise((resolve, reject) => {
 		let isAnswered = false;
@@ -79,7 +79,7 @@
 		});
 		outgoing.on('error', error => {
 			if (!isAnswered) {
-				reject(new CallFailure(error, outgoing.reusedSocket));
+				reject(new ConnectionError(error, outgoing.reusedSocket));
 			}
 		});
 		outgoing.end(callerRequest.body);
@@ -91,13 +91,13 @@
  * @param events - Number of events of the answer.
  * @returns The headers of a model request.
  */
-export function prompt(tokens: number, events: number): Readonly<Record<string, string>> {
+export function createPromptHeaders(tokens: number, events: number): Readonly<Record<string, string>> {
 	return {'X-Model': 'm', 'X-Token-Count': `${tokens},${events * engineConfiguration.Stride}`};
 }
 
 /**
  * @returns The ids of the events in a streamed answer, in order.
  */
-export function eventsOf(answer: Answer): readonly number[] {
+export function parseEventIds(answer: Answer): readonly number[] {
 	return [...answer.body.matchAll(/^id: (\d+)$/gmv)].map(match => Number(match[1]));
 }
--- a/bench/gateway/figures.ts
+++ b/bench/gateway/configuration.ts
@@ -49,7 +49,7 @@
  * @param change - Top-level fields that replace the defaults.
  * @returns A configuration in the operator's format.
  */
-export function configuration(version: number, change: Readonly<Record<string, unknown>> = {}): unknown {
+export function createConfiguration(version: number, change: Readonly<Record<string, unknown>> = {}): unknown {
 	return {
 		Version: version,
 		Routes: routes,
--- a/bench/gateway/host.ts
+++ b/bench/gateway/host.ts
@@ -18,18 +18,18 @@
 	readonly peer: Address;
 	readonly metrics: Address;
 	/** Path of the settings file. */
-	readonly file: string;
+	readonly settingsFile: string;
 	readonly lines: Array<Record<string, unknown>> = [];
 	#process: ChildProcess | undefined;
 	#partialLine = '';
 
-	constructor(name: string, ports: readonly number[], file: string) {
+	constructor(name: string, ports: readonly number[], settingsFile: string) {
 		this.name = name;
 		this.caller = {host: loopback, port: ports[0]!};
 		this.ready = {host: loopback, port: ports[1]!};
 		this.peer = {host: loopback, port: ports[2]!};
 		this.metrics = {host: loopback, port: ports[3]!};
-		this.file = file;
+		this.settingsFile = settingsFile;
 	}
 
 	get process(): ChildProcess {
@@ -39,7 +39,7 @@
 	/** Starts the process. */
 	start(): void {
 		this.#process = spawn(process.execPath, ['dist/platform/main.js'], {
-			env: {...process.env, CRANBERRYTIDE_CONFIG: this.file}, stdio: ['ignore', 'pipe', 'inherit'],
+			env: {...process.env, CRANBERRYTIDE_CONFIG: this.settingsFile}, stdio: ['ignore', 'pipe', 'inherit'],
 		});
 		this.#process.stdout!.on('data', chunk => {
 			this.#parseLines(String(chunk));
@@ -51,7 +51,7 @@
 	 * @param request - Id of the request that they are about; any if absent.
 	 * @returns The log lines with this event so far.
 	 */
-	logged(event: string, request?: string): ReadonlyArray<Record<string, unknown>> {
+	findLogLines(event: string, request?: string): ReadonlyArray<Record<string, unknown>> {
 		return this.lines.filter(line => line.event === event && (request === undefined || line.request === request));
 	}
 
--- a/bench/gateway/site.ts
+++ b/bench/gateway/site.ts
@@ -8,8 +8,8 @@
 import {Ledger} from '../../stand-ins/gateway/ledger.js';
 import {StoreStandIn} from '../../stand-ins/gateway/store.js';
 import {UpstreamStandIn} from '../../stand-ins/gateway/upstream.js';
-import {call, type Answer, type Asking} from './asking.js';
-import {configuration, apiKey, engineModel} from './figures.js';
+import {sendRequest, type Answer, type CallerRequest} from './caller-requests.js';
+import {createConfiguration, apiKey, engineModel} from './configuration.js';
 import {Host} from './host.js';
 
 /** Time within which a host must be ready; on a busy machine it takes seconds. */
@@ -22,7 +22,7 @@
 	/** Host settings that replace the defaults. */
 	readonly settings?: Readonly<Record<string, unknown>>;
 	/** Index of the host that uses the secondary address of the store. */
-	readonly apart?: number;
+	readonly secondaryStoreHost?: number;
 	/** Wraps a target address, for example in a proxy link, and returns the address to connect to. */
 	readonly link?: (name: string, target: Address) => Promise<Address>;
 };
@@ -50,13 +50,13 @@
 			site.register(upstream);
 		}
 
-		site.store.put('op/config', configuration(1));
+		site.store.put('op/config', createConfiguration(1));
 		for (let index = 0; index < (options.hosts ?? 1); index++) {
-			const address = index === options.apart ? site.store.sideAddress : await site.#link(`store-host-${index}`, site.store.address);
+			const address = index === options.secondaryStoreHost ? site.store.secondaryAddress : await site.#link(`store-host-${index}`, site.store.address);
 			await site.#addHost(`host-${index}`, {store: formatAddress(address), ...options.settings});
 		}
 
-		await Promise.all(site.hosts.map(async host => site.ready(host)));
+		await Promise.all(site.hosts.map(async host => site.waitUntilReady(host)));
 		return site;
 	}
 
@@ -80,7 +80,7 @@
 	}
 
 	/** Waits until a host is ready; throws if it takes too long. */
-	async ready(host: Host): Promise<void> {
+	async waitUntilReady(host: Host): Promise<void> {
 		const end = performance.now() + readyTimeoutMs;
 		while (performance.now() < end) {
 			if (await this.isReady(host)) {
@@ -96,7 +96,7 @@
 	/** Returns whether a host reports that it accepts callers. */
 	async isReady(host: Host): Promise<boolean> {
 		try {
-			const answer = await call(host.ready, {path: '/v1/readyz', id: ''});
+			const answer = await sendRequest(host.ready, {path: '/v1/readyz', id: ''});
 			return answer.status === 200;
 		} catch {
 			return false;
@@ -104,8 +104,8 @@
 	}
 
 	/** Sends a caller's request to a host, with default headers where the request has none. */
-	async ask(callerRequest: Asking, host: Host = this.hosts[0]!): Promise<Answer> {
-		return call(host.caller, {
+	async ask(callerRequest: CallerRequest, host: Host = this.hosts[0]!): Promise<Answer> {
+		return sendRequest(host.caller, {
 			...callerRequest,
 			headers: {
 				Host: 'api.example', Authorization: `Bearer ${apiKey}`, 'X-Deadline-Ms': '8000', ...callerRequest.headers,
--- a/bench/soak/__tests__/soak.test.ts
+++ b/bench/soak/__tests__/soak.test.ts
@@ -1,6 +1,6 @@
 /** Tests that the soak's checks can fail and its plans repeat, and runs the seeds that once found a bug. */
 import {describe, expect, it} from 'vitest';
-import {type Answer} from '../../gateway/asking.js';
+import {type Answer} from '../../gateway/caller-requests.js';
 import {planFaults} from '../plan.js';
 import {
 	findBrokenGuarantees, hasReversion, type Outage, type RequestResult, type RequestRecord,
--- a/bench/soak/clients.ts
+++ b/bench/soak/clients.ts
@@ -3,8 +3,8 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {messageOf, type Random} from '../../src/core/index.js';
 import {
-	CallFailure, eventsOf, prompt, type Answer, type Asking,
-} from '../gateway/asking.js';
+	ConnectionError, parseEventIds, createPromptHeaders, type Answer, type CallerRequest,
+} from '../gateway/caller-requests.js';
 import {type Site} from '../gateway/site.js';
 import {type RequestKind, type RequestResult, type RequestRecord} from './guarantees.js';
 
@@ -24,7 +24,7 @@
 
 const maxEvents = 40;
 
-type PlannedRequest = Pick<RequestRecord, 'id' | 'kind' | 'expected'> & {readonly asking: Asking};
+type PlannedRequest = Pick<RequestRecord, 'id' | 'kind' | 'expected'> & {readonly asking: CallerRequest};
 
 export class Client {
 	readonly records: RequestRecord[] = [];
@@ -82,7 +82,7 @@
 		if (kind === 'ask') {
 			const sizes = this.#random.integer(1, requestsPerLargePrompt) === 1 ? largePromptTokens : usualPromptTokens;
 			const events = this.#random.integer(1, maxEvents);
-			const headers = prompt(this.#random.integer(sizes.least, sizes.most), events);
+			const headers = createPromptHeaders(this.#random.integer(sizes.least, sizes.most), events);
 			return {
 				id, kind, expected: events, asking: {path: '/ask/x', id, headers},
 			};
@@ -106,7 +106,7 @@
 		};
 	}
 
-	async #send(asking: Asking, kind: RequestKind): Promise<RequestResult> {
+	async #send(asking: CallerRequest, kind: RequestKind): Promise<RequestResult> {
 		try {
 			const answer = await this.#site.ask({...asking, agent: this.#agent, signal: AbortSignal.timeout(callerTimeoutMs)}, this.#site.hosts[this.#host]);
 			return {type: 'answered', answer, received: kind === 'ask' ? countEvents(answer) : answer.body};
@@ -117,13 +117,13 @@
 				return {type: 'refused'};
 			}
 
-			return /abort|timeout/iv.test(reason) ? {type: 'never'} : {type: 'cut', reason, isIdle: error instanceof CallFailure && error.isReused};
+			return /abort|timeout/iv.test(reason) ? {type: 'never'} : {type: 'cut', reason, isIdle: error instanceof ConnectionError && error.isReused};
 		}
 	}
 }
 
 /** Returns the number of events of a stream, or -1 if one is missing or repeated. */
 function countEvents(answer: Answer): number {
-	const ids = eventsOf(answer);
+	const ids = parseEventIds(answer);
 	return ids.every((id, index) => id === index + 1) ? ids.length : -1;
 }
--- a/bench/soak/guarantees.ts
+++ b/bench/soak/guarantees.ts
@@ -1,5 +1,5 @@
 /** Checks the guarantees of the gateway against what callers and upstreams recorded. */
-import {type Answer} from '../gateway/asking.js';
+import {type Answer} from '../gateway/caller-requests.js';
 import {type Run} from '../../stand-ins/gateway/ledger.js';
 
 export type RequestKind = 'ask' | 'once' | 'read';
--- a/bench/soak/recovery.ts
+++ b/bench/soak/recovery.ts
@@ -46,7 +46,7 @@
 /** Formats a host's last log lines about its configuration, its dependencies and its requests. */
 function formatLastEvents(host: Host): string {
 	const last = host.lines.filter(({event}) => stateEvents.has(String(event))).slice(-maxStateEvents);
-	return [...last, ...host.logged('ended').slice(-1)].map(line => JSON.stringify(line)).join(' ');
+	return [...last, ...host.findLogLines('ended').slice(-1)].map(line => JSON.stringify(line)).join(' ');
 }
 
 /**
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -56,6 +56,6 @@
 		served: requests.filter(({result}) => result.type === 'answered' && result.answer.status === 200 && result.answer.isWhole).length,
 		faults: planned.length,
 		history: testbed.history,
-		broken: [...findBrokenGuarantees(requests, id => site.ledger.of(id), testbed.outages, lag.most), ...unrecovered, ...reversions],
+		broken: [...findBrokenGuarantees(requests, id => site.ledger.findRuns(id), testbed.outages, lag.most), ...unrecovered, ...reversions],
 	};
 }
--- a/bench/soak/testbed.ts
+++ b/bench/soak/testbed.ts
@@ -4,7 +4,7 @@
 import {assertNever} from '../../src/core/index.js';
 import {type UpstreamStandIn} from '../../stand-ins/gateway/upstream.js';
 import {FaultProxy, settingsSchema} from '../../stand-ins/proxy/service.js';
-import {configuration} from '../gateway/figures.js';
+import {createConfiguration} from '../gateway/configuration.js';
 import {type Host} from '../gateway/host.js';
 import {Site} from '../gateway/site.js';
 import {type Fault} from './plan.js';
@@ -34,7 +34,7 @@
 		const site = await Site.start({
 			hosts, engines: engineCount, plains: plainCount, settings: {grace: stopGraceMs}, async link(name, target) {
 				links.push(name);
-				return proxy.open({name, target, listen: {host: '127.0.0.1', port: 0}});
+				return proxy.openLink({name, target, listen: {host: '127.0.0.1', port: 0}});
 			},
 		});
 		return new Testbed(site, proxy, links);
@@ -85,7 +85,7 @@
 	}
 
 	hasFinalVersion(host: Host): boolean {
-		return host.logged('configuration').at(-1)?.version === finalVersion;
+		return host.findLogLines('configuration').at(-1)?.version === finalVersion;
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -171,7 +171,7 @@
 
 	#publish(version: number): void {
 		this.#version = version;
-		this.site.store.put('op/config', configuration(version));
+		this.site.store.put('op/config', createConfiguration(version));
 	}
 
 	/** Runs a fault that takes a process down and records the outage; does nothing if the process is already down. */
@@ -218,6 +218,6 @@
 	async #restart(host: number, process: Host): Promise<void> {
 		this.#runStarts[host]!.push(process.lines.length);
 		process.start();
-		await this.site.ready(process);
+		await this.site.waitUntilReady(process);
 	}
 }
--- a/stand-ins/gateway/ledger.ts
+++ b/stand-ins/gateway/ledger.ts
@@ -34,7 +34,7 @@
 	 * @param request - Id of a request.
 	 * @returns Its runs in order.
 	 */
-	of(request: string): readonly Run[] {
+	findRuns(request: string): readonly Run[] {
 		return this.#runs.filter(run => run.request === request);
 	}
 }
--- a/stand-ins/gateway/store.ts
+++ b/stand-ins/gateway/store.ts
@@ -34,7 +34,7 @@
 	/** How new calls are answered; pending watches are not affected. */
 	mode: StoreMode = 'serving';
 	/** How calls to the secondary address are answered. */
-	sideMode: StoreMode = 'serving';
+	secondaryMode: StoreMode = 'serving';
 	/** Number of calls received. */
 	calls = 0;
 	readonly #server: Server;
@@ -52,7 +52,7 @@
 		});
 		this.#secondaryServer = createServer((incoming, outgoing) => {
 			this.calls++;
-			this.#handleCall(this.sideMode, incoming, outgoing);
+			this.#handleCall(this.secondaryMode, incoming, outgoing);
 		});
 	}
 
@@ -61,7 +61,7 @@
 	}
 
 	/** A second address of the same store, so that some hosts can lose the store while others keep it. */
-	get sideAddress(): Address {
+	get secondaryAddress(): Address {
 		return {host: loopback, port: getPort(this.#secondaryServer)};
 	}
 
--- a/stand-ins/gateway/upstream.ts
+++ b/stand-ins/gateway/upstream.ts
@@ -50,7 +50,7 @@
 export class UpstreamStandIn implements AsyncDisposable {
 	fault: Fault = 'none';
 	/** Whether it refuses to prefill parts of prompts for other engines. */
-	isAloof = false;
+	isRefusingHelp = false;
 	readonly #options: UpstreamOptions;
 	readonly #server: Server;
 	readonly #batch: Batch | undefined;
@@ -252,7 +252,7 @@
 		for (const name of names) {
 			const [address = '', ticket] = name.split('/');
 			const helper = upstreamsByAddress.get(address);
-			if (helper === undefined || helper.isAloof || (ticket !== undefined && !helper.tickets.includes(ticket))) {
+			if (helper === undefined || helper.isRefusingHelp || (ticket !== undefined && !helper.tickets.includes(ticket))) {
 				return address;
 			}
 
--- a/stand-ins/proxy/__tests__/proxy.test.ts
+++ b/stand-ins/proxy/__tests__/proxy.test.ts
@@ -51,7 +51,7 @@
 		opened = [];
 		echo = new Echo();
 		proxy = await FaultProxy.start(settingsSchema.parse({sources: {[sourceOfA]: 'a'}}));
-		address = await proxy.open({name: 'echo', target: {host: '127.0.0.1', port: await echo.listen()}, domain: 'b'});
+		address = await proxy.openLink({name: 'echo', target: {host: '127.0.0.1', port: await echo.listen()}, domain: 'b'});
 	});
 
 	afterEach(async () => {
--- a/stand-ins/proxy/service.ts
+++ b/stand-ins/proxy/service.ts
@@ -38,7 +38,7 @@
 		const proxy = new FaultProxy(settings);
 		await proxy.#control.listen();
 		for (const link of settings.links) {
-			await proxy.open(link);
+			await proxy.openLink(link);
 		}
 
 		return proxy;
@@ -77,7 +77,7 @@
 	 *
 	 * @returns The address at which the link listens.
 	 */
-	async open(link: Link): Promise<Address> {
+	async openLink(link: Link): Promise<Address> {
 		const {name, listen, target, domain} = linkSchema.parse(link);
 		const server = createServer({allowHalfOpen: true, pauseOnConnect: true}, socket => {
 			this.#accept(socket, {from: this.#sources.get(socket.remoteAddress ?? ''), to: domain, link: name});
@@ -110,7 +110,7 @@
 	 * @param address - Source address of its connections.
 	 * @param domain - Its failure domain.
 	 */
-	place(address: string, domain: string): void {
+	setFailureDomain(address: string, domain: string): void {
 		this.#sources.set(address, domain);
 	}
 
