--- a/__tests__/adoption.test.ts
+++ b/__tests__/adoption.test.ts
@@ -4,7 +4,7 @@
 import {Fleet} from '../bench/fleet/fleet.js';
 import {type ShapeInput} from '../bench/fleet/shape.js';
 import {countReversions} from '../bench/membership/reversions.js';
-import {inForce, linked, stateOf} from '../bench/membership/status.js';
+import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 
 function buildShape(isProxied: boolean): ShapeInput {
 	return {
@@ -24,7 +24,7 @@
 describe('configuration adoption', () => {
 	it('applies a revision on every host when one host reads the platform and one domain connects the other two', async () => {
 		await using fleet = await Fleet.start(buildShape(true));
-		await linked(fleet, hosts, 3);
+		await waitForLinks(fleet, hosts, 3);
 		for (const host of hosts.slice(1)) {
 			fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
 		}
@@ -33,21 +33,21 @@
 		fleet.fault({type: 'refuse', where: {from: 'c', to: 'a'}});
 		for (let change = 0; change < 3; change++) {
 			const revision = await fleet.publish(before => before);
-			await inForce(fleet, hosts, revision);
+			await waitForRevision(fleet, hosts, revision);
 		}
 
-		expect(await stateOf(fleet, 'c-host-2')).toMatchObject({revision: 4});
+		expect(await fetchHostState(fleet, 'c-host-2')).toMatchObject({revision: 4});
 	});
 
 	it('rejects a stale document, an invalid one and a different one of the same revision, and keeps serving', async () => {
 		await using fleet = await Fleet.start({...buildShape(false), hosts: [1]});
 		const first = fleet.configuration;
-		await inForce(fleet, ['a-host-1'], await fleet.publish(before => before));
+		await waitForRevision(fleet, ['a-host-1'], await fleet.publish(before => before));
 		await fleet.platform({type: 'publish', text: '{"revision": 9}', revision: 9});
 		await fleet.platform({type: 'publish', text: JSON.stringify(first), revision: 10});
 		await fleet.platform({type: 'publish', text: JSON.stringify({...first, revision: 2, tokenKeys: [{id: 'other', secret: 'a'.repeat(64)}]}), revision: 11});
 		await sleep(1500);
-		expect(await stateOf(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision: 2});
+		expect(await fetchHostState(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision: 2});
 	});
 
 	it('never reverts to an older revision while the platform alternates fresh and stale documents and hosts restart', {timeout: 120_000}, async () => {
@@ -60,11 +60,11 @@
 	it('gives a host that starts during a platform outage the document of its peers', async () => {
 		await using fleet = await Fleet.start({...buildShape(true), domains: ['a']});
 		const revision = await fleet.publish(before => before);
-		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
-		await linked(fleet, ['a-host-1', 'a-host-2'], 1);
+		await waitForRevision(fleet, ['a-host-1', 'a-host-2'], revision);
+		await waitForLinks(fleet, ['a-host-1', 'a-host-2'], 1);
 		await fleet.platform({type: 'down'});
 		await fleet.replaceHost('a-host-1');
 		await fleet.hosts.ready(['a-host-1']);
-		expect(await stateOf(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision});
+		expect(await fetchHostState(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision});
 	});
 });
--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -6,7 +6,7 @@
 import {Fleet} from '../bench/fleet/fleet.js';
 import {type ShapeInput} from '../bench/fleet/shape.js';
 import {rollHosts} from '../bench/membership/roll.js';
-import {inForce, linked, stateOf} from '../bench/membership/status.js';
+import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 import {orderStateSchema} from '../src/upstream/protocol.js';
 
 function buildShape(fencing: boolean): ShapeInput {
@@ -68,7 +68,7 @@
 	it('run one at a time: the second begins after the first host is back', {timeout: 120_000}, async () => {
 		await using fleet = await Fleet.start({...buildShape(true), engines: []});
 		const hosts = fleet.hosts.all.map(host => host.id);
-		await linked(fleet, hosts, 2);
+		await waitForLinks(fleet, hosts, 2);
 		const notBefore = Date.now();
 		await fleet.publish(before => ({
 			...before,
@@ -78,11 +78,11 @@
 		}));
 		await waitUntil(() => !fleet.hosts.get('a-host-2').child.isAlive);
 		expect(fleet.hosts.get('a-host-1').child.isAlive).toBe(true);
-		expect(await stateOf(fleet, 'a-host-1')).toMatchObject({phase: 'serving'});
+		expect(await fetchHostState(fleet, 'a-host-1')).toMatchObject({phase: 'serving'});
 		await fleet.replaceHost('a-host-2');
 		await waitUntil(() => !fleet.hosts.get('a-host-1').child.isAlive);
-		expect(await stateOf(fleet, 'a-host-2')).toMatchObject({phase: 'serving'});
-		expect(await stateOf(fleet, 'a-host-3')).toMatchObject({phase: 'serving'});
+		expect(await fetchHostState(fleet, 'a-host-2')).toMatchObject({phase: 'serving'});
+		expect(await fetchHostState(fleet, 'a-host-3')).toMatchObject({phase: 'serving'});
 	});
 });
 
@@ -90,22 +90,22 @@
 	it.each([true, false])('does not override the order of the host that took over (order numbers checked: %s)', {timeout: 120_000}, async fencing => {
 		await using fleet = await Fleet.start(buildShape(fencing));
 		// A host that knows no peers considers itself the orderer of every engine, so two hosts could order version 2.
-		await linked(fleet, fleet.hosts.all.map(host => host.id), 2);
+		await waitForLinks(fleet, fleet.hosts.all.map(host => host.id), 2);
 		await publishVersion(fleet, '2');
 		await waitUntil(async () => await fetchVersion(fleet) === '2');
 		const [paused, ...rest] = findOrderers(fleet, '2');
 		expect(rest).toEqual([]);
 		fleet.hosts.get(paused!).child.pause();
 		const others = fleet.hosts.all.map(host => host.id).filter(id => id !== paused);
-		await inForce(fleet, others, await publishVersion(fleet, '3'));
+		await waitForRevision(fleet, others, await publishVersion(fleet, '3'));
 		await waitUntil(async () => await fetchVersion(fleet) === '3');
 		fleet.hosts.get(paused!).child.resume();
-		await inForce(fleet, [paused!], fleet.configuration.revision);
+		await waitForRevision(fleet, [paused!], fleet.configuration.revision);
 		for (let check = 0; check < 40; check++) {
 			expect(await fetchVersion(fleet)).toBe('3');
 			await sleep(100);
 		}
 
-		expect(await stateOf(fleet, paused!)).toMatchObject({phase: 'serving'});
+		expect(await fetchHostState(fleet, paused!)).toMatchObject({phase: 'serving'});
 	});
 });
--- a/__tests__/takeover.test.ts
+++ b/__tests__/takeover.test.ts
@@ -4,7 +4,7 @@
 import {z} from 'zod';
 import {Fleet} from '../bench/fleet/fleet.js';
 import {apiKey, type ShapeInput} from '../bench/fleet/shape.js';
-import {inForce, linked, stateOf} from '../bench/membership/status.js';
+import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 import {type Configuration} from '../src/core/index.js';
 
 const shape: ShapeInput = {
@@ -58,8 +58,8 @@
 describe('switching to the new upstreams while one failure domain stays at the old revision', () => {
 	it('runs each booking once, on either the legacy or the new upstreams', async () => {
 		await using fleet = await Fleet.start(shape);
-		await linked(fleet, hosts, 2);
-		await inForce(fleet, hosts, await fleet.publish(before => useLegacyUpstreams(before)));
+		await waitForLinks(fleet, hosts, 2);
+		await waitForRevision(fleet, hosts, await fleet.publish(before => useLegacyUpstreams(before)));
 		expect(await sendBooking(fleet, 'a-host-1', await requestTicket(fleet, 'a-host-2'), 'first')).toBe(200);
 		expect(countExecutions(fleet)).toMatchObject({'a-book-1': 0, 'a-book-2': 1});
 		// Hosts in b still reach the caller listeners in a, but neither its peer listeners nor the platform.
@@ -69,8 +69,8 @@
 		}
 
 		const revision = await fleet.publish(before => ({...before, takeovers: []}));
-		await inForce(fleet, ['a-host-1', 'a-host-2'], revision);
-		expect(await stateOf(fleet, 'b-host-1')).toMatchObject({revision: revision - 1});
+		await waitForRevision(fleet, ['a-host-1', 'a-host-2'], revision);
+		expect(await fetchHostState(fleet, 'b-host-1')).toMatchObject({revision: revision - 1});
 		const statuses = new Set<number>();
 		for (let booking = 0; booking < bookingCount; booking++) {
 			const ticket = await requestTicket(fleet, hosts[booking % hosts.length]!);
@@ -90,6 +90,6 @@
 		// All four bookings kept by b ran on legacy upstreams, and none of the eight kept by a did.
 		expect(countExecutions(fleet)).toMatchObject({'a-book-2': 1, 'b-book-1': 0, 'b-book-2': 4});
 		fleet.heal();
-		await inForce(fleet, hosts, revision);
+		await waitForRevision(fleet, hosts, revision);
 	});
 });
--- a/bench/beliefs/world.ts
+++ b/bench/beliefs/world.ts
@@ -5,7 +5,7 @@
 import {assertNever, type Random} from '../../src/core/index.js';
 import {type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {selectRelays} from '../../src/gateway/peers/topology.js';
-import {seeded} from '../model/workload.js';
+import {createRandom} from '../model/workload.js';
 import {Member, stalenessBoundMs} from './member.js';
 import {SimulatedStore} from './store.js';
 
@@ -67,7 +67,7 @@
 	 */
 	constructor(options: WorldOptions) {
 		this.#options = options;
-		this.#random = seeded(options.seed);
+		this.#random = createRandom(options.seed);
 		const network = {
 			getVisibleHosts: (name: string) => this.#getVisibleHosts(name),
 			send: (from: string, to: string, message: Message) => {
--- a/bench/demo/main.ts
+++ b/bench/demo/main.ts
@@ -5,7 +5,7 @@
 import {endWithChildren} from '../fleet/child.js';
 import {Fleet} from '../fleet/fleet.js';
 import {apiKey} from '../fleet/shape.js';
-import {type ClassResult, type Result} from '../load/recorder.js';
+import {type ClassResult, type LoadResult} from '../load/recorder.js';
 import {runLoad} from '../load/run.js';
 import {scenarioSchema, type Scenario} from '../load/scenario.js';
 import {
@@ -46,7 +46,7 @@
 	return `| ${name} | ${sent} | ${done} | ${firstToken.p50.toFixed(0)} | ${firstToken.p95.toFixed(0)} | ${engineTime(firstToken.p50)} |`;
 }
 
-function printReport({classes, outcomes, wrongAnswers}: Result, order: readonly string[]): void {
+function printReport({classes, outcomes, wrongAnswers}: LoadResult, order: readonly string[]): void {
 	console.log('| prompt tokens | sent | answered | first token p50, ms | p95, ms | p50 in engine time, s |');
 	console.log('|---|---|---|---|---|---|');
 	for (const name of order) {
--- a/bench/experiments/capacity.ts
+++ b/bench/experiments/capacity.ts
@@ -4,7 +4,7 @@
 import {settingsSchema} from '../../stand-ins/engine/settings.js';
 import {sendRequest} from '../load/client.js';
 import {scenarioSchema} from '../load/scenario.js';
-import {contentOf, planTrace} from '../load/trace.js';
+import {buildContent, generateTrace} from '../load/trace.js';
 import {fleetShapeSchema} from '../fleet/shape.js';
 import {buildScenario, type Deployment} from './scenarios.js';
 
@@ -29,15 +29,15 @@
 		seed: 1, textSeed: 0, load: 1, duration: durationMs * 2,
 	}));
 	// Requests that exceed one engine's memory need a group of engines, which only entry hosts form.
-	const trace = planTrace(scenario).filter(each => each.promptTokens + each.output < group.settings.memory);
-	const requestCount = planTrace(scenario).length;
+	const trace = generateTrace(scenario).filter(each => each.promptTokens + each.output < group.settings.memory);
+	const requestCount = generateTrace(scenario).length;
 	const start = performance.now();
 	let nextRequest = 0;
 	let finishedTokens = 0;
 	const sendRequests = async () => {
 		while (performance.now() - start < durationMs) {
 			const planned = trace[nextRequest++ % trace.length]!;
-			await sendRequest(planned, scenario, contentOf(planned, scenario));
+			await sendRequest(planned, scenario, buildContent(planned, scenario));
 			const now = performance.now() - start;
 			finishedTokens += now > warmUpMs && now < durationMs ? planned.promptTokens : 0;
 		}
@@ -46,7 +46,7 @@
 	await Promise.all(Array.from({length: concurrencyPerEngine * sampledEngines}, async () => sendRequests()));
 	const promptTokensPerSecond = finishedTokens / (durationMs - warmUpMs) * 1000 / sampledEngines * group.perDomain * shape.domains.length;
 	let meanPromptTokens = 0;
-	for (const {promptTokens} of planTrace(scenario)) {
+	for (const {promptTokens} of generateTrace(scenario)) {
 		meanPromptTokens += promptTokens / requestCount;
 	}
 
--- a/bench/experiments/experiment.ts
+++ b/bench/experiments/experiment.ts
@@ -1,9 +1,9 @@
 /** Compares routing policies on one fleet, in alternating runs. */
 import {type Policy} from '../../src/core/index.js';
 import {Fleet} from '../fleet/fleet.js';
-import {type Result} from '../load/recorder.js';
+import {type LoadResult} from '../load/recorder.js';
 import {scenarioSchema, type Scenario} from '../load/scenario.js';
-import {planTrace, reusableShare, type Planned} from '../load/trace.js';
+import {generateTrace, computeReusableShare, type PlannedRequest} from '../load/trace.js';
 import {readCacheUse, switchPolicy} from './control.js';
 import {runLoadProcess} from './load-process.js';
 import {buildScenario, type Deployment, type Variation} from './scenarios.js';
@@ -17,7 +17,7 @@
 	readonly policy: Policy;
 	readonly kind: RunKind;
 	readonly seed: number;
-	readonly result: Result;
+	readonly result: LoadResult;
 	/** Share of prompt tokens that was found cached, and the share that an ideal router would have found. */
 	readonly cached: number;
 	readonly reusable: number;
@@ -45,7 +45,7 @@
 /** Called after each run. */
 export type RunListener = (run: Run) => void;
 
-function calculateOfferedRate(trace: readonly Planned[], {warmUp, duration}: Scenario): number {
+function calculateOfferedRate(trace: readonly PlannedRequest[], {warmUp, duration}: Scenario): number {
 	let tokens = 0;
 	for (const {at, promptTokens, output} of trace) {
 		tokens += at < warmUp ? 0 : promptTokens + output;
@@ -96,7 +96,7 @@
 			...(kind === 'overload' && {timeout: overloadTimeoutMs}),
 		};
 		const scenario = scenarioSchema.parse(buildScenario(this.#deployment, this.#fleet.hosts.alive.map(host => host.caller), variation));
-		const trace = planTrace(scenario);
+		const trace = generateTrace(scenario);
 		const before = await readCacheUse(this.#fleet);
 		const result = await runLoadProcess(scenario);
 		const after = await readCacheUse(this.#fleet);
@@ -106,7 +106,7 @@
 			seed,
 			result,
 			cached: (after.cached - before.cached) / Math.max(after.prompt - before.prompt, 1),
-			reusable: reusableShare(trace),
+			reusable: computeReusableShare(trace),
 			offered: calculateOfferedRate(trace, scenario),
 		};
 		this.#runs.push(run);
--- a/bench/experiments/load-process.ts
+++ b/bench/experiments/load-process.ts
@@ -4,12 +4,12 @@
 import path from 'node:path';
 import process from 'node:process';
 import {text} from 'node:stream/consumers';
-import {type Result} from '../load/recorder.js';
+import {type LoadResult} from '../load/recorder.js';
 import {type ScenarioInput} from '../load/scenario.js';
 
 const loadProgram = path.join(import.meta.dirname, '../load/main.js');
 
-function isResult(value: unknown): value is Result {
+function isResult(value: unknown): value is LoadResult {
 	return typeof value === 'object' && value !== null && 'classes' in value && 'outcomes' in value;
 }
 
@@ -18,7 +18,7 @@
  *
  * @throws Error if it prints no result.
  */
-export async function runLoadProcess(scenario: ScenarioInput): Promise<Result> {
+export async function runLoadProcess(scenario: ScenarioInput): Promise<LoadResult> {
 	const child = spawn(process.execPath, ['--no-deprecation', loadProgram, '-'], {stdio: 'pipe'});
 	const exit = once(child, 'exit');
 	child.stdin.end(JSON.stringify(scenario));
--- a/bench/experiments/summary.ts
+++ b/bench/experiments/summary.ts
@@ -1,6 +1,6 @@
 /** Summarises the runs of a deployment: results by policy, and the ratios that `bench/bounds.json` limits. */
 import {codes, type Policy} from '../../src/core/index.js';
-import {type Result} from '../load/recorder.js';
+import {type LoadResult} from '../load/recorder.js';
 import {loadFactors, type Run, type RunKind} from './experiment.js';
 import {calculateSpread, type Spread} from './statistics.js';
 
@@ -44,11 +44,11 @@
 	return runs.filter(run => run.kind === kind && run.policy === policy);
 }
 
-function getFirstTokenP95(result: Result, name: string): number {
+function getFirstTokenP95(result: LoadResult, name: string): number {
 	return result.classes[name]?.firstToken.p95 ?? 0;
 }
 
-function calculateAnsweredShare(result: Result): number {
+function calculateAnsweredShare(result: LoadResult): number {
 	return (result.outcomes[codes.done] ?? 0) / Math.max(result.sent, 1);
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** Calculates the answered share of all organisations whose id has a prefix. */
-function calculateGroupAnsweredShare(result: Result, prefix: string): number {
+function calculateGroupAnsweredShare(result: LoadResult, prefix: string): number {
 	let sent = 0;
 	let done = 0;
 	for (const [id, organisation] of Object.entries(result.organisations)) {
--- a/bench/gateway/simulation.ts
+++ b/bench/gateway/simulation.ts
@@ -13,7 +13,7 @@
 import {defaultUrgency} from '../../src/core/gateway/urgency.js';
 import {Batch, computeMemory} from '../../stand-ins/gateway/batch.js';
 import {Timeline} from '../model/timeline.js';
-import {seeded} from '../model/workload.js';
+import {createRandom} from '../model/workload.js';
 import {type Arrival} from './workload.js';
 
 /** How engines are chosen for requests. */
@@ -94,7 +94,7 @@
 	readonly #isIterating: boolean[];
 	readonly #running = new Map<string, RunningRequest>();
 	readonly #results: Result[] = [];
-	readonly #random = seeded(1);
+	readonly #random = createRandom(1);
 
 	constructor(options: SimulationOptions) {
 		this.#options = options;
@@ -114,7 +114,7 @@
 	 */
 	run(arrivals: readonly Arrival[], end: number): readonly Result[] {
 		for (const arrival of arrivals) {
-			this.#timeline.add(arrival.at + callerDelayMs, () => {
+			this.#timeline.schedule(arrival.at + callerDelayMs, () => {
 				this.#handleArrival(arrival, false);
 			});
 		}
@@ -168,7 +168,7 @@
 
 		const retryDelay = chosen === undefined ? defaultRetryDelayMs : estimateRetryDelay(chosen, this.#options.model, this.#random.integer(0, 100) / 100);
 		const remaining = arrival.at + arrival.kind.deadline - now;
-		this.#timeline.add(now + Math.min(retryDelay, remaining / 3), () => {
+		this.#timeline.schedule(now + Math.min(retryDelay, remaining / 3), () => {
 			this.#handleArrival(arrival, true);
 		});
 	}
@@ -269,7 +269,7 @@
 		this.#publishUpdate(arrival.host, (load, at) => {
 			load.begin(job, at);
 		}, job);
-		this.#timeline.add(now + engineDelayMs, () => {
+		this.#timeline.schedule(now + engineDelayMs, () => {
 			if (this.#running.get(arrival.id)?.job !== job) {
 				return;
 			}
@@ -287,7 +287,7 @@
 				this.#startIteration(engine);
 			}
 		});
-		this.#timeline.add(arrival.at + arrival.kind.deadline, () => {
+		this.#timeline.schedule(arrival.at + arrival.kind.deadline, () => {
 			this.#end(arrival.id, false);
 		});
 		this.#scheduleStreamTimeout(arrival);
@@ -297,7 +297,7 @@
 	#scheduleStreamTimeout({id, kind}: Arrival): void {
 		const lastEvent = this.#running.get(id)?.lastEvent;
 		const timeout = Math.max(minStreamTimeoutMs, objectiveTimeoutFactor * kind.objective, pauseTimeoutFactor * kind.pause);
-		this.#timeline.add(this.#timeline.now + timeout, () => {
+		this.#timeline.schedule(this.#timeline.now + timeout, () => {
 			if (this.#running.get(id)?.lastEvent === lastEvent) {
 				this.#end(id, false);
 			}
@@ -315,7 +315,7 @@
 
 		for (const [index, load] of this.#loads.entries()) {
 			if (load !== own) {
-				this.#timeline.add(now + this.#options.updateDelay, () => {
+				this.#timeline.schedule(now + this.#options.updateDelay, () => {
 					update(load, this.#timeline.now);
 					if (startedJob !== undefined) {
 						this.#handlePeerJob(index, startedJob);
@@ -363,7 +363,7 @@
 		}
 
 		this.#isIterating[engine] = true;
-		this.#timeline.add(this.#timeline.now + time, () => {
+		this.#timeline.schedule(this.#timeline.now + time, () => {
 			this.#isIterating[engine] = false;
 			this.#finishIteration(engine);
 			this.#startIteration(engine);
@@ -400,7 +400,7 @@
 		const at = this.#timeline.now + engineDelayMs + callerDelayMs - running.arrival.at;
 		if (running.firstEvent === undefined) {
 			running.firstEvent = at;
-			this.#timeline.add(this.#timeline.now + engineDelayMs, () => {
+			this.#timeline.schedule(this.#timeline.now + engineDelayMs, () => {
 				this.#publishUpdate(running.host, (load, now) => {
 					load.recordFirstByte(running.job.id, now);
 				});
--- a/bench/gateway/workload.ts
+++ b/bench/gateway/workload.ts
@@ -1,7 +1,7 @@
 /** Open-loop workloads of model requests of three lengths, whose mix changes within seconds. */
 import {type Random} from '../../src/core/index.js';
 import {type EngineModel} from '../../src/core/gateway/types.js';
-import {seeded} from '../model/workload.js';
+import {createRandom} from '../model/workload.js';
 
 /** A kind of request. Times are in milliseconds. */
 export type RequestKind = {
@@ -103,7 +103,7 @@
  * @returns The requests of a workload in order of arrival; the same seed gives the same requests.
  */
 export function generateArrivals(workload: Workload, seed: number): readonly Arrival[] {
-	const random = seeded(seed);
+	const random = createRandom(seed);
 	const all: Arrival[] = [];
 	for (const [index, kind] of workload.kinds.entries()) {
 		for (let at = 0; at < workload.length;) {
--- a/bench/load/__tests__/trace.test.ts
+++ b/bench/load/__tests__/trace.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {countTokens, hashBlocks, renderPrompt} from '../../../src/protocol/blocks.js';
 import {scenarioSchema} from '../scenario.js';
-import {contentOf, planTrace, type Planned} from '../trace.js';
+import {buildContent, generateTrace, type PlannedRequest} from '../trace.js';
 
 const scenario = scenarioSchema.parse({
 	seed: 7,
@@ -22,16 +22,16 @@
 	],
 });
 
-function share(requests: readonly Planned[], isCounted: (planned: Planned) => boolean): number {
+function share(requests: readonly PlannedRequest[], isCounted: (planned: PlannedRequest) => boolean): number {
 	return requests.filter(each => isCounted(each)).length / requests.length;
 }
 
 describe('trace', () => {
-	const trace = planTrace(scenario);
+	const trace = generateTrace(scenario);
 
 	it('is the same for the same seed and differs for another seed', () => {
-		expect(planTrace(scenario)).toEqual(trace);
-		expect(planTrace({...scenario, seed: 8})[0]).not.toEqual(trace[0]);
+		expect(generateTrace(scenario)).toEqual(trace);
+		expect(generateTrace({...scenario, seed: 8})[0]).not.toEqual(trace[0]);
 	});
 
 	it('has the rate and the shares of the scenario', () => {
@@ -45,7 +45,7 @@
 
 	it('gives prompts with the same prefix equal first blocks, and every prompt a text of its own', () => {
 		const alike = trace.filter(each => each.prefix === 1).slice(0, 20);
-		const prompts = alike.map(each => renderPrompt([{role: 'user', content: contentOf(each, scenario)}]));
+		const prompts = alike.map(each => renderPrompt([{role: 'user', content: buildContent(each, scenario)}]));
 		expect(new Set(prompts).size).toBe(20);
 		const first = prompts.map((prompt, index) => hashBlocks(prompt, alike[index]!.promptTokens).slice(0, 2).join(','));
 		expect(new Set(first).size).toBe(1);
--- a/bench/load/client.ts
+++ b/bench/load/client.ts
@@ -5,7 +5,7 @@
 import got, {type Response} from 'got';
 import {z} from 'zod';
 import {streamEnd} from '../../src/upstream/protocol.js';
-import {type Planned} from './trace.js';
+import {type PlannedRequest} from './trace.js';
 import {type Scenario} from './scenario.js';
 
 /** How one request ended; times are monotonic milliseconds. */
@@ -75,7 +75,7 @@
 
 type Attempt = Ending & {readonly ticket: string | undefined};
 
-async function sendAttempt(planned: Planned, scenario: Scenario, body: string, ticket: string | undefined): Promise<Attempt> {
+async function sendAttempt(planned: PlannedRequest, scenario: Scenario, body: string, ticket: string | undefined): Promise<Attempt> {
 	const collector = new StreamCollector();
 	let errorText = '';
 	let isStream = false;
@@ -111,7 +111,7 @@
 	};
 }
 
-function buildHeaders(planned: Planned, scenario: Scenario, ticket: string | undefined): Readonly<Record<string, string>> {
+function buildHeaders(planned: PlannedRequest, scenario: Scenario, ticket: string | undefined): Readonly<Record<string, string>> {
 	return {
 		'content-type': 'application/json',
 		authorization: `Bearer ${planned.organisation.key}`,
@@ -131,7 +131,7 @@
  * @param content - The user's message.
  * @returns How the request ended.
  */
-export async function sendRequest(planned: Planned, scenario: Scenario, content: string): Promise<Ending> {
+export async function sendRequest(planned: PlannedRequest, scenario: Scenario, content: string): Promise<Ending> {
 	const body = JSON.stringify({
 		model: scenario.service, messages: [{role: 'user', content}], stream: true, max_tokens: planned.output,
 	});
--- a/bench/load/recorder.ts
+++ b/bench/load/recorder.ts
@@ -2,7 +2,7 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import {codes} from '../../src/core/index.js';
 import {cutCode, type Ending} from './client.js';
-import {type Planned} from './trace.js';
+import {type PlannedRequest} from './trace.js';
 
 /** Summary of a histogram, in milliseconds. */
 export type Summary = {
@@ -30,7 +30,7 @@
 	readonly tokens: number;
 };
 
-export type Result = {
+export type LoadResult = {
 	readonly sent: number;
 	/** Requests by result code; -1 for answers that ended without one. */
 	readonly outcomes: Readonly<Record<string, number>>;
@@ -92,7 +92,7 @@
 
 /** One request that has ended, with what is counted of it. */
 export type Observation = {
-	readonly planned: Planned;
+	readonly planned: PlannedRequest;
 	readonly ending: Ending;
 	/** Monotonic times in milliseconds. */
 	readonly intendedAt: number;
@@ -165,7 +165,7 @@
 	 * @param seconds - Duration of the counted part of the run.
 	 * @returns The recorded values.
 	 */
-	result(seconds: number): Result {
+	result(seconds: number): LoadResult {
 		return {
 			sent: this.#sent,
 			outcomes: Object.fromEntries([...this.#outcomes].map(([code, count]) => [String(code), count])),
@@ -196,13 +196,13 @@
 		organisation.tokens += tokens;
 	}
 
-	#getClassRecorder({promptClass}: Planned): ClassRecorder {
+	#getClassRecorder({promptClass}: PlannedRequest): ClassRecorder {
 		const found = this.#classes.get(promptClass.name) ?? new ClassRecorder();
 		this.#classes.set(promptClass.name, found);
 		return found;
 	}
 
-	#getOrganisationRecorder({organisation}: Planned): OrganisationRecorder {
+	#getOrganisationRecorder({organisation}: PlannedRequest): OrganisationRecorder {
 		const found = this.#organisations.get(organisation.id) ?? new OrganisationRecorder();
 		this.#organisations.set(organisation.id, found);
 		return found;
--- a/bench/load/run.ts
+++ b/bench/load/run.ts
@@ -4,14 +4,14 @@
 import {renderPrompt} from '../../src/protocol/blocks.js';
 import {calculateAnswerLength, generateAnswer, digestPrompt} from '../../stand-ins/engine/answer.js';
 import {sendRequest, type Ending} from './client.js';
-import {Recorder, type Result} from './recorder.js';
+import {Recorder, type LoadResult} from './recorder.js';
 import {type Scenario} from './scenario.js';
-import {contentOf, planTrace, type Planned} from './trace.js';
+import {buildContent, generateTrace, type PlannedRequest} from './trace.js';
 
 const millisecondsPerSecond = 1000;
 const minSleepMs = 1;
 
-function isCorrectAnswer(planned: Planned, scenario: Scenario, content: string, ending: Ending): boolean {
+function isCorrectAnswer(planned: PlannedRequest, scenario: Scenario, content: string, ending: Ending): boolean {
 	if (scenario.answer === undefined) {
 		return true;
 	}
@@ -20,9 +20,9 @@
 	return ending.content === generateAnswer(digest, calculateAnswerLength(digest, scenario.answer, planned.output));
 }
 
-async function runRequest(planned: Planned, scenario: Scenario, intendedAt: number, recorder: Recorder): Promise<void> {
+async function runRequest(planned: PlannedRequest, scenario: Scenario, intendedAt: number, recorder: Recorder): Promise<void> {
 	const sentAt = performance.now();
-	const content = contentOf(planned, scenario);
+	const content = buildContent(planned, scenario);
 	const ending = await sendRequest(planned, scenario, content);
 	if (planned.at >= scenario.warmUp) {
 		recorder.add({
@@ -35,11 +35,11 @@
  * @param scenario - Validated scenario.
  * @returns The measured values.
  */
-export async function runLoad(scenario: Scenario): Promise<Result> {
+export async function runLoad(scenario: Scenario): Promise<LoadResult> {
 	const recorder = new Recorder();
 	const start = performance.now();
 	const running: Array<Promise<void>> = [];
-	for (const planned of planTrace(scenario)) {
+	for (const planned of generateTrace(scenario)) {
 		const intendedAt = start + planned.at;
 		while (performance.now() < intendedAt) {
 			await sleep(Math.max(Math.floor(intendedAt - performance.now()), minSleepMs));
--- a/bench/load/trace.ts
+++ b/bench/load/trace.ts
@@ -5,7 +5,7 @@
 import {type PromptClass, type Scenario} from './scenario.js';
 
 /** One request of the trace. */
-export type Planned = {
+export type PlannedRequest = {
 	readonly index: number;
 	/** Intended time of sending, in milliseconds since the start. */
 	readonly at: number;
@@ -76,9 +76,9 @@
  * @param scenario - Scenario.
  * @returns Requests in order of their intended time.
  */
-export function planTrace(scenario: Scenario): readonly Planned[] {
+export function generateTrace(scenario: Scenario): readonly PlannedRequest[] {
 	const source = createSource(scenario.seed);
-	const planned: Planned[] = [];
+	const planned: PlannedRequest[] = [];
 	const gap = () => -Math.log(1 - source()) * millisecondsPerSecond / scenario.rate;
 	for (let at = gap(); at < scenario.duration; at += gap()) {
 		planned.push(planRequest(scenario, planned.length, at, source));
@@ -87,7 +87,7 @@
 	return planned;
 }
 
-function planRequest(scenario: Scenario, index: number, at: number, source: RandomSource): Planned {
+function planRequest(scenario: Scenario, index: number, at: number, source: RandomSource): PlannedRequest {
 	const promptClass = pickWeighted(scenario.classes, source);
 	const {prefixes} = promptClass;
 	const hasPrefix = prefixes !== undefined && source() < prefixes.share;
@@ -129,7 +129,7 @@
 
 const prefixTexts = new Map<string, string>();
 
-function getPrefixText({promptClass, prefix}: Planned, {seed, textSeed, tokensPerTextToken}: Scenario): string {
+function getPrefixText({promptClass, prefix}: PlannedRequest, {seed, textSeed, tokensPerTextToken}: Scenario): string {
 	if (prefix === undefined || promptClass.prefixes === undefined) {
 		return '';
 	}
@@ -146,7 +146,7 @@
  * @param scenario - Its scenario.
  * @returns The user's message: the shared prefix, if any, followed by text of its own.
  */
-export function contentOf(planned: Planned, scenario: Scenario): string {
+export function buildContent(planned: PlannedRequest, scenario: Scenario): string {
 	const characters = (planned.promptTokens * charactersPerToken / scenario.tokensPerTextToken) - roleCharacters;
 	const prefix = getPrefixText(planned, scenario).slice(0, Math.max(characters - charactersPerToken, 0));
 	const own = generateLetters(combineSeeds(scenario.seed, scenario.textSeed) + Math.imul(planned.index + 1, 15_485_863), patternCharacters);
@@ -157,7 +157,7 @@
  * @param trace - Requests.
  * @returns Share of prompt tokens that a single router with one unlimited cache would find cached.
  */
-export function reusableShare(trace: readonly Planned[]): number {
+export function computeReusableShare(trace: readonly PlannedRequest[]): number {
 	const seen = new Set<string>();
 	let reusable = 0;
 	let total = 0;
--- a/bench/membership/main.ts
+++ b/bench/membership/main.ts
@@ -6,7 +6,7 @@
 import {type ShapeInput} from '../fleet/shape.js';
 import {countReversions} from './reversions.js';
 import {rollHosts} from './roll.js';
-import {fetchHostCost, inForce, linked} from './status.js';
+import {fetchHostCost, waitForRevision, waitForLinks} from './status.js';
 
 const domains = ['a', 'b', 'c'];
 const publications = 20;
@@ -55,7 +55,7 @@
 	const times: number[] = [];
 	for (let change = 0; change < publications; change++) {
 		const began = performance.now();
-		await inForce(fleet, hosts, await fleet.publish(before => before));
+		await waitForRevision(fleet, hosts, await fleet.publish(before => before));
 		times.push(performance.now() - began);
 	}
 
@@ -65,7 +65,7 @@
 async function measureAdoption(): Promise<void> {
 	await using fleet = await Fleet.start(buildShape({isProxied: true}));
 	const hosts = fleet.hosts.all.map(host => host.id);
-	await linked(fleet, hosts, minLinks);
+	await waitForLinks(fleet, hosts, minLinks);
 	print('adoption, milliseconds until in force on 7 hosts', summarize(await measurePublications(fleet, hosts)));
 	for (const host of hosts.slice(1)) {
 		fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
@@ -80,7 +80,7 @@
 async function measureCost(): Promise<void> {
 	await using fleet = await Fleet.start(buildShape({}));
 	const hosts = fleet.hosts.all.map(host => host.id);
-	await linked(fleet, hosts, minLinks);
+	await waitForLinks(fleet, hosts, minLinks);
 	const before = await Promise.all(hosts.map(async host => fetchHostCost(fleet, host)));
 	const callsBefore = fleet.platformCalls.calls;
 	await sleep(costWindowMs);
--- a/bench/membership/reversions.ts
+++ b/bench/membership/reversions.ts
@@ -1,7 +1,7 @@
 /** Publishes configurations while the platform alternates between fresh and stale reads and hosts restart, and counts reversions. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet} from '../fleet/fleet.js';
-import {inForce, stateOf} from './status.js';
+import {waitForRevision, fetchHostState} from './status.js';
 
 const pollIntervalMs = 20;
 
@@ -28,7 +28,7 @@
 	let readings = 0;
 	const watch = async (host: string) => {
 		while (!stopping.signal.aborted) {
-			const state = await stateOf(fleet, host);
+			const state = await fetchHostState(fleet, host);
 			if (state?.phase === 'serving') {
 				readings++;
 				reversions += state.revision < (highest.get(host) ?? 0) ? 1 : 0;
@@ -50,11 +50,11 @@
 			restarts++;
 		}
 
-		await (change % 10 === 0 && !isRestart ? inForce(fleet, hosts, revision) : sleep(pollIntervalMs));
+		await (change % 10 === 0 && !isRestart ? waitForRevision(fleet, hosts, revision) : sleep(pollIntervalMs));
 	}
 
 	await fleet.platform({type: 'fresh'});
-	await inForce(fleet, hosts, fleet.configuration.revision);
+	await waitForRevision(fleet, hosts, fleet.configuration.revision);
 	stopping.abort();
 	await watches;
 	return {
--- a/bench/membership/roll.ts
+++ b/bench/membership/roll.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet} from '../fleet/fleet.js';
 import {apiKey} from '../fleet/shape.js';
-import {stateOf} from './status.js';
+import {fetchHostState} from './status.js';
 
 /** Delay until the balancer notices that a host is not ready. */
 const balancerLagMs = 1000;
@@ -41,7 +41,7 @@
 		const seen: Array<readonly string[]> = [];
 		while (!this.#signal.aborted) {
 			const hosts = this.#fleet.hosts.all.map(host => host.id);
-			const states = await Promise.all(hosts.map(async host => stateOf(this.#fleet, host)));
+			const states = await Promise.all(hosts.map(async host => fetchHostState(this.#fleet, host)));
 			seen.push(hosts.filter((_, index) => states[index]?.phase === 'serving'));
 			const excess = seen.length - (balancerLagMs / balancerIntervalMs);
 			if (excess > 0) {
--- a/bench/membership/status.ts
+++ b/bench/membership/status.ts
@@ -33,7 +33,7 @@
  * @param host - Host.
  * @returns Its phase, revision, start and peers; undefined while it does not answer.
  */
-export async function stateOf(fleet: Fleet, host: string): Promise<HostState | undefined> {
+export async function fetchHostState(fleet: Fleet, host: string): Promise<HostState | undefined> {
 	try {
 		return stateSchema.parse(await readAdminPage(fleet, host, 'status'));
 	} catch {
@@ -58,10 +58,10 @@
  * @param revision - Revision.
  * @returns Milliseconds until the last host had it in force.
  */
-export async function inForce(fleet: Fleet, hosts: readonly string[], revision: number): Promise<number> {
+export async function waitForRevision(fleet: Fleet, hosts: readonly string[], revision: number): Promise<number> {
 	const began = performance.now();
 	await Promise.all(hosts.map(async host => {
-		for (let state = await stateOf(fleet, host); state?.revision !== revision; state = await stateOf(fleet, host)) {
+		for (let state = await fetchHostState(fleet, host); state?.revision !== revision; state = await fetchHostState(fleet, host)) {
 			await sleep(pollIntervalMs);
 		}
 	}));
@@ -75,10 +75,10 @@
  * @param hosts - Hosts.
  * @param links - Minimum number of links of each host.
  */
-export async function linked(fleet: Fleet, hosts: readonly string[], links: number): Promise<void> {
+export async function waitForLinks(fleet: Fleet, hosts: readonly string[], links: number): Promise<void> {
 	await Promise.all(hosts.map(async host => {
 		const count = async () => {
-			const state = await stateOf(fleet, host);
+			const state = await fetchHostState(fleet, host);
 			return state?.peers.filter(peer => peer.connected).length ?? 0;
 		};
 
--- a/bench/model/decision.ts
+++ b/bench/model/decision.ts
@@ -4,7 +4,7 @@
 import {type Request} from '../../src/core/index.js';
 import {Fleet} from './fleet.js';
 import {engineOptions} from './scenarios.js';
-import {seeded} from './workload.js';
+import {createRandom} from './workload.js';
 
 const hosts = 42;
 const engines = 75;
@@ -37,7 +37,7 @@
 	}, 1);
 	fleet.run([], 2000);
 	const state = fleet.getHostState(0);
-	const random = seeded(1);
+	const random = createRandom(1);
 	const wanted = findService(state, 's')!;
 	const requests = Array.from({length: 100}, (_, index) => buildRequest(index, promptTokens));
 	let started = 0;
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -22,7 +22,7 @@
 import {listOwnLoads} from '../../src/core/features/membership/heartbeat.js';
 import {ModelEngine, type ModelEngineOptions, type Job} from './engine.js';
 import {Timeline} from './timeline.js';
-import {seeded, type Arrival} from './workload.js';
+import {createRandom, type Arrival} from './workload.js';
 
 export type FleetOptions = {
 	readonly hosts: number;
@@ -104,7 +104,7 @@
 
 	constructor(options: FleetOptions, seed: number) {
 		this.#options = options;
-		this.#random = seeded(seed);
+		this.#random = createRandom(seed);
 		this.#states = Array.from({length: options.hosts}, (_, index) => initialState(buildMember(index)));
 		this.#engines = Array.from({length: options.engines}, () => new ModelEngine(options.engineOptions));
 		const document = buildConfiguration(options);
@@ -151,7 +151,7 @@
 	 */
 	run(arrivals: readonly Arrival[], end: number): readonly RequestResult[] {
 		for (const [index, arrival] of arrivals.entries()) {
-			this.#timeline.add(arrival.at, () => {
+			this.#timeline.schedule(arrival.at, () => {
 				this.#submitRequest(`r${index}`, arrival);
 			});
 		}
@@ -175,10 +175,10 @@
 	#scheduleEvery(interval: number, run: () => void): void {
 		const next = () => {
 			run();
-			this.#timeline.add(this.#timeline.now + interval, next);
+			this.#timeline.schedule(this.#timeline.now + interval, next);
 		};
 
-		this.#timeline.add(this.#random.integer(0, interval), next);
+		this.#timeline.schedule(this.#random.integer(0, interval), next);
 	}
 
 	#submitRequest(id: string, arrival: Arrival): void {
@@ -246,7 +246,7 @@
 	}
 
 	#scheduleDelivery(run: () => void): void {
-		this.#timeline.add(this.#timeline.now + networkDelayMs, run);
+		this.#timeline.schedule(this.#timeline.now + networkDelayMs, run);
 	}
 
 	#findEngine(id: string): ModelEngine {
@@ -267,7 +267,7 @@
 			return;
 		}
 
-		this.#timeline.add(this.#timeline.now + duration, () => {
+		this.#timeline.schedule(this.#timeline.now + duration, () => {
 			for (const {job, cached, produced, isFinished} of engine.finishIteration()) {
 				this.#sendProgress(job, cached, produced, isFinished);
 			}
@@ -313,7 +313,7 @@
 			usedMemory: engine.usedMemory,
 			memory: this.#options.engineOptions.memory,
 		};
-		this.#timeline.add(this.#timeline.now + reportLagMs, () => {
+		this.#timeline.schedule(this.#timeline.now + reportLagMs, () => {
 			for (let host = 0; host < this.#options.hosts; host++) {
 				this.#dispatch(host, {type: 'report-received', report});
 			}
--- a/bench/model/main.ts
+++ b/bench/model/main.ts
@@ -2,8 +2,8 @@
 import process from 'node:process';
 import {type Policy} from '../../src/core/index.js';
 import {measureDecisionCost} from './decision.js';
-import {summary} from './measure.js';
-import {run, type Scenario} from './scenarios.js';
+import {summarize} from './measure.js';
+import {runScenario, type Scenario} from './scenarios.js';
 
 const policies: readonly Policy[] = ['cost', 'round-robin', 'random', 'least-requests'];
 /** Used if no seeds are given as arguments. */
@@ -14,8 +14,8 @@
 
 function printScenario(scenario: Scenario): void {
 	const started = performance.now();
-	const {results, utilisation} = run(scenario);
-	const figures = summary(results, scenario.duration / 1000);
+	const {results, utilisation} = runScenario(scenario);
+	const figures = summarize(results, scenario.duration / 1000);
 	const rounded = Object.entries(figures).map(([name, value]) => `${name} ${Number(value.toPrecision(4))}`);
 	const took = Math.round(performance.now() - started);
 	const name = `${scenario.policy} seed ${scenario.seed} load ${scenario.load}${scenario.isShortAlone === true ? ' short alone' : ''}`;
--- a/bench/model/measure.ts
+++ b/bench/model/measure.ts
@@ -15,7 +15,7 @@
 /** Share of the run in which queues fill; the goodput leaves it out. */
 const warmUpShare = 0.3;
 
-export type Figures = {
+export type Summary = {
 	/** Percentile of the time to the first token in milliseconds, by prompt length. */
 	readonly short: number;
 	readonly middle: number;
@@ -57,7 +57,7 @@
  * @param fraction - Percentile of the first-token times, from 0 to 1.
  * @returns The summary.
  */
-export function summary(results: readonly RequestResult[], seconds: number, fraction = 0.95): Figures {
+export function summarize(results: readonly RequestResult[], seconds: number, fraction = 0.95): Summary {
 	const done = results.filter(each => each.outcome?.type === 'done' && each.end! <= each.deadline);
 	const notRun = results.filter(each => each.outcome?.type === 'not-run');
 	const refused = notRun.filter(each => each.end === each.arrival.at);
--- a/bench/model/scenarios.ts
+++ b/bench/model/scenarios.ts
@@ -48,7 +48,7 @@
  * @param scenario - Scenario.
  * @returns Results of the requests, and the share of the engines' time spent on prefill.
  */
-export function run(scenario: Scenario): {readonly results: readonly RequestResult[]; readonly utilisation: number} {
+export function runScenario(scenario: Scenario): {readonly results: readonly RequestResult[]; readonly utilisation: number} {
 	const deadline = scenario.deadline ?? defaultDeadlineMs;
 	const options: FleetOptions = {
 		hosts: 7,
--- a/bench/model/timeline.ts
+++ b/bench/model/timeline.ts
@@ -17,7 +17,7 @@
 	readonly #heap: Entry[] = [];
 	#order = 0;
 
-	add(at: number, run: () => void): void {
+	schedule(at: number, run: () => void): void {
 		this.#heap.push({at: Math.max(at, this.now), order: this.#order++, run});
 		this.#siftUp(this.#heap.length - 1);
 	}
--- a/bench/model/workload.ts
+++ b/bench/model/workload.ts
@@ -39,7 +39,7 @@
 const resolution = 1_000_000_000;
 
 /** Creates a seeded source of random numbers. */
-export function seeded(seed: number): Random {
+export function createRandom(seed: number): Random {
 	const generator = xoroshiro128plus(seed);
 	return {
 		integer: (least, most) => uniformInt(generator, least, most),
@@ -89,7 +89,7 @@
  * @returns Arrivals in order of time, the same for the same seed.
  */
 export function generateArrivals(workload: Workload): readonly Arrival[] {
-	const random = seeded(workload.seed);
+	const random = createRandom(workload.seed);
 	const all: Arrival[] = [];
 	for (let at = 0; at < workload.duration;) {
 		at += -Math.log(drawFraction(random)) * 1000 / workload.rate;
--- a/bench/soak/plan.ts
+++ b/bench/soak/plan.ts
@@ -1,6 +1,6 @@
 /** Plans the faults of a soak and their times from a seed. */
 import {type Random} from '../../src/core/index.js';
-import {seeded} from '../model/workload.js';
+import {createRandom} from '../model/workload.js';
 
 /** A fault; times are in milliseconds. */
 export type Fault
@@ -100,7 +100,7 @@
  * @returns Faults in order of time: series of one type, each of which may overlap with earlier faults.
  */
 export function planFaults(seed: number, options: PlanOptions): readonly PlannedFault[] {
-	const random = seeded(seed);
+	const random = createRandom(seed);
 	const planned: PlannedFault[] = [];
 	let at = random.integer(gapBetweenSeriesMs.least, gapBetweenSeriesMs.most);
 	while (at < options.length) {
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -1,6 +1,6 @@
 /** Runs one soak: real gateway processes under injected faults, and callers whose records are checked against the guarantees. */
 import {setTimeout as sleep} from 'node:timers/promises';
-import {seeded} from '../model/workload.js';
+import {createRandom} from '../model/workload.js';
 import {Client} from './clients.js';
 import {engineCount, Testbed, plainCount} from './testbed.js';
 import {planFaults} from './plan.js';
@@ -36,7 +36,7 @@
 	const planned = planFaults(options.seed, {
 		hosts: options.hosts, upstreams: engineCount + plainCount, links: testbed.links, length: options.length,
 	});
-	const clients = Array.from({length: options.clients}, (_, index) => new Client(`c${index}`, site, seeded((options.seed * 1000) + index)));
+	const clients = Array.from({length: options.clients}, (_, index) => new Client(`c${index}`, site, createRandom((options.seed * 1000) + index)));
 	const ending = new AbortController();
 	const running = clients.map(async client => client.run(ending.signal));
 	const began = performance.now();
--- a/src/core/__tests__/groups.test.ts
+++ b/src/core/__tests__/groups.test.ts
@@ -2,7 +2,7 @@
 import {
 	codes, configurationSchema, step, type Effect, type Event, type Random, type State,
 } from '../index.js';
-import {seeded} from '../../../bench/model/workload.js';
+import {createRandom} from '../../../bench/model/workload.js';
 import {
 	applyEvents, createConfiguration, createMember, createRequest, createServingState, effectsOf, startWallTimeMs,
 } from './fixtures.js';
@@ -61,7 +61,7 @@
 	#now = 0;
 
 	constructor(seed: number) {
-		this.#random = seeded(seed);
+		this.#random = createRandom(seed);
 	}
 
 	get isIdle(): boolean {
--- a/src/core/__tests__/load.test.ts
+++ b/src/core/__tests__/load.test.ts
@@ -1,13 +1,13 @@
 import {describe, expect, it} from 'vitest';
-import {summary, type Figures} from '../../../bench/model/measure.js';
-import {run, type Scenario} from '../../../bench/model/scenarios.js';
+import {summarize, type Summary} from '../../../bench/model/measure.js';
+import {runScenario, type Scenario} from '../../../bench/model/scenarios.js';
 
 const seeds = [1, 2];
 const durationMs = 90_000;
 const deadlineMs = 120_000;
 
-function runScenario(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Figures {
-	return summary(run({...scenario, duration: durationMs, deadline: deadlineMs}).results, durationMs / 1000);
+function runScenario(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Summary {
+	return summarize(runScenario({...scenario, duration: durationMs, deadline: deadlineMs}).results, durationMs / 1000);
 }
 
 describe('decisions under load, in simulated time', () => {
@@ -25,10 +25,10 @@
 	});
 
 	it.each(seeds)('at 130% load, no admitted request is late, and few are given up (seed %i)', seed => {
-		const {results} = run({
+		const {results} = runScenario({
 			policy: 'cost', seed, load: 1.3, duration: durationMs, deadline: deadlineMs,
 		});
-		const over = summary(results, durationMs / 1000);
+		const over = summarize(results, durationMs / 1000);
 		expect(over.late).toBe(0);
 		expect(over.givenUp / over.requests).toBeLessThan(0.03);
 		expect(over.short).toBeLessThan(1000);
@@ -37,7 +37,7 @@
 	});
 
 	it('at 200% load, small organisations get their share regardless of the demand of large ones', () => {
-		const {results} = run({
+		const {results} = runScenario({
 			policy: 'cost', seed: 3, load: 2, duration: durationMs, deadline: deadlineMs,
 		});
 		const served = (part: string) => {
@@ -50,7 +50,7 @@
 	});
 
 	it('makes the same decisions for the same seed', () => {
-		const again = () => JSON.stringify(run({
+		const again = () => JSON.stringify(runScenario({
 			policy: 'cost', seed: 4, load: 0.7, duration: 10_000,
 		}).results);
 		expect(again()).toBe(again());
--- a/src/core/gateway/__tests__/absences.test.ts
+++ b/src/core/gateway/__tests__/absences.test.ts
@@ -1,6 +1,6 @@
 /** Engines that crash while many hosts use them: attempts that the callers of a failure domain lose. */
 import {describe, expect, it} from 'vitest';
-import {seeded} from '../../../../bench/model/workload.js';
+import {createRandom} from '../../../../bench/model/workload.js';
 import {createAbsence, appliesIn, absenceToVerdict} from '../absences.js';
 import {Health} from '../health.js';
 import {Load} from '../load.js';
@@ -76,7 +76,7 @@
 }
 
 function simulate(isReporting: boolean): readonly number[] {
-	const random = seeded(7);
+	const random = createRandom(7);
 	const domain = new Domain(isReporting);
 	return Array.from({length: requests}, (_, index) => {
 		const now = 10_000 + (index * requestIntervalMs);
--- a/src/core/gateway/__tests__/gateway-state.test.ts
+++ b/src/core/gateway/__tests__/gateway-state.test.ts
@@ -9,7 +9,7 @@
 import {isRepeatable, RetryBudget} from '../retries.js';
 import {Suspects, type Crash} from '../suspects.js';
 import {type EngineModel, type Route} from '../types.js';
-import {seeded} from '../../../../bench/model/workload.js';
+import {createRandom} from '../../../../bench/model/workload.js';
 
 const model: EngineModel = {
 	slots: 11, memory: 232_000, stride: 43, step: 1, perRequest: 0, perThousand: 0, readRate: 200, pairs: 0.1, chunk: 2048, hop: 0, usualPrompt: 12_000, usualAnswer: 1300,
@@ -235,7 +235,7 @@
 	});
 
 	it.each([1, 2, 3, 4, 5])('are forwarded in a fleet until every host has received them, and no longer (order %i)', seed => {
-		const random = seeded(seed);
+		const random = createRandom(seed);
 		const hosts = Array.from({length: 6}, () => new Suspects());
 		const messages: Array<{readonly to: number; readonly isCleared: boolean}> = [];
 		const broadcast = (from: number, isCleared: boolean) => {
