--- a/bench/fuzz/__tests__/invariants.test.ts
+++ b/bench/fuzz/__tests__/invariants.test.ts
@@ -13,7 +13,7 @@
 	ledger.executions.push({
 		operation: 'o', right, upstream: 'u', at: 100,
 	});
-	ledger.told.push({
+	ledger.receivedAnswers.push({
 		operation: 'o', right, outcome: {type: 'not-run', code, retryAfter: 1000}, decidedAt, at,
 	});
 	return findViolations(ledger).map(each => each.check);
--- a/bench/fuzz/callers.ts
+++ b/bench/fuzz/callers.ts
@@ -15,7 +15,7 @@
  * @param suffix - A number that no other key has.
  * @returns A UUID of version 7.
  */
-export function keyOf(mintedAt: number, suffix: number): string {
+export function createKey(mintedAt: number, suffix: number): string {
 	const time = mintedAt.toString(16).padStart(12, '0');
 	return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${suffix.toString(16).padStart(12, '0')}`;
 }
@@ -63,7 +63,7 @@
 		this.#at = at;
 		this.#id = simulation.createId('o');
 		this.#proof = kind === 'key'
-			? {type: 'key', key: keyOf(epoch + simulation.now + simulation.random.integer(-300, 300), Number(this.#id.slice(1)))}
+			? {type: 'key', key: createKey(epoch + simulation.now + simulation.random.integer(-300, 300), Number(this.#id.slice(1)))}
 			: {type: kind === 'idempotent' ? 'idempotent' : 'none'};
 		simulation.ledger.operations.set(this.#id, {id: this.#id, idempotent: kind === 'idempotent', isPoison});
 		this.#startsWithTicket = kind === 'ticket';
@@ -149,7 +149,7 @@
 
 			this.#simulation.deliverRequest(host, request, {operation: this.#id, right}, answer => {
 				isAnswered = true;
-				ledger.told.push({
+				ledger.receivedAnswers.push({
 					operation: this.#id, right, outcome: answer.effect.outcome, payload: answer.payload, decidedAt: answer.decidedAt, at: this.#simulation.now,
 				});
 				this.#handleAnswer(answer, right);
--- a/bench/fuzz/experiments.ts
+++ b/bench/fuzz/experiments.ts
@@ -38,8 +38,8 @@
 	let sealed = 0;
 	let violationCount = 0;
 	for (const seed of seeds) {
-		const {world: simulation, violations: found} = run({seed, length: 10_000, mutation});
-		const answers = simulation.ledger.told.filter(each => each.right.startsWith('t'));
+		const {simulation: simulation, violations: found} = run({seed, length: 10_000, mutation});
+		const answers = simulation.ledger.receivedAnswers.filter(each => each.right.startsWith('t'));
 		unknown += answers.filter(each => hasCode(each, 'unknown', codes.keeperUnreachable)).length;
 		sealed += answers.filter(each => hasCode(each, 'not-run', codes.sealed)).length;
 		violationCount += found.length;
@@ -60,7 +60,7 @@
 
 	simulation.scheduler.runUntil(warmUpMs + 1000);
 	for (const [label, name] of [['one domain', 'a1'], ['two domains', 'b1']] as const) {
-		const before = simulation.ledger.told.length;
+		const before = simulation.ledger.receivedAnswers.length;
 		for (let index = 0; index < sendCount; index++) {
 			simulation.scheduler.after(index * sendIntervalMs, () => {
 				new Caller(simulation, kind, {at: name}).start();
@@ -68,7 +68,7 @@
 		}
 
 		simulation.scheduler.runUntil(simulation.now + (sendCount * sendIntervalMs) + warmUpMs);
-		const answers = simulation.ledger.told.slice(before);
+		const answers = simulation.ledger.receivedAnswers.slice(before);
 		const first = new Map(answers.toReversed().map(each => [each.operation, each]));
 		const last = new Map(answers.map(each => [each.operation, each]));
 		const count = (all: ReadonlyMap<string, ReceivedAnswer>, type: string): number =>
--- a/bench/fuzz/invariants.ts
+++ b/bench/fuzz/invariants.ts
@@ -60,13 +60,13 @@
 }
 
 function findFalseNotRuns(ledger: Ledger): readonly string[] {
-	const wrong = ledger.told.filter(each => each.outcome.type === 'not-run'
+	const wrong = ledger.receivedAnswers.filter(each => each.outcome.type === 'not-run'
 		&& ledger.operations.get(each.operation)?.idempotent === false
 		&& ledger.executions.some(ran => ran.right === each.right && ran.at < getNotRunUntil(each)));
 	return wrong.map(each => `${each.operation} under ${each.right}: ${JSON.stringify(each.outcome)} at ${each.at}`);
 }
 
-function findForeignAnswers({told: answers, executions}: Ledger): readonly string[] {
+function findForeignAnswers({receivedAnswers: answers, executions}: Ledger): readonly string[] {
 	const ran = new Set(executions.map(each => each.operation));
 	return answers
 		.filter(each => each.outcome.type === 'done' && (each.payload !== each.operation || !ran.has(each.operation)))
--- a/bench/fuzz/ledger.ts
+++ b/bench/fuzz/ledger.ts
@@ -64,7 +64,7 @@
 export class Ledger {
 	readonly operations = new Map<string, Operation>();
 	readonly executions: Execution[] = [];
-	readonly told: ReceivedAnswer[] = [];
+	readonly receivedAnswers: ReceivedAnswer[] = [];
 	readonly hostRequests: HostRequest[] = [];
 	readonly crashes: Crash[] = [];
 	/** Times at which a host's process was restarted. */
--- a/bench/fuzz/main.ts
+++ b/bench/fuzz/main.ts
@@ -12,7 +12,7 @@
 
 function countOutcomes(simulation: Simulation): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>();
-	for (const {outcome, right} of simulation.ledger.told) {
+	for (const {outcome, right} of simulation.ledger.receivedAnswers) {
 		const kind = right.split(' ')[0]!;
 		const label = `${kind} ${outcome.type}${'code' in outcome ? ` ${outcome.code}` : ''}`;
 		counts.set(label, (counts.get(label) ?? 0) + 1);
@@ -33,7 +33,7 @@
 	let violationCount = 0;
 	for (let index = 0; index < Number(options.runs); index++) {
 		const seed = Number(options.seed) + index;
-		const {world: simulation, violations} = run({seed, faults: !options.calm});
+		const {simulation: simulation, violations} = run({seed, hasFaults: !options.calm});
 		steps += simulation.ledger.steps;
 		violationCount += violations.length;
 		for (const [label, count] of countOutcomes(simulation)) {
--- a/bench/fuzz/mutants.ts
+++ b/bench/fuzz/mutants.ts
@@ -9,7 +9,7 @@
 	const counts = new Map<string, number>();
 	for (let seed = 1; seed <= runCount; seed++) {
 		const {violations} = run({
-			seed, mutation, length: 10_000, faults: seed % 3 !== 0,
+			seed, mutation, length: 10_000, hasFaults: seed % 3 !== 0,
 		});
 		for (const {check} of violations) {
 			counts.set(check, (counts.get(check) ?? 0) + 1);
--- a/bench/fuzz/run.ts
+++ b/bench/fuzz/run.ts
@@ -15,16 +15,16 @@
 
 export type RunOptions = {
 	readonly seed: number;
-	readonly faults?: boolean;
+	readonly hasFaults?: boolean;
 	/** Whether one operation in a hundred crashes the upstreams that run it. */
-	readonly killers?: boolean;
+	readonly hasPoison?: boolean;
 	/** Time in which callers send and faults occur, in milliseconds. */
 	readonly length?: number;
 	readonly mutation?: Mutation;
 };
 
 export type RunResult = {
-	readonly world: Simulation;
+	readonly simulation: Simulation;
 	readonly violations: readonly Violation[];
 };
 
@@ -88,7 +88,7 @@
  */
 export function run(options: RunOptions): RunResult {
 	const {
-		seed, faults: hasFaults = true, killers: hasPoison = true, length = 15_000, mutation,
+		seed, hasFaults: hasFaults = true, hasPoison: hasPoison = true, length = 15_000, mutation,
 	} = options;
 	const domains = seed % 3 === 0 ? ['a'] : ['a', 'b'];
 	const simulation = new Simulation({
@@ -108,5 +108,5 @@
 	simulation.scheduler.runUntil(warmUpMs + length + quietPeriodMs);
 	recordNonEmptyTables(simulation);
 	recordUnreleasedHolds(simulation);
-	return {world: simulation, violations: findViolations(simulation.ledger)};
+	return {simulation: simulation, violations: findViolations(simulation.ledger)};
 }
--- a/bench/fuzz/simulation.ts
+++ b/bench/fuzz/simulation.ts
@@ -10,7 +10,7 @@
 import {type Mutation} from './mutations.js';
 import {Scheduler} from './scheduler.js';
 import {SeededRandom} from './random.js';
-import {forwardRequest, sendAttempt} from './relays.js';
+import {forwardRequest, sendAttempt} from './delivery.js';
 import {FakeUpstream} from './upstreams.js';
 
 export const tickIntervalMs = 50;
--- a/bench/beliefs/world.ts
+++ b/bench/propagation/simulation.ts
@@ -6,8 +6,8 @@
 import {type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {selectRelays} from '../../src/gateway/peers/topology.js';
 import {createRandom} from '../model/workload.js';
-import {Member, stalenessBoundMs} from './member.js';
-import {SimulatedStore} from './store.js';
+import {Member, stalenessBoundMs} from '../propagation/member.js';
+import {SimulatedStore} from '../propagation/store.js';
 
 const stepMs = 25;
 const settleTimeMs = 4000;
@@ -34,25 +34,25 @@
 };
 
 /** Faults of a host: `suspended` is frozen with a monotonic clock that stops meanwhile. */
-export type Trouble = 'frozen' | 'killed' | 'slow' | 'suspended' | 'turned-away';
+export type Fault = 'frozen' | 'killed' | 'slow' | 'suspended' | 'turned-away';
 
-export type WorldOptions = {
+export type SimulationOptions = {
 	readonly seed: number;
 	/** Faults that may occur. */
-	readonly troubles: readonly Trouble[];
+	readonly faults: readonly Fault[];
 	/** Simulated time in milliseconds. */
 	readonly duration: number;
 	/** Advances virtual time by some milliseconds. */
 	readonly advance: (time: number) => Promise<void>;
 };
 
-export class World {
+export class Simulation {
 	readonly members: readonly Member[];
 	/** Wrong views that lasted longer than the bound. */
-	readonly breaches: StaleView[] = [];
+	readonly violations: StaleView[] = [];
 	/** Longest time in milliseconds for which an undisturbed host had a wrong view. */
 	longestStaleTime = 0;
-	readonly #options: WorldOptions;
+	readonly #options: SimulationOptions;
 	readonly #store = new SimulatedStore();
 	readonly #random: Random;
 	/** Since when a host has been unresponsive, and when it was linked again. */
@@ -65,7 +65,7 @@
 	/**
 	 * @param options - Seed, faults and duration.
 	 */
-	constructor(options: WorldOptions) {
+	constructor(options: SimulationOptions) {
 		this.#options = options;
 		this.#random = createRandom(options.seed);
 		const network = {
@@ -80,7 +80,7 @@
 	}
 
 	/** Runs the simulation to its end. */
-	async play(): Promise<void> {
+	async run(): Promise<void> {
 		for (let index = 0; index < upstreamCount; index++) {
 			this.#addUpstream();
 		}
@@ -142,7 +142,7 @@
 
 	/** Injects a fault into one or two hosts, more often into those that others read through. */
 	#injectFault(): void {
-		const {troubles: faults} = this.#options;
+		const {faults: faults} = this.#options;
 		if (faults.length === 0) {
 			return;
 		}
@@ -158,7 +158,7 @@
 		}
 	}
 
-	#applyFault(member: Member, fault: Trouble, time: number): void {
+	#applyFault(member: Member, fault: Fault, time: number): void {
 		const until = performance.now() + time;
 		member.disturbedUntil = until;
 		switch (fault) {
@@ -290,7 +290,7 @@
 	#recordStaleView(view: StaleView): void {
 		this.longestStaleTime = Math.max(this.longestStaleTime, view.age);
 		if (view.age > stalenessBoundMs) {
-			this.breaches.push(view);
+			this.violations.push(view);
 		}
 	}
 }
--- a/src/core/__tests__/invariants.property.test.ts
+++ b/src/core/__tests__/invariants.property.test.ts
@@ -15,7 +15,7 @@
 describe('requests that crash each upstream that runs them', () => {
 	it('crash at most three upstreams of a failure domain while all hosts are live and linked', () => {
 		fc.assert(fc.property(seeds, seed => {
-			expect(run({seed, length: 8000, faults: false}).violations).toEqual([]);
+			expect(run({seed, length: 8000, hasFaults: false}).violations).toEqual([]);
 		}), {seed: 20_261_202, numRuns: 8});
 	});
 });
@@ -23,13 +23,13 @@
 describe('several hosts without faults', () => {
 	it('serve every operation, including those of callers that resend a key to random hosts', () => {
 		fc.assert(fc.property(seeds, seed => {
-			const {world, violations} = run({
-				seed, length: 5000, faults: false, killers: false,
+			const {simulation: world, violations} = run({
+				seed, length: 5000, hasFaults: false, hasPoison: false,
 			});
 			expect(violations).toEqual([]);
-			const served = new Set(world.ledger.told.filter(each => each.outcome.type === 'done').map(each => each.operation));
+			const served = new Set(world.ledger.receivedAnswers.filter(each => each.outcome.type === 'done').map(each => each.operation));
 			expect([...world.ledger.operations.keys()].filter(each => !served.has(each))).toEqual([]);
-			expect(world.ledger.told.filter(each => each.outcome.type === 'unknown')).toEqual([]);
+			expect(world.ledger.receivedAnswers.filter(each => each.outcome.type === 'unknown')).toEqual([]);
 		}), {seed: 20_261_202, numRuns: 6});
 	});
 });
--- a/src/core/__tests__/keys.test.ts
+++ b/src/core/__tests__/keys.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {codes, type Event, type State} from '../index.js';
 import {parseMintTime} from '../features/keys/queries.js';
-import {keyOf} from '../../../bench/fuzz/callers.js';
+import {createKey} from '../../../bench/fuzz/callers.js';
 import {
 	applyEvents, contextAt, createMember, createRequest, createServingState, effectsOf,
 } from './fixtures.js';
@@ -9,7 +9,7 @@
 const peer = createMember('a2', 2);
 
 function createArrival(id: string, minted: number): Event {
-	return {type: 'request-arrived', request: createRequest(id, {type: 'key', key: keyOf(contextAt(minted).wall, 1)}, {deadline: 60_000})};
+	return {type: 'request-arrived', request: createRequest(id, {type: 'key', key: createKey(contextAt(minted).wall, 1)}, {deadline: 60_000})};
 }
 
 /** Returns the state of a host that completed the handshake with its only peer at the start. */
@@ -25,7 +25,7 @@
 
 describe('an idempotency key without a ticket', () => {
 	it('carries its creation time only as a UUID of version 7', () => {
-		expect(parseMintTime(keyOf(contextAt(5).wall, 7))).toBe(contextAt(5).wall);
+		expect(parseMintTime(createKey(contextAt(5).wall, 7))).toBe(contextAt(5).wall);
 		expect(parseMintTime('0f8fad5b-d9cb-469f-a165-70867728950e')).toBeUndefined();
 	});
 
@@ -34,7 +34,7 @@
 		expect(effectsOf(asked.effects, 'send')).toHaveLength(0);
 		const answer: Event = {
 			type: 'peer-message', from: 'a2', message: {
-				type: 'key-answer', id: `k/paper/${keyOf(contextAt(20_000).wall, 1)}`, claimant: createMember('a1').incarnation, answer: {type: 'unsure'},
+				type: 'key-answer', id: `k/paper/${createKey(contextAt(20_000).wall, 1)}`, claimant: createMember('a1').incarnation, answer: {type: 'unsure'},
 			},
 		};
 		expect(effectsOf(applyEvents(asked.state, 20_010, answer).effects, 'send')).toHaveLength(1);
