--- a/__tests__/adoption.test.ts
+++ b/__tests__/adoption.test.ts
@@ -2,11 +2,11 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {describe, expect, it} from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {type ShapeInput} from '../bench/fleet/shape.js';
+import {type FleetShapeInput} from '../bench/fleet/shape.js';
 import {countReversions} from '../bench/membership/reversions.js';
 import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 
-function buildShape(isProxied: boolean): ShapeInput {
+function buildShape(isProxied: boolean): FleetShapeInput {
 	return {
 		isProxied,
 		timeScale: 20,
@@ -26,11 +26,11 @@
 		await using fleet = await Fleet.start(buildShape(true));
 		await waitForLinks(fleet, hosts, 3);
 		for (const host of hosts.slice(1)) {
-			fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
+			fleet.applyFault({type: 'refuse', where: {link: `${host}-platform`}});
 		}
 
-		fleet.fault({type: 'refuse', where: {from: 'a', to: 'c'}});
-		fleet.fault({type: 'refuse', where: {from: 'c', to: 'a'}});
+		fleet.applyFault({type: 'refuse', where: {from: 'a', to: 'c'}});
+		fleet.applyFault({type: 'refuse', where: {from: 'c', to: 'a'}});
 		for (let change = 0; change < 3; change++) {
 			const revision = await fleet.publish(before => before);
 			await waitForRevision(fleet, hosts, revision);
@@ -43,9 +43,9 @@
 		await using fleet = await Fleet.start({...buildShape(false), hosts: [1]});
 		const first = fleet.configuration;
 		await waitForRevision(fleet, ['a-host-1'], await fleet.publish(before => before));
-		await fleet.platform({type: 'publish', text: '{"revision": 9}', revision: 9});
-		await fleet.platform({type: 'publish', text: JSON.stringify(first), revision: 10});
-		await fleet.platform({type: 'publish', text: JSON.stringify({...first, revision: 2, tokenKeys: [{id: 'other', secret: 'a'.repeat(64)}]}), revision: 11});
+		await fleet.controlPlatform({type: 'publish', text: '{"revision": 9}', revision: 9});
+		await fleet.controlPlatform({type: 'publish', text: JSON.stringify(first), revision: 10});
+		await fleet.controlPlatform({type: 'publish', text: JSON.stringify({...first, revision: 2, tokenKeys: [{id: 'other', secret: 'a'.repeat(64)}]}), revision: 11});
 		await sleep(1500);
 		expect(await fetchHostState(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision: 2});
 	});
@@ -62,9 +62,9 @@
 		const revision = await fleet.publish(before => before);
 		await waitForRevision(fleet, ['a-host-1', 'a-host-2'], revision);
 		await waitForLinks(fleet, ['a-host-1', 'a-host-2'], 1);
-		await fleet.platform({type: 'down'});
+		await fleet.controlPlatform({type: 'down'});
 		await fleet.replaceHost('a-host-1');
-		await fleet.hosts.ready(['a-host-1']);
+		await fleet.hosts.waitUntilReady(['a-host-1']);
 		expect(await fetchHostState(fleet, 'a-host-1')).toMatchObject({phase: 'serving', revision});
 	});
 });
--- a/__tests__/fleet.test.ts
+++ b/__tests__/fleet.test.ts
@@ -2,13 +2,13 @@
 import got from 'got';
 import {describe, expect, it} from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {apiKey, type ShapeInput} from '../bench/fleet/shape.js';
+import {getApiKey, type FleetShapeInput} from '../bench/fleet/shape.js';
 import {calculateAnswerLength, generateAnswer, digestPrompt} from '../stand-ins/engine/answer.js';
 import {renderPrompt} from '../src/protocol/blocks.js';
 
 const messages = [{role: 'user', content: 'one line'}];
 
-function buildShape(isProxied: boolean): ShapeInput {
+function buildShape(isProxied: boolean): FleetShapeInput {
 	return {
 		isProxied,
 		timeScale: 20,
@@ -32,7 +32,7 @@
 	const {caller} = fleet.hosts.get(host);
 	const answer = await got.post(`http://${caller.host}:${caller.port}/v1/chat/completions`, {
 		json: {model: 'check', messages, max_tokens: 20},
-		headers: {authorization: `Bearer ${apiKey('one')}`},
+		headers: {authorization: `Bearer ${getApiKey('one')}`},
 		retry: {limit: 0},
 	}).json<{choices: Array<{message: {content: string}}>}>();
 	return answer.choices[0]!.message.content;
@@ -64,9 +64,9 @@
 			expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
 			expect(await sendPrompt(fleet, 'b-host-1')).toBe(getExpectedAnswer());
 			await fleet.replaceHost('a-host-1');
-			await fleet.hosts.ready();
+			await fleet.hosts.waitUntilReady();
 			expect(await sendPrompt(fleet, 'a-host-1')).toBe(getExpectedAnswer());
-			const executions = await fleet.upstreams.executions();
+			const executions = await fleet.upstreams.fetchExecutions();
 			expect(executions.reduce((sum, each) => sum + each.counters.finished, 0)).toBe(3);
 		});
 	}
--- a/__tests__/guarantees.test.ts
+++ b/__tests__/guarantees.test.ts
@@ -88,7 +88,7 @@
 		for (const fault of ['drop-before', 'drop-after'] as const) {
 			const body = fault;
 			const ticket = await requestTicket(fleet, 'a-host-1');
-			await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: fault, count: 1});
+			await fleet.upstreams.applyPlainServiceFault(findPlainUpstream('a'), {type: fault, count: 1});
 			expect(await pay('a-host-1', body, ticket)).toMatchObject({outcome: 'outcome unknown'});
 			expect(await pay('b-host-2', body, ticket)).toMatchObject({outcome: 'outcome unknown'});
 		}
@@ -99,11 +99,11 @@
 	it('ends as not run or outcome unknown when its upstream refuses connections', async () => {
 		const ticket = await requestTicket(fleet, 'a-host-1');
 		for (const domain of ['a', 'b']) {
-			await fleet.upstreams.faultPlain(findPlainUpstream(domain), {type: 'crash'});
+			await fleet.upstreams.applyPlainServiceFault(findPlainUpstream(domain), {type: 'crash'});
 		}
 
-		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('a')}});
-		fleet.fault({type: 'refuse', where: {link: findPlainUpstream('b')}});
+		fleet.applyFault({type: 'refuse', where: {link: findPlainUpstream('a')}});
+		fleet.applyFault({type: 'refuse', where: {link: findPlainUpstream('b')}});
 		const result = await pay('a-host-1', 'refused', ticket);
 		expect(['not run', 'outcome unknown']).toContain(result.outcome);
 		expect(await ledger.check(fleet)).toEqual([]);
@@ -116,7 +116,7 @@
 		await fleet.killHost('a-host-1');
 		expect(await pay('a-host-2', 'used', used)).toMatchObject({outcome: 'outcome unknown'});
 		await fleet.replaceHost('a-host-1');
-		await fleet.hosts.ready(['a-host-1']);
+		await fleet.hosts.waitUntilReady(['a-host-1']);
 		expect(await pay('a-host-1', 'used', used)).toMatchObject({outcome: 'outcome unknown', code: 4002});
 		expect(await pay('a-host-2', 'unused', unused)).toMatchObject({outcome: 'outcome unknown'});
 		expect(await ledger.check(fleet)).toEqual([]);
@@ -142,7 +142,7 @@
 		const body = 'paused';
 		const ticket = await requestTicket(fleet, 'a-host-1');
 		const {child} = fleet.hosts.get('a-host-1');
-		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'late', delay: 500});
+		await fleet.upstreams.applyPlainServiceFault(findPlainUpstream('a'), {type: 'late', delay: 500});
 		const first = pay('a-host-1', body, ticket, 1500);
 		await sleep(100);
 		child.pause();
@@ -150,7 +150,7 @@
 		expect(other.outcome).toBe('outcome unknown');
 		child.resume();
 		await first;
-		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'heal'});
+		await fleet.upstreams.applyPlainServiceFault(findPlainUpstream('a'), {type: 'heal'});
 		await pay('a-host-2', body, ticket);
 		expect(await ledger.check(fleet)).toEqual([]);
 	});
@@ -172,12 +172,12 @@
 			ticket,
 			timeout: 8000,
 		}));
-		const early = after === 0 ? fleet.upstreams.faultEngines(fault) : undefined;
+		const early = after === 0 ? fleet.upstreams.applyFaultToAllEngines(fault) : undefined;
 		await early;
 		const first = send('a-host-1');
 		if (after > 0) {
 			await sleep(after);
-			await fleet.upstreams.faultEngines(fault);
+			await fleet.upstreams.applyFaultToAllEngines(fault);
 		}
 
 		const result = await first;
@@ -190,7 +190,7 @@
 	it('runs at most once during a partition while its upstream drops a connection after running it', async () => {
 		const tickets = await Promise.all(['a-host-1', 'a-host-2', 'b-host-1', 'b-host-2'].map(async host =>
 			({host, ticket: await requestTicket(fleet, host)})));
-		await fleet.upstreams.faultPlain(findPlainUpstream('a'), {type: 'drop-after', count: 1});
+		await fleet.upstreams.applyPlainServiceFault(findPlainUpstream('a'), {type: 'drop-after', count: 1});
 		fleet.partition(['a'], ['b', 'platform']);
 		await Promise.all(tickets.map(async ({host, ticket}) => pay(host, `both ${host}`, ticket)));
 		fleet.heal();
@@ -225,10 +225,10 @@
 	});
 
 	it('is complete and correct when frames are mixed up, repeated or reordered, or the connection is cut', async () => {
-		await fleet.upstreams.faultEngines({type: 'cross', count: 20});
-		await fleet.upstreams.faultEngines({type: 'repeat', count: 20});
-		await fleet.upstreams.faultEngines({type: 'reorder', count: 20});
-		await fleet.upstreams.faultEngines({type: 'cut', afterFrames: 30, count: 2});
+		await fleet.upstreams.applyFaultToAllEngines({type: 'cross', count: 20});
+		await fleet.upstreams.applyFaultToAllEngines({type: 'repeat', count: 20});
+		await fleet.upstreams.applyFaultToAllEngines({type: 'reorder', count: 20});
+		await fleet.upstreams.applyFaultToAllEngines({type: 'cut', afterFrames: 30, count: 2});
 		const prompts = Array.from({length: 12}, (_, index) => `mixed up ${index}`);
 		const results = await Promise.all(prompts.map(async (prompt, index) =>
 			streamChat(fleet, {host: index % 2 === 0 ? 'a-host-1' : 'a-host-2', prompt, tokens})));
@@ -247,7 +247,7 @@
 			onFrame() {
 				if (!isCrashed) {
 					isCrashed = true;
-					void fleet.upstreams.faultEngines({type: 'crash', returnAfter: 200});
+					void fleet.upstreams.applyFaultToAllEngines({type: 'crash', returnAfter: 200});
 				}
 			},
 		});
--- a/__tests__/input.test.ts
+++ b/__tests__/input.test.ts
@@ -12,7 +12,7 @@
 } from 'vitest';
 import {Child} from '../bench/fleet/child.js';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {apiKey} from '../bench/fleet/shape.js';
+import {getApiKey} from '../bench/fleet/shape.js';
 import {codes} from '../src/core/index.js';
 import {buildChatBody, getExpectedAnswer, streamChat} from './support/caller.js';
 
@@ -53,7 +53,7 @@
 	const {caller} = fleet.hosts.get('a-host-1');
 	return got.post(`http://${caller.host}:${caller.port}${target}`, {
 		body,
-		headers: {authorization: `Bearer ${apiKey('one')}`, ...headers},
+		headers: {authorization: `Bearer ${getApiKey('one')}`, ...headers},
 		throwHttpErrors: false,
 		retry: {limit: 0},
 	});
@@ -103,7 +103,7 @@
 			readyEvent: 'listening',
 			keepsLog: true,
 		});
-		return `started: ${JSON.stringify(child.ready)}`;
+		return `started: ${JSON.stringify(child.readyLine)}`;
 	} catch (error) {
 		return String(error);
 	} finally {
@@ -140,7 +140,7 @@
 describe('an invalid document', () => {
 	it('is rejected with a result code in the log, and the current one stays in force', async () => {
 		const {child, admin} = fleet.hosts.get('a-host-1');
-		await fleet.platform({type: 'publish', text: '{"schema":1}', revision: 99});
+		await fleet.controlPlatform({type: 'publish', text: '{"schema":1}', revision: 99});
 		await expect.poll(() => child.lines.some(line =>
 			line.event === 'configuration' && line.accepted === false && line.code === codes.badDocument), {timeout: 10_000}).toBe(true);
 		const status = await got(`http://${admin!.host}:${admin!.port}/admin/status`).json();
--- a/__tests__/keys.test.ts
+++ b/__tests__/keys.test.ts
@@ -78,7 +78,7 @@
 		expect(await pay('b-host-1', 'kept', keptKey)).toMatchObject({outcome: 'outcome unknown'});
 		expect(await pay('a-host-2', 'unclaimed', createKey())).toMatchObject({outcome: 'not run', code: 2008});
 		await fleet.replaceHost('a-host-1');
-		await fleet.hosts.ready(['a-host-1']);
+		await fleet.hosts.waitUntilReady(['a-host-1']);
 		expect(await pay('a-host-1', 'kept', keptKey)).toMatchObject({outcome: 'outcome unknown'});
 		await waitUntilKeysServed('a-host-1');
 		await waitUntilKeysServed('b-host-2');
--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -4,12 +4,12 @@
 import {describe, expect, it} from 'vitest';
 import {z} from 'zod';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {type ShapeInput} from '../bench/fleet/shape.js';
+import {type FleetShapeInput} from '../bench/fleet/shape.js';
 import {rollHosts} from '../bench/membership/roll.js';
 import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 import {orderStateSchema} from '../src/upstream/protocol.js';
 
-function buildShape(fencing: boolean): ShapeInput {
+function buildShape(fencing: boolean): FleetShapeInput {
 	return {
 		timeScale: 20,
 		domains: ['a'],
--- a/__tests__/memory.test.ts
+++ b/__tests__/memory.test.ts
@@ -126,7 +126,7 @@
 	// Hosts that are not connected yet do not share crash reports; docs/OUTCOMES.md gives the bound for that case.
 	it('crashes at most three engines although its caller resends it to every host, and other requests are still served', async () => {
 		await expect.poll(countLinkedPeers, {timeout: 20_000}).toEqual([1, 1]);
-		await fleet.upstreams.faultEngines({type: 'poison', marker: 'poison', returnAfter: 300});
+		await fleet.upstreams.applyFaultToAllEngines({type: 'poison', marker: 'poison', returnAfter: 300});
 		for (let turn = 0; turn < 8; turn++) {
 			const host = `a-host-${(turn % 2) + 1}`;
 			const [result] = await Promise.all([
@@ -136,7 +136,7 @@
 			expect(result.isWhole).toBe(false);
 		}
 
-		const counters = await fleet.upstreams.counters();
+		const counters = await fleet.upstreams.fetchCounters();
 		const crashes = [...counters.values()].reduce((sum, each) => sum + each.crashes, 0);
 		expect(crashes).toBeGreaterThan(0);
 		expect(crashes).toBeLessThanOrEqual(3);
--- a/__tests__/operators.test.ts
+++ b/__tests__/operators.test.ts
@@ -3,14 +3,14 @@
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {apiKey} from '../bench/fleet/shape.js';
+import {getApiKey} from '../bench/fleet/shape.js';
 import {runCommand} from '../src/cli/__tests__/fakes.js';
 import {openConsole} from '../src/console/__tests__/browser.js';
 import {formatAddress} from '../src/protocol/address.js';
 import {decisionsSchema} from '../src/protocol/admin.js';
 
 const hostNames = ['a-host-1', 'a-host-2'];
-const environment = {CRANBERRYTIDE_KEY: apiKey('one')};
+const environment = {CRANBERRYTIDE_KEY: getApiKey('one')};
 let fleet: Fleet;
 
 function formatAddresses(listener: 'admin' | 'caller'): string {
--- a/__tests__/support/caller.ts
+++ b/__tests__/support/caller.ts
@@ -4,7 +4,7 @@
 import {z} from 'zod';
 import {type Address} from '../../src/core/index.js';
 import {type Fleet} from '../../bench/fleet/fleet.js';
-import {apiKey} from '../../bench/fleet/shape.js';
+import {getApiKey} from '../../bench/fleet/shape.js';
 import {calculateAnswerLength, generateAnswer, digestPrompt} from '../../stand-ins/engine/answer.js';
 import {renderPrompt} from '../../src/protocol/blocks.js';
 
@@ -77,7 +77,7 @@
 		return readResult(await got.post(buildUrl(caller, options.path), {
 			body: options.body,
 			headers: {
-				authorization: `Bearer ${apiKey('one')}`,
+				authorization: `Bearer ${getApiKey('one')}`,
 				'content-type': 'application/json',
 				'x-idempotent': 'false',
 				'x-timeout-ms': String(options.timeout ?? 5000),
@@ -97,7 +97,7 @@
 export async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
 	const {ticket} = await got.post(buildUrl(caller, '/v1/tickets'), {
-		headers: {authorization: `Bearer ${apiKey('one')}`},
+		headers: {authorization: `Bearer ${getApiKey('one')}`},
 		retry: {limit: 0},
 	}).json<{ticket: string}>();
 	return ticket;
@@ -166,7 +166,7 @@
 	const request = got.stream.post(buildUrl(caller, '/v1/chat/completions'), {
 		json: buildChatBody(options.prompt, options.tokens),
 		headers: {
-			authorization: `Bearer ${apiKey('one')}`,
+			authorization: `Bearer ${getApiKey('one')}`,
 			...(options.position !== undefined && {'last-event-id': options.position}),
 			...(options.promptTokens !== undefined && {'x-prompt-tokens': String(options.promptTokens)}),
 			...(options.ticket !== undefined && {'x-ticket': options.ticket, 'x-idempotent': 'false'}),
--- a/__tests__/support/ledger.ts
+++ b/__tests__/support/ledger.ts
@@ -48,13 +48,13 @@
 		counts.set(body, (counts.get(body) ?? 0) + count);
 	};
 
-	for (const {byBody} of fleet.upstreams.plainCounts) {
+	for (const {byBody} of fleet.upstreams.plainServiceCounts) {
 		for (const [body, count] of Object.entries(byBody)) {
 			add(body, count);
 		}
 	}
 
-	for (const {executions} of await fleet.upstreams.executions()) {
+	for (const {executions} of await fleet.upstreams.fetchExecutions()) {
 		for (const {body} of executions) {
 			add(body, 1);
 		}
--- a/__tests__/takeover.test.ts
+++ b/__tests__/takeover.test.ts
@@ -3,11 +3,11 @@
 import {describe, expect, it} from 'vitest';
 import {z} from 'zod';
 import {Fleet} from '../bench/fleet/fleet.js';
-import {apiKey, type ShapeInput} from '../bench/fleet/shape.js';
+import {getApiKey, type FleetShapeInput} from '../bench/fleet/shape.js';
 import {waitForRevision, waitForLinks, fetchHostState} from '../bench/membership/status.js';
 import {type Configuration} from '../src/core/index.js';
 
-const shape: ShapeInput = {
+const shape: FleetShapeInput = {
 	isProxied: true,
 	timeScale: 20,
 	domains: ['a', 'b'],
@@ -37,7 +37,7 @@
 async function requestTicket(fleet: Fleet, host: string): Promise<string> {
 	const {caller} = fleet.hosts.get(host);
 	const answer = await got.post(`http://${caller.host}:${caller.port}/v1/tickets`, {
-		headers: {authorization: `Bearer ${apiKey('one')}`}, retry: {limit: 0},
+		headers: {authorization: `Bearer ${getApiKey('one')}`}, retry: {limit: 0},
 	}).json();
 	return ticketSchema.parse(answer).ticket;
 }
@@ -45,14 +45,14 @@
 async function sendBooking(fleet: Fleet, host: string, ticket: string, body: string): Promise<number> {
 	const {caller} = fleet.hosts.get(host);
 	const {statusCode} = await got.post(`http://${caller.host}:${caller.port}/v1/services/book/seats`, {
-		headers: {authorization: `Bearer ${apiKey('one')}`, 'x-ticket': ticket}, body, retry: {limit: 0}, throwHttpErrors: false,
+		headers: {authorization: `Bearer ${getApiKey('one')}`, 'x-ticket': ticket}, body, retry: {limit: 0}, throwHttpErrors: false,
 	});
 	return statusCode;
 }
 
 /** Returns the number of executions by upstream. */
 function countExecutions(fleet: Fleet): Readonly<Record<string, number>> {
-	return Object.fromEntries(fleet.upstreams.plainCounts.map(each => [each.service, each.executed]));
+	return Object.fromEntries(fleet.upstreams.plainServiceCounts.map(each => [each.service, each.executed]));
 }
 
 describe('switching to the new upstreams while one failure domain stays at the old revision', () => {
@@ -63,9 +63,9 @@
 		expect(await sendBooking(fleet, 'a-host-1', await requestTicket(fleet, 'a-host-2'), 'first')).toBe(200);
 		expect(countExecutions(fleet)).toMatchObject({'a-book-1': 0, 'a-book-2': 1});
 		// Hosts in b still reach the caller listeners in a, but neither its peer listeners nor the platform.
-		fleet.fault({type: 'refuse', where: {link: 'b-host-1-platform'}});
+		fleet.applyFault({type: 'refuse', where: {link: 'b-host-1-platform'}});
 		for (const host of hosts) {
-			fleet.fault({type: 'refuse', where: {link: `${host}-peer`}});
+			fleet.applyFault({type: 'refuse', where: {link: `${host}-peer`}});
 		}
 
 		const revision = await fleet.publish(before => ({...before, takeovers: []}));
@@ -81,7 +81,7 @@
 		}
 
 		expect(statuses).toEqual(new Set([200]));
-		const counts = fleet.upstreams.plainCounts;
+		const counts = fleet.upstreams.plainServiceCounts;
 		expect(counts.reduce((sum, each) => sum + each.executed, 0)).toBe(bookingCount + 1);
 		for (const {byBody} of counts) {
 			expect(new Set(Object.values(byBody))).toEqual(new Set(Object.keys(byBody).length === 0 ? [] : [1]));
--- a/bench/demo/main.ts
+++ b/bench/demo/main.ts
@@ -2,9 +2,9 @@
 /** `npm run demo`: runs a fleet on this machine and prints the time to the first token for prompts from 1,000 to 1,000,000 tokens. */
 import process from 'node:process';
 import {codes} from '../../src/core/index.js';
-import {endWithChildren} from '../fleet/child.js';
+import {exitOnSignals} from '../fleet/child.js';
 import {Fleet} from '../fleet/fleet.js';
-import {apiKey} from '../fleet/shape.js';
+import {getApiKey} from '../fleet/shape.js';
 import {type ClassResult, type LoadResult} from '../load/recorder.js';
 import {runLoad} from '../load/run.js';
 import {scenarioSchema, type Scenario} from '../load/scenario.js';
@@ -22,7 +22,7 @@
 		rate: 20,
 		duration: 12_000,
 		timeout: 30_000,
-		organisations: [{id: 'desk', key: apiKey('desk'), weight: 3}, {id: 'archive', key: apiKey('archive')}],
+		organisations: [{id: 'desk', key: getApiKey('desk'), weight: 3}, {id: 'archive', key: getApiKey('archive')}],
 		classes: [
 			{
 				name: '1k-4k', weight: 70, prompt: {least: 1000, most: 4000}, output, prefixes: {count: 8, tokens: 768, share: 0.5},
@@ -69,7 +69,7 @@
 	return result.wrongAnswers === 0 && result.outcomes[codes.done] === result.sent;
 }
 
-endWithChildren();
+exitOnSignals();
 const isSuccessful = await runDemo();
 if (!isSuccessful) {
 	console.log('Some requests were not answered completely.');
--- a/bench/demo/shape.ts
+++ b/bench/demo/shape.ts
@@ -1,5 +1,5 @@
 /** Fleet of the demo: three failure domains with two entry hosts each. */
-import {type ShapeInput} from '../fleet/shape.js';
+import {type FleetShapeInput} from '../fleet/shape.js';
 
 /** Engines run this many times as fast as real ones, so that a prompt of a million tokens takes seconds. */
 export const timeScale = 20;
@@ -12,7 +12,7 @@
 /** KV memory of an engine in tokens; the longest prompts need more than twice as much. */
 const engineMemoryTokens = 420_000;
 
-export const demoShape: ShapeInput = {
+export const demoShape: FleetShapeInput = {
 	timeScale,
 	domains: ['north', 'south', 'west'],
 	hosts: [2],
--- a/bench/experiments/control.ts
+++ b/bench/experiments/control.ts
@@ -39,7 +39,7 @@
 export async function readCacheUse(fleet: Fleet): Promise<CacheUse> {
 	let prompt = 0;
 	let cached = 0;
-	const counters = await fleet.upstreams.counters();
+	const counters = await fleet.upstreams.fetchCounters();
 	for (const {promptTokens, cachedTokens} of counters.values()) {
 		prompt += promptTokens;
 		cached += cachedTokens;
--- a/bench/experiments/main.ts
+++ b/bench/experiments/main.ts
@@ -4,9 +4,9 @@
 import path from 'node:path';
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
-import {wholeNumber} from '../options.js';
+import {parsePositiveInteger} from '../options.js';
 import {policySchema, type Policy} from '../../src/core/index.js';
-import {endWithChildren} from '../fleet/child.js';
+import {exitOnSignals} from '../fleet/child.js';
 import {measureCapacity} from './capacity.js';
 import {comparePolicies, policies, type Run} from './experiment.js';
 import {deployments, type Deployment} from './scenarios.js';
@@ -59,8 +59,8 @@
 command.command('compare', {isDefault: true})
 	.description('compare routing policies in alternation')
 	.argument('[deployments...]', 'qalamkar, eau-saine; both if absent')
-	.option('--seeds <count>', 'runs of each kind', wholeNumber, 5)
-	.option('--duration <ms>', 'real milliseconds of each run', wholeNumber, 12_000)
+	.option('--seeds <count>', 'runs of each kind', parsePositiveInteger, 5)
+	.option('--duration <ms>', 'real milliseconds of each run', parsePositiveInteger, 12_000)
 	.option('--policies <list>', 'policies to compare, separated by commas', parsePolicies, policies)
 	.option('--out <directory>', 'where results go', 'bench/results')
 	.addHelpText('after', '\nExample:\n  npm run bench -- qalamkar --seeds 5')
@@ -95,5 +95,5 @@
 			process.stdout.write(`${formatSlope(slope)}\n`);
 		}
 	});
-endWithChildren();
+exitOnSignals();
 await command.parseAsync();
--- a/bench/experiments/scenarios.ts
+++ b/bench/experiments/scenarios.ts
@@ -2,13 +2,13 @@
  * The two deployments and their load. Engines run `timeScale` times as fast as real ones but entry hosts run in real time,
  * so that load reports are that many times older, in engine time, than in production.
  */
-import {type ShapeInput} from '../fleet/shape.js';
+import {type FleetShapeInput} from '../fleet/shape.js';
 import {type PromptClass, type ScenarioInput} from '../load/scenario.js';
 
 /** A deployment and its load. */
 export type Deployment = {
 	readonly name: string;
-	readonly shape: ShapeInput;
+	readonly shape: FleetShapeInput;
 	/** The model service under test. */
 	readonly service: string;
 	readonly classes: readonly PromptClass[];
--- a/bench/experiments/slopes.ts
+++ b/bench/experiments/slopes.ts
@@ -1,7 +1,7 @@
 /** Measures how a daemon's cost grows with one size at a time, while the others are kept small. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Fleet} from '../fleet/fleet.js';
-import {apiKey, type ShapeInput} from '../fleet/shape.js';
+import {getApiKey, type FleetShapeInput} from '../fleet/shape.js';
 import {type ScenarioInput} from '../load/scenario.js';
 import {
 	costNames, measureCost, type Cost, type CostName,
@@ -26,7 +26,7 @@
 	readonly sizes: readonly number[];
 	/** Milliseconds before costs are measured, if the default is too short for all hosts to connect to each other. */
 	readonly settlingTime?: number;
-	readonly shape: (size: number) => ShapeInput;
+	readonly shape: (size: number) => FleetShapeInput;
 	/** Load that runs while costs are measured. */
 	readonly activity?: (fleet: Fleet, size: number, milliseconds: number) => Promise<unknown>;
 };
@@ -36,7 +36,7 @@
 const deadline = {default: 10_000, most: 10_000};
 const service = 'service-1';
 
-function buildSmallShape(changes: Partial<ShapeInput> = {}): ShapeInput {
+function buildSmallShape(changes: Partial<FleetShapeInput> = {}): FleetShapeInput {
 	return {
 		timeScale: 20,
 		domains: ['a'],
@@ -48,13 +48,13 @@
 	};
 }
 
-function buildServices(count: number): ShapeInput['services'] {
+function buildServices(count: number): FleetShapeInput['services'] {
 	return Array.from({length: count}, (_, index) => ({
 		kind: 'model', id: `service-${index + 1}`, model: `model-${index + 1}`, idempotent: true, deadline,
 	}));
 }
 
-function buildOrganisations(count: number): ShapeInput['organisations'] {
+function buildOrganisations(count: number): FleetShapeInput['organisations'] {
 	return Array.from({length: count}, (_, index) => ({id: `organisation-${index + 1}`}));
 }
 
@@ -66,7 +66,7 @@
 		rate,
 		duration: milliseconds,
 		timeout: deadline.most,
-		organisations: [{id: 'organisation-1', key: apiKey('organisation-1')}],
+		organisations: [{id: 'organisation-1', key: getApiKey('organisation-1')}],
 		classes: [{
 			name: 'all', weight: 1, prompt: {least: 1000, most: 2000}, output: {least: output, most: output},
 		}],
--- a/bench/fleet/child.ts
+++ b/bench/fleet/child.ts
@@ -60,7 +60,7 @@
 });
 
 /** Exits on SIGTERM and SIGINT, so that the exit handler kills the child processes; the default handling of signals wouldn't run it. */
-export function endWithChildren(): void {
+export function exitOnSignals(): void {
 	for (const [signal, code] of [['SIGTERM', 143], ['SIGINT', 130]] as const) {
 		process.once(signal, () => {
 			process.exit(code);
@@ -128,7 +128,7 @@
 	}
 
 	/** The line that the process printed when it became ready. */
-	get ready(): LogLine {
+	get readyLine(): LogLine {
 		return this.#readyLine ?? {};
 	}
 
--- a/bench/fleet/document.ts
+++ b/bench/fleet/document.ts
@@ -3,7 +3,7 @@
 import {
 	configurationSchema, type Address, type Configuration, type Upstream,
 } from '../../src/core/index.js';
-import {apiKey, type FleetShape} from './shape.js';
+import {getApiKey, type FleetShape} from './shape.js';
 
 const defaultLoadsPerSecond = 1000;
 
@@ -85,7 +85,7 @@
 		revision,
 		failureDomains: shape.domains.map(id => ({id, region: 'region'})),
 		services: shape.services,
-		organisations: shape.organisations.map(each => ({...each, keyHashes: [sha256(apiKey(each.id))]})),
+		organisations: shape.organisations.map(each => ({...each, keyHashes: [sha256(getApiKey(each.id))]})),
 		upstreams: buildUpstreams(shape, addresses),
 		tokenKeys: [{id: 'k1', secret: sha256(`token key ${shape.seed}`)}],
 		...(shape.stopRule !== undefined && {stopRule: shape.stopRule}),
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -10,7 +10,7 @@
 import {buildDocument, listEngines, listPlainServices} from './document.js';
 import {HostGroup} from './hosts.js';
 import {
-	listHosts, fleetShapeSchema, type FleetShape, type ShapeInput,
+	listHosts, fleetShapeSchema, type FleetShape, type FleetShapeInput,
 } from './shape.js';
 import {Upstreams} from './upstreams.js';
 
@@ -53,7 +53,7 @@
 	 *
 	 * @param input - Description of the fleet.
 	 */
-	static async start(input: ShapeInput): Promise<Fleet> {
+	static async start(input: FleetShapeInput): Promise<Fleet> {
 		const shape = fleetShapeSchema.parse(input);
 		const services = await startServices(shape);
 		const fleet = new Fleet(shape, services);
@@ -122,7 +122,7 @@
 	}
 
 	/** Applies a control command to the platform stand-in. */
-	async platform(control: PlatformControl): Promise<void> {
+	async controlPlatform(control: PlatformControl): Promise<void> {
 		await this.#services.platform.apply(control);
 	}
 
@@ -131,7 +131,7 @@
 	 *
 	 * @throws TypeError if the fleet has no fault proxy.
 	 */
-	fault(fault: ProxyFault): void {
+	applyFault(fault: ProxyFault): void {
 		if (this.#services.proxy === undefined) {
 			throw new TypeError('the fleet has no fault proxy');
 		}
@@ -145,12 +145,12 @@
 	 * @param groups - Failure domains that can still reach each other.
 	 */
 	partition(...groups: ReadonlyArray<readonly string[]>): void {
-		this.fault({type: 'partition', groups});
+		this.applyFault({type: 'partition', groups});
 	}
 
 	/** Ends every network fault. */
 	heal(): void {
-		this.fault({type: 'heal'});
+		this.applyFault({type: 'heal'});
 	}
 
 	/** Kills a host's process; the platform's host list follows after its lag. */
@@ -181,7 +181,7 @@
 
 	/** Publishes the hosts that are alive in the platform's host list. */
 	async publishHosts(): Promise<void> {
-		await this.platform({type: 'hosts', hosts: this.hosts.platformList});
+		await this.controlPlatform({type: 'hosts', hosts: this.hosts.platformList});
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -200,10 +200,10 @@
 		await this.#publishDocument(this.#configuration);
 		this.#hosts = await HostGroup.start(shape, platform.addresses.address, proxy);
 		await this.publishHosts();
-		await this.hosts.ready(listHosts(shape).map(host => host.id));
+		await this.hosts.waitUntilReady(listHosts(shape).map(host => host.id));
 	}
 
 	async #publishDocument(document: Configuration): Promise<void> {
-		await this.platform({type: 'publish', text: JSON.stringify(document), revision: document.revision});
+		await this.controlPlatform({type: 'publish', text: JSON.stringify(document), revision: document.revision});
 	}
 }
--- a/bench/fleet/hosts.ts
+++ b/bench/fleet/hosts.ts
@@ -140,7 +140,7 @@
 	 * @param ids - Hosts; all that are alive if absent.
 	 * @throws Error if one of them dies before it is ready.
 	 */
-	async ready(ids: readonly string[] = this.alive.map(host => host.id)): Promise<void> {
+	async waitUntilReady(ids: readonly string[] = this.alive.map(host => host.id)): Promise<void> {
 		await Promise.all(ids.map(async id => {
 			const {caller, child} = this.get(id);
 			while (child.isAlive && !await isReady(caller)) {
@@ -205,7 +205,7 @@
 	}
 
 	#addHost({id, domain}: PlannedHost, child: Child, ports: Ports): Host {
-		const {started, callerAddress, peerAddress, adminAddress} = listeningSchema.parse(child.ready);
+		const {started, callerAddress, peerAddress, adminAddress} = listeningSchema.parse(child.readyLine);
 		const caller = {host: loopback, port: ports.caller};
 		this.#proxy?.retarget(`${id}-caller`, caller);
 		this.#proxy?.retarget(`${id}-peer`, {host: loopback, port: ports.peer});
--- a/bench/fleet/ports.ts
+++ b/bench/fleet/ports.ts
@@ -111,7 +111,7 @@
 let nextPortOffset = 0;
 
 /** Claims a port of this test worker's range that is free at the moment. */
-export async function takePort(): Promise<number> {
+export async function claimWorkerPort(): Promise<number> {
 	const worker = Number(process.env.VITEST_POOL_ID ?? 0) % 10;
 	for (;;) {
 		const port = firstWorkerPort + (worker * portsPerWorker) + (nextPortOffset % portsPerWorker);
--- a/bench/fleet/shape.ts
+++ b/bench/fleet/shape.ts
@@ -48,7 +48,7 @@
 }).readonly();
 
 export type FleetShape = z.infer<typeof fleetShapeSchema>;
-export type ShapeInput = z.input<typeof fleetShapeSchema>;
+export type FleetShapeInput = z.input<typeof fleetShapeSchema>;
 
 /** Returns every entry host with its failure domain and the loopback address that it connects from. */
 export function listHosts(shape: FleetShape): ReadonlyArray<{readonly id: string; readonly domain: string; readonly source: string}> {
@@ -61,6 +61,6 @@
 }
 
 /** Returns the API key of an organisation, given its id. */
-export function apiKey(organisation: string): string {
+export function getApiKey(organisation: string): string {
 	return `key-${organisation}`;
 }
--- a/bench/fleet/upstreams.ts
+++ b/bench/fleet/upstreams.ts
@@ -50,7 +50,7 @@
 			})),
 		}),
 	});
-	const {control, engines} = readyLineSchema.parse(child.ready);
+	const {control, engines} = readyLineSchema.parse(child.readyLine);
 	return {
 		domain, child, control, engines: new Map(engines.map(({id, host, port}) => [id, {host, port}])),
 	};
@@ -98,7 +98,7 @@
 	}
 
 	/** Switches a fault on or off at an engine. */
-	async faultEngine(engine: string, fault: EngineFault): Promise<void> {
+	async applyEngineFault(engine: string, fault: EngineFault): Promise<void> {
 		const group = this.#groups.find(each => each.engines.has(engine));
 		if (group === undefined) {
 			throw new TypeError(`no engine ${engine}`);
@@ -108,26 +108,26 @@
 	}
 
 	/** Switches a fault on or off at every engine. */
-	async faultEngines(fault: EngineFault): Promise<void> {
-		await Promise.all(this.#groups.flatMap(group => [...group.engines.keys()].map(async id => this.faultEngine(id, fault))));
+	async applyFaultToAllEngines(fault: EngineFault): Promise<void> {
+		await Promise.all(this.#groups.flatMap(group => [...group.engines.keys()].map(async id => this.applyEngineFault(id, fault))));
 	}
 
 	/** Fetches what every engine executed. */
-	async executions(): Promise<readonly Executions[]> {
+	async fetchExecutions(): Promise<readonly Executions[]> {
 		const answers = await Promise.all(this.#groups.map(async ({control}) =>
 			executionsAnswerSchema.parse(await got(`http://${control.host}:${control.port}/control/executions`).json())));
 		return answers.flatMap(answer => answer.engines);
 	}
 
 	/** Fetches the counters of every engine, by engine id. */
-	async counters(): Promise<ReadonlyMap<string, Counters>> {
+	async fetchCounters(): Promise<ReadonlyMap<string, Counters>> {
 		const answers = await Promise.all(this.#groups.map(async ({control}) =>
 			countersAnswerSchema.parse(await got(`http://${control.host}:${control.port}/control/counters`).json())));
 		return new Map(answers.flatMap(answer => answer.engines.map(({engine, counters}) => [engine, counters] as const)));
 	}
 
 	/** Switches a fault on or off at a plain service, given its upstream id. */
-	async faultPlain(service: string, fault: PlainFault): Promise<void> {
+	async applyPlainServiceFault(service: string, fault: PlainFault): Promise<void> {
 		const address = this.#plainServices.get(service)?.addresses.control;
 		if (address === undefined) {
 			throw new TypeError(`no plain service ${service}`);
@@ -137,7 +137,7 @@
 	}
 
 	/** What every plain service executed. */
-	get plainCounts(): readonly Counts[] {
+	get plainServiceCounts(): readonly Counts[] {
 		return [...this.#plainServices.values()].map(each => each.counts);
 	}
 
--- a/bench/gateway/cost-main.ts
+++ b/bench/gateway/cost-main.ts
@@ -9,7 +9,7 @@
 import {build} from 'hdr-histogram-js';
 import {Log} from '../../src/entry/logs.js';
 import {GatewayMetrics} from '../../src/gateway/metrics.js';
-import {wholeNumber} from '../options.js';
+import {parsePositiveInteger} from '../options.js';
 
 const kinds = ['none', 'log', 'metrics', 'all'] as const;
 
@@ -86,8 +86,8 @@
 const command = new Command('bench-cost')
 	.description('Measures the cost of the log lines and metrics of requests.')
 	.addOption(new Option('--tell <what>', 'what to record for each request').choices(kinds).default('all'))
-	.option('--rate <n>', 'requests per second', wholeNumber, 100)
-	.option('--seconds <n>', 'duration in seconds', wholeNumber, 10)
+	.option('--rate <n>', 'requests per second', parsePositiveInteger, 100)
+	.option('--seconds <n>', 'duration in seconds', parsePositiveInteger, 10)
 	.action(async (options: CostOptions) => measure(options));
 
 await command.parseAsync();
--- a/bench/gateway/site.ts
+++ b/bench/gateway/site.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {takePort} from '../fleet/ports.js';
+import {claimWorkerPort} from '../fleet/ports.js';
 import {type Address} from '../../src/core/index.js';
 import {Ledger} from '../../stand-ins/gateway/ledger.js';
 import {StoreStandIn} from '../../stand-ins/gateway/store.js';
@@ -126,7 +126,7 @@
 	async #addHost(name: string, settings: Readonly<Record<string, unknown>>): Promise<void> {
 		const ports: number[] = [];
 		while (ports.length < 4) {
-			ports.push(await takePort());
+			ports.push(await claimWorkerPort());
 		}
 
 		const file = path.join(this.#directory, `${name}.json`);
--- a/bench/membership/main.ts
+++ b/bench/membership/main.ts
@@ -3,7 +3,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Command} from 'commander';
 import {Fleet} from '../fleet/fleet.js';
-import {type ShapeInput} from '../fleet/shape.js';
+import {type FleetShapeInput} from '../fleet/shape.js';
 import {countReversions} from './reversions.js';
 import {rollHosts} from './roll.js';
 import {fetchHostCost, waitForRevision, waitForLinks} from './status.js';
@@ -22,7 +22,7 @@
 	readonly changes: number;
 };
 
-function buildShape(changes: Partial<ShapeInput>): ShapeInput {
+function buildShape(changes: Partial<FleetShapeInput>): FleetShapeInput {
 	return {
 		timeScale: 10,
 		domains,
@@ -68,11 +68,11 @@
 	await waitForLinks(fleet, hosts, minLinks);
 	print('adoption, milliseconds until in force on 7 hosts', summarize(await measurePublications(fleet, hosts)));
 	for (const host of hosts.slice(1)) {
-		fleet.fault({type: 'refuse', where: {link: `${host}-platform`}});
+		fleet.applyFault({type: 'refuse', where: {link: `${host}-platform`}});
 	}
 
-	fleet.fault({type: 'refuse', where: {from: 'a', to: 'c'}});
-	fleet.fault({type: 'refuse', where: {from: 'c', to: 'a'}});
+	fleet.applyFault({type: 'refuse', where: {from: 'a', to: 'c'}});
+	fleet.applyFault({type: 'refuse', where: {from: 'c', to: 'a'}});
 	await sleep(secondMs);
 	print('the same through one host that reads the platform, a and c cut off from each other', summarize(await measurePublications(fleet, hosts)));
 }
--- a/bench/membership/reversions.ts
+++ b/bench/membership/reversions.ts
@@ -41,7 +41,7 @@
 
 	const watches = Promise.all(hosts.map(async host => watch(host)));
 	let restarts = 0;
-	await fleet.platform({type: 'alternate', publications: 3});
+	await fleet.controlPlatform({type: 'alternate', publications: 3});
 	for (let change = 1; change <= changes; change++) {
 		const revision = await fleet.publish(before => before);
 		const isRestart = change % restartEvery === 0;
@@ -53,7 +53,7 @@
 		await (change % 10 === 0 && !isRestart ? waitForRevision(fleet, hosts, revision) : sleep(pollIntervalMs));
 	}
 
-	await fleet.platform({type: 'fresh'});
+	await fleet.controlPlatform({type: 'fresh'});
 	await waitForRevision(fleet, hosts, fleet.configuration.revision);
 	stopping.abort();
 	await watches;
--- a/bench/membership/roll.ts
+++ b/bench/membership/roll.ts
@@ -1,7 +1,7 @@
 /** Replaces hosts one after another while callers stream through the hosts that a lagging load balancer picks. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet} from '../fleet/fleet.js';
-import {apiKey} from '../fleet/shape.js';
+import {getApiKey} from '../fleet/shape.js';
 import {fetchHostState} from './status.js';
 
 /** Delay until the balancer notices that a host is not ready. */
@@ -95,7 +95,7 @@
 		try {
 			const answer = await fetch(`http://${caller.host}:${caller.port}/v1/chat/completions`, {
 				method: 'POST',
-				headers: {'content-type': 'application/json', authorization: `Bearer ${apiKey('one')}`},
+				headers: {'content-type': 'application/json', authorization: `Bearer ${getApiKey('one')}`},
 				body: JSON.stringify({
 					model, stream: true, max_tokens: 100, messages: [{role: 'user', content: `line ${this.#next}`}],
 				}),
@@ -136,7 +136,7 @@
 		leaving.set(host, performance.now());
 		await fleet.stopHost(host);
 		await fleet.replaceHost(host);
-		await fleet.hosts.ready([host]);
+		await fleet.hosts.waitUntilReady([host]);
 		leaving.delete(host);
 	}
 
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -6,7 +6,7 @@
  *
  * @throws InvalidArgumentError if it is anything else.
  */
-export function wholeNumber(text: string): number {
+export function parsePositiveInteger(text: string): number {
 	const value = Number(text);
 	if (!Number.isInteger(value) || value < 1) {
 		throw new InvalidArgumentError('must be a positive integer');
--- a/bench/relay/main.ts
+++ b/bench/relay/main.ts
@@ -93,7 +93,7 @@
 		readyEvent: 'ready',
 		keepsLog: false,
 	});
-	const pipeAddress = {host: '127.0.0.1', port: Number(pipe.ready.port)};
+	const pipeAddress = {host: '127.0.0.1', port: Number(pipe.readyLine.port)};
 	const relays: readonly Relay[] = [
 		{name: 'entry', address: host.caller, cost: `http://127.0.0.1:${host.admin!.port}/admin/cost`},
 		{name: 'pipe', address: pipeAddress, cost: `http://127.0.0.1:${pipeAddress.port}/cost`},
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -2,7 +2,7 @@
 /** Runs soaks for consecutive seeds: `npm run soak -- --seeds 50 --seed 1`. */
 import process from 'node:process';
 import {Command} from 'commander';
-import {wholeNumber} from '../options.js';
+import {parsePositiveInteger} from '../options.js';
 import {runSoak} from './run.js';
 
 type Options = {
@@ -15,11 +15,11 @@
 
 const command = new Command('soak')
 	.description('Runs real gateway processes under injected faults; exit code 1 if a guarantee was broken.')
-	.option('--seeds <n>', 'number of soaks, one after another', wholeNumber, 1)
-	.option('--seed <n>', 'seed of the first soak', wholeNumber, 1)
-	.option('--hosts <n>', 'number of gateway processes', wholeNumber, 3)
-	.option('--clients <n>', 'number of callers', wholeNumber, 8)
-	.option('--length <s>', 'seconds in which faults begin', wholeNumber, 12)
+	.option('--seeds <n>', 'number of soaks, one after another', parsePositiveInteger, 1)
+	.option('--seed <n>', 'seed of the first soak', parsePositiveInteger, 1)
+	.option('--hosts <n>', 'number of gateway processes', parsePositiveInteger, 3)
+	.option('--clients <n>', 'number of callers', parsePositiveInteger, 8)
+	.option('--length <s>', 'seconds in which faults begin', parsePositiveInteger, 12)
 	.action(async ({seeds, seed, hosts, clients, length}: Options) => {
 		for (let index = 0; index < seeds; index++) {
 			const result = await runSoak({
--- a/src/gateway/__tests__/relays.test.ts
+++ b/src/gateway/__tests__/relays.test.ts
@@ -3,7 +3,7 @@
 import {
 	describe, expect, it, vi,
 } from 'vitest';
-import {takePort} from '../../../bench/fleet/ports.js';
+import {claimWorkerPort} from '../../../bench/fleet/ports.js';
 import {createAbsence} from '../../core/gateway/absences.js';
 import {Load, type Job} from '../../core/gateway/load.js';
 import {ignore} from '../../entry/ignore.js';
@@ -122,7 +122,7 @@
 		const hosts: Host[] = [];
 		for (let index = 0; index < domains * perDomain; index++) {
 			hosts.push({
-				name: `host-${index}`, failureDomain: `domain-${index % domains}`, address: {host: '127.0.0.1', port: await takePort()}, started: 1,
+				name: `host-${index}`, failureDomain: `domain-${index % domains}`, address: {host: '127.0.0.1', port: await claimWorkerPort()}, started: 1,
 			});
 		}
 
--- a/src/gateway/peers/__tests__/silence-detector.test.ts
+++ b/src/gateway/peers/__tests__/silence-detector.test.ts
@@ -3,7 +3,7 @@
 import {createConnection, type Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {expect, it} from 'vitest';
-import {takePort} from '../../../../bench/fleet/ports.js';
+import {claimWorkerPort} from '../../../../bench/fleet/ports.js';
 import {ignore} from '../../../entry/ignore.js';
 import {encode, type Host} from '../messages.js';
 import {Peers} from '../peers.js';
@@ -33,7 +33,7 @@
 ] as const)('finds the expected silent failure domains as %s', {timeout: 20_000}, async (_, rank, expected) => {
 	const own = [0, 1, 2].map(index => hostAt(index, 'a'));
 	const ranked = [...selectRelays('a', own), ...own].filter((host, index, all) => all.indexOf(host) === index);
-	const self = {...ranked[rank]!, address: {host: loopback, port: await takePort()}};
+	const self = {...ranked[rank]!, address: {host: loopback, port: await claimWorkerPort()}};
 	// None of these listens: the host knows a large fleet, but links only with the hosts that connect to it.
 	const fleet = Array.from({length: 15}, (_each, index) => hostAt(10 + index, 'c', 2 + index));
 	await using peers = new Peers({
--- a/src/gateway/peers/__tests__/start.test.ts
+++ b/src/gateway/peers/__tests__/start.test.ts
@@ -3,7 +3,7 @@
 import {
 	afterEach, beforeEach, expect, it, vi,
 } from 'vitest';
-import {takePort} from '../../../../bench/fleet/ports.js';
+import {claimWorkerPort} from '../../../../bench/fleet/ports.js';
 import {ignore} from '../../../entry/ignore.js';
 import {type Host} from '../messages.js';
 import {Peers} from '../peers.js';
@@ -45,7 +45,7 @@
 }
 
 it('a host that started before its seed is linked before the next heartbeat', async () => {
-	const [early, seed] = [await takePort(), await takePort()];
+	const [early, seed] = [await claimWorkerPort(), await claimWorkerPort()];
 	await using first = peersOf('early', early, seed);
 	await first.start();
 	// Leaves time for the first dial to be refused by the seed's port, and nothing else.
@@ -57,7 +57,7 @@
 });
 
 it('hosts that discover each other through a seed are linked without a heartbeat', async () => {
-	const ports = [await takePort(), await takePort(), await takePort()] as const;
+	const ports = [await claimWorkerPort(), await claimWorkerPort(), await claimWorkerPort()] as const;
 	await using seed = peersOf('seed', ports[0], ports[0]);
 	await seed.start();
 	await using first = peersOf('first', ports[1], ports[0]);
