--- a/src/core/__tests__/invariants.property.test.ts
+++ b/src/core/__tests__/invariants.property.test.ts
@@ -23,13 +23,13 @@
 describe('several hosts without faults', () => {
 	it('serve every operation, including those of callers that resend a key to random hosts', () => {
 		fc.assert(fc.property(seeds, seed => {
-			const {simulation: world, violations} = run({
+			const {simulation, violations} = run({
 				seed, length: 5000, hasFaults: false, hasPoison: false,
 			});
 			expect(violations).toEqual([]);
-			const served = new Set(world.ledger.receivedAnswers.filter(each => each.outcome.type === 'done').map(each => each.operation));
-			expect([...world.ledger.operations.keys()].filter(each => !served.has(each))).toEqual([]);
-			expect(world.ledger.receivedAnswers.filter(each => each.outcome.type === 'unknown')).toEqual([]);
+			const served = new Set(simulation.ledger.receivedAnswers.filter(each => each.outcome.type === 'done').map(each => each.operation));
+			expect([...simulation.ledger.operations.keys()].filter(each => !served.has(each))).toEqual([]);
+			expect(simulation.ledger.receivedAnswers.filter(each => each.outcome.type === 'unknown')).toEqual([]);
 		}), {seed: 20_261_202, numRuns: 6});
 	});
 });
--- a/src/core/__tests__/load.test.ts
+++ b/src/core/__tests__/load.test.ts
@@ -6,17 +6,17 @@
 const durationMs = 90_000;
 const deadlineMs = 120_000;
 
-function runScenario(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Summary {
+function summarizeScenario(scenario: Pick<Scenario, 'policy' | 'seed' | 'load' | 'isShortAlone'>): Summary {
 	return summarize(runScenario({...scenario, duration: durationMs, deadline: deadlineMs}).results, durationMs / 1000);
 }
 
 describe('decisions under load, in simulated time', () => {
 	it.each(seeds)('at 70% load, long prompts hardly slow down short ones, and no request starves (seed %i)', seed => {
-		const mixed = runScenario({policy: 'cost', seed, load: 0.7});
-		const alone = runScenario({
+		const mixed = summarizeScenario({policy: 'cost', seed, load: 0.7});
+		const alone = summarizeScenario({
 			policy: 'cost', seed, load: 0.7, isShortAlone: true,
 		});
-		const turns = runScenario({policy: 'round-robin', seed, load: 0.7});
+		const turns = summarizeScenario({policy: 'round-robin', seed, load: 0.7});
 		expect(mixed.short / alone.short).toBeLessThanOrEqual(1.35);
 		expect(mixed.short / alone.short).toBeLessThanOrEqual(turns.short / alone.short / 3);
 		expect(mixed.late).toBe(0);
--- a/src/core/__tests__/regressions.test.ts
+++ b/src/core/__tests__/regressions.test.ts
@@ -107,9 +107,9 @@
 
 describe('restarts of all hosts between two crashes', () => {
 	it('discard the first crash, and the request crashes at most two upstreams through each host (seed 51000071)', () => {
-		const {simulation: world, violations} = run({seed: 51_000_071});
+		const {simulation, violations} = run({seed: 51_000_071});
 		expect(violations).toEqual([]);
-		expect(world.ledger.crashes.filter(crash => crash.operation === 'o405')).toHaveLength(5);
+		expect(simulation.ledger.crashes.filter(crash => crash.operation === 'o405')).toHaveLength(5);
 	});
 });
 
@@ -121,8 +121,8 @@
 
 describe('a poison request sent twice at the same time while another host is paused', () => {
 	it('crashes three upstreams through the first host and two through the other (seed 146302079)', () => {
-		const {simulation: world, violations} = run({seed: 146_302_079});
+		const {simulation, violations} = run({seed: 146_302_079});
 		expect(violations).toEqual([]);
-		expect(world.ledger.crashes.filter(crash => crash.operation === 'o552').map(crash => crash.sender.slice(0, 2))).toEqual(['b2', 'b2', 'b2', 'b1', 'b1']);
+		expect(simulation.ledger.crashes.filter(crash => crash.operation === 'o552').map(crash => crash.sender.slice(0, 2))).toEqual(['b2', 'b2', 'b2', 'b1', 'b1']);
 	});
 });
