--- a/bench/fuzz/experiments.ts
+++ b/bench/fuzz/experiments.ts
@@ -38,7 +38,7 @@
 	let sealed = 0;
 	let violationCount = 0;
 	for (const seed of seeds) {
-		const {simulation: simulation, violations: found} = run({seed, length: 10_000, mutation});
+		const {simulation, violations: found} = run({seed, length: 10_000, mutation});
 		const answers = simulation.ledger.receivedAnswers.filter(each => each.right.startsWith('t'));
 		unknown += answers.filter(each => hasCode(each, 'unknown', codes.keeperUnreachable)).length;
 		sealed += answers.filter(each => hasCode(each, 'not-run', codes.sealed)).length;
--- a/bench/fuzz/main.ts
+++ b/bench/fuzz/main.ts
@@ -33,7 +33,7 @@
 	let violationCount = 0;
 	for (let index = 0; index < Number(options.runs); index++) {
 		const seed = Number(options.seed) + index;
-		const {simulation: simulation, violations} = run({seed, hasFaults: !options.calm});
+		const {simulation, violations} = run({seed, hasFaults: !options.calm});
 		steps += simulation.ledger.steps;
 		violationCount += violations.length;
 		for (const [label, count] of countOutcomes(simulation)) {
--- a/bench/fuzz/run.ts
+++ b/bench/fuzz/run.ts
@@ -88,7 +88,7 @@
  */
 export function run(options: RunOptions): RunResult {
 	const {
-		seed, hasFaults: hasFaults = true, hasPoison: hasPoison = true, length = 15_000, mutation,
+		seed, hasFaults = true, hasPoison = true, length = 15_000, mutation,
 	} = options;
 	const domains = seed % 3 === 0 ? ['a'] : ['a', 'b'];
 	const simulation = new Simulation({
@@ -108,5 +108,5 @@
 	simulation.scheduler.runUntil(warmUpMs + length + quietPeriodMs);
 	recordNonEmptyTables(simulation);
 	recordUnreleasedHolds(simulation);
-	return {simulation: simulation, violations: findViolations(simulation.ledger)};
+	return {simulation, violations: findViolations(simulation.ledger)};
 }
--- a/bench/propagation/member.ts
+++ b/bench/propagation/member.ts
@@ -6,7 +6,7 @@
 import {Clock} from '../../src/entry/clock.js';
 import {type LogLine, type Log} from '../../src/entry/logs.js';
 import {Gateway} from '../../src/gateway/gateway.js';
-import {messageReader, type Host, type Message} from '../../src/gateway/peers/messages.js';
+import {createMessageReader, type Host, type Message} from '../../src/gateway/peers/messages.js';
 import {selectRelays} from '../../src/gateway/peers/topology.js';
 import {settingsSchema} from '../../src/gateway/settings.js';
 import {StoreClient, type SimulatedStore} from './store.js';
@@ -171,7 +171,7 @@
 				network.send(name, to, message);
 			},
 			sendFrame(to: string, frame: Uint8Array) {
-				for (const message of messageReader().push(frame)) {
+				for (const message of createMessageReader().push(frame)) {
 					network.send(name, to, message);
 				}
 			},
--- a/bench/propagation/simulation.ts
+++ b/bench/propagation/simulation.ts
@@ -142,7 +142,7 @@
 
 	/** Injects a fault into one or two hosts, more often into those that others read through. */
 	#injectFault(): void {
-		const {faults: faults} = this.#options;
+		const {faults} = this.#options;
 		if (faults.length === 0) {
 			return;
 		}
--- a/src/core/features/groups/queries.ts
+++ b/src/core/features/groups/queries.ts
@@ -75,7 +75,7 @@
 
 	const all = listDomainUpstreams(state, request.service, state.self.failureDomain);
 	const search = {
-		request, requestedService: requestedService, failureDomain: state.self.failureDomain, failedUpstreams: [],
+		request, requestedService, failureDomain: state.self.failureDomain, failedUpstreams: [],
 	};
 	const engines = findUsable(state, all, search, context).filter((each): each is Engine => each.kind === 'engine');
 	const output = Math.max(request.outputLimit ?? 0, estimateOutput(state, request) * outputHeadroomFactor);
--- a/src/core/features/keys/queries.ts
+++ b/src/core/features/keys/queries.ts
@@ -24,7 +24,7 @@
  * @returns Whether this host would know if the key had run at another host.
  */
 export function canConfirmNotRun(state: State, minted: number): boolean {
-	const {isJoined: isJoined, knowledgeCompleteFrom: knowledgeCompleteFrom} = state.keys;
+	const {isJoined, knowledgeCompleteFrom} = state.keys;
 	return isJoined && knowledgeCompleteFrom + maxCallerClockLeadMs + maxHostClockSkewMs < minted;
 }
 
--- a/src/core/features/requests/commands/attempts.ts
+++ b/src/core/features/requests/commands/attempts.ts
@@ -50,7 +50,7 @@
 		began: now,
 		upstreamIncarnation: getView(state, choice.upstream.id).report?.incarnation,
 		...estimateWork(state, request, choice.cached),
-		prefillAhead: choice.ahead,
+		prefillAhead: choice.prefillAhead,
 		length: lengthClassOf(state, request),
 		prefillShares: segments?.map(each => ({upstream: each.upstream, prefill: each.to - each.from})),
 		written: false,
--- a/src/core/features/requests/commands/dispatch.ts
+++ b/src/core/features/requests/commands/dispatch.ts
@@ -31,7 +31,7 @@
 
 function sendOrSpill(state: State, requestedService: Service, admission: Admission, context: StepContext): StepResult | undefined {
 	const found = route(state, {
-		request: admission.request, requestedService: requestedService, failureDomain: state.self.failureDomain, failedUpstreams: admission.failedUpstreams,
+		request: admission.request, requestedService, failureDomain: state.self.failureDomain, failedUpstreams: admission.failedUpstreams,
 	}, context);
 	if (found.type === 'send') {
 		return send(state, admission, found.choice, context);
--- a/src/core/features/requests/commands/group.ts
+++ b/src/core/features/requests/commands/group.ts
@@ -27,7 +27,7 @@
 	return send(state, admission, {
 		upstream,
 		cached: 0,
-		ahead: Math.round(work.prefill),
+		prefillAhead: Math.round(work.prefill),
 		candidates: event.segments.map(each => ({upstream: each.upstream, score: 0})),
 		reason: `group of ${event.segments.length} engines`,
 	}, context, event.segments);
--- a/src/core/features/requests/commands/spill.ts
+++ b/src/core/features/requests/commands/spill.ts
@@ -46,7 +46,7 @@
 		}
 
 		const found = route(state, {
-			request, requestedService: requestedService, failureDomain: domain.id, failedUpstreams: admission.failedUpstreams,
+			request, requestedService, failureDomain: domain.id, failedUpstreams: admission.failedUpstreams,
 		}, context);
 		if (found.type === 'send') {
 			const choice = {...found.choice, reason: `spilled to ${domain.id}: ${found.choice.reason}`};
--- a/src/core/features/routing/candidates.ts
+++ b/src/core/features/routing/candidates.ts
@@ -53,7 +53,7 @@
  * @returns Upstreams that can take the request; empty if there are none.
  */
 export function findUsable(state: State, upstreams: readonly Upstream[], search: Search, context: StepContext): readonly Upstream[] {
-	const {request, failedUpstreams: failedUpstreams} = search;
+	const {request, failedUpstreams} = search;
 	const available = upstreams.filter(each => isUp(state, each) && canRunAt(state, request, each.id, context));
 	const allowed = available.filter(each => canAttempt(state, each.id, context.now));
 	const untried = allowed.filter(each => !failedUpstreams.includes(each.id));
--- a/src/core/features/routing/queries.ts
+++ b/src/core/features/routing/queries.ts
@@ -52,7 +52,7 @@
 	const candidates = scored.slice(0, maxLoggedCandidates)
 		.map(each => ({upstream: each.assessment.upstream.id, score: Math.round(each.score)}));
 	return {
-		upstream, cached, candidates, ahead: Math.round(countTokensAhead(best.assessment)), reason,
+		upstream, cached, candidates, prefillAhead: Math.round(countTokensAhead(best.assessment)), reason,
 	};
 }
 
@@ -65,7 +65,7 @@
 };
 
 function describePrompt(state: State, search: Search): Prompt {
-	const {request, requestedService: requestedService} = search;
+	const {request, requestedService} = search;
 	return {
 		tokens: request.promptTokens,
 		length: getLengthClass(requestedService, request.promptTokens),
@@ -74,7 +74,7 @@
 }
 
 function chooseByCost(state: State, search: Search, {all, usable}: SearchedUpstreams, context: StepContext): Choice | undefined {
-	const {request, requestedService: requestedService} = search;
+	const {request, requestedService} = search;
 	const prompt = describePrompt(state, search);
 	if (requestedService.kind === 'plain' || isServedByLegacy(state, request)) {
 		const assessments = sample(usable, plainSampleSize, context).map(each => assessUpstream(state, each, prompt, context.now));
@@ -82,7 +82,7 @@
 	}
 
 	const assessments = findEngineCandidates({
-		state, request, requestedService: requestedService, all, usable, prompt, context,
+		state, request, requestedService, all, usable, prompt, context,
 	});
 	const needed = estimateFootprint(state, request);
 	return chooseBest(state, assessments.filter(each => hasRoom(each, needed)), requestedService, 'lowest cost');
@@ -127,7 +127,7 @@
 }
 
 /** Lists the upstreams of the search's failure domain. Legacy requests run only at legacy upstreams of this domain. */
-function listUpstreams(state: State, {request, requestedService: requestedService, failureDomain}: Search): readonly Upstream[] {
+function listUpstreams(state: State, {request, requestedService, failureDomain}: Search): readonly Upstream[] {
 	if (failureDomain === state.self.failureDomain) {
 		return upstreamsFor(state, request);
 	}
--- a/src/core/features/routing/types.ts
+++ b/src/core/features/routing/types.ts
@@ -37,7 +37,7 @@
 	/** Prompt tokens that it is believed to cache. */
 	readonly cached: number;
 	/** Prefill tokens that it processes before this request's own. */
-	readonly ahead: number;
+	readonly prefillAhead: number;
 	readonly reason: string;
 };
 
--- a/src/core/gateway/__tests__/absences.test.ts
+++ b/src/core/gateway/__tests__/absences.test.ts
@@ -43,7 +43,7 @@
 		this.#load.removeExpired(now);
 		const tried = new Set<string>();
 		for (;;) {
-			const {upstream, prefill: prefill, urgency} = place(demand, engines, model, this.#createOptions(host, tried, now))!;
+			const {upstream, prefill, urgency} = place(demand, engines, model, this.#createOptions(host, tried, now))!;
 			const chosen = upstream.id;
 			if (!crashed.has(chosen)) {
 				this.#load.begin({
--- a/src/core/gateway/__tests__/refusal.test.ts
+++ b/src/core/gateway/__tests__/refusal.test.ts
@@ -17,11 +17,11 @@
 	const prefill = estimatePrefill(model, 100_000);
 
 	it('lasts until the current jobs at the engine are expected to end', () => {
-		expect(estimateRetryDelay({firstByte: prefill.total + 800, prefill: prefill}, model, 0.5)).toBeCloseTo(800 + 1300, 5);
+		expect(estimateRetryDelay({firstByte: prefill.total + 800, prefill}, model, 0.5)).toBeCloseTo(800 + 1300, 5);
 	});
 
 	it('is spread between callers and has a minimum', () => {
-		const delays = [0, 0.5, 1].map(random => estimateRetryDelay({firstByte: prefill.total, prefill: prefill}, {...model, usualAnswer: 10}, random));
+		const delays = [0, 0.5, 1].map(random => estimateRetryDelay({firstByte: prefill.total, prefill}, {...model, usualAnswer: 10}, random));
 		expect(delays).toEqual([700, 1000, 1300]);
 	});
 });
--- a/src/core/gateway/load.ts
+++ b/src/core/gateway/load.ts
@@ -289,9 +289,9 @@
 		return {
 			requests: occupants.length,
 			decoding,
-			prefilling: prefilling,
+			prefilling,
 			backlog: Math.max(prefillUntil - now, minBacklog),
-			iteration: iteration,
+			iteration,
 			slotWait: estimateSlotWait(model, occupants, iteration, urgency),
 			freeMemory,
 		};
--- a/src/core/gateway/placement.ts
+++ b/src/core/gateway/placement.ts
@@ -56,7 +56,7 @@
 };
 
 function createCandidates(upstreams: readonly GatewayUpstream[], model: EngineModel, options: PlacementOptions, prompt: Prompt): readonly Candidate[] {
-	const {health, load, now, excludedJob: excludedJob, policy, failureDomain} = options;
+	const {health, load, now, excludedJob, policy, failureDomain} = options;
 	const host = hashText(options.host);
 	const weight = computeWeight(model, prompt);
 	const urgency = urgencyOf(prompt, false);
@@ -96,7 +96,7 @@
 		upstream: first.upstream,
 		helpers: helpers.map(candidate => candidate.upstream),
 		holdTokens,
-		prefill: prefill,
+		prefill,
 		firstByte,
 		urgency: urgencyOf(prompt, demand.hasBegun === true),
 		loss,
--- a/src/core/gateway/refusal.ts
+++ b/src/core/gateway/refusal.ts
@@ -28,7 +28,7 @@
  * @param random - Uniform from 0 to 1, to spread retries.
  * @returns Estimated milliseconds until the current jobs there have ended.
  */
-export function estimateRetryDelay({firstByte, prefill: prefill}: Pick<Placement, 'firstByte' | 'prefill'>, model: EngineModel, random: number): number {
+export function estimateRetryDelay({firstByte, prefill}: Pick<Placement, 'firstByte' | 'prefill'>, model: EngineModel, random: number): number {
 	const busy = firstByte - prefill.total + (model.usualAnswer * model.step);
 	return Math.max(busy, minRetryDelayMs) * (1 + ((random - 0.5) * retryJitter));
 }
--- a/src/core/index.ts
+++ b/src/core/index.ts
@@ -11,7 +11,7 @@
 } from './errors.js';
 export type {Code, CodeName} from './errors.js';
 export {getOwnEngines, findEnginesDue} from './features/polling/queries.js';
-export {isAnswerKept as isAnswerKept} from './features/tickets/queries.js';
+export {isAnswerKept} from './features/tickets/queries.js';
 export {initialState, step} from './step.js';
 export * from './types/configuration.js';
 export type * from './types/effect.js';
--- a/src/entry/callers/resumption.ts
+++ b/src/entry/callers/resumption.ts
@@ -9,7 +9,7 @@
 	type Outcome,
 	type State,
 } from '../../core/index.js';
-import {findUpstream as findUpstream} from '../../core/features/configuration/queries.js';
+import {findUpstream} from '../../core/features/configuration/queries.js';
 import {formatPosition, verifyPosition, type StreamPosition} from '../../protocol/token.js';
 import {resumeOnEngine} from '../../upstream/engine.js';
 import {type Clock} from '../clock.js';
--- a/src/gateway/__tests__/bytes.test.ts
+++ b/src/gateway/__tests__/bytes.test.ts
@@ -6,7 +6,7 @@
 import {EventSplitter} from '../events.js';
 import {filterEndToEndHeaders} from '../headers.js';
 import {
-	encode, fromWireJob, messageReader, toWireJob, type Message,
+	encode, fromWireJob, createMessageReader, toWireJob, type Message,
 } from '../peers/messages.js';
 
 describe('events', () => {
@@ -49,7 +49,7 @@
 		const message: Message = {
 			type: 'load', began: [toWireJob(job, 'h', 150)], progressed: ['h.0'], ended: [],
 		};
-		const [read] = messageReader().push(encode(message));
+		const [read] = createMessageReader().push(encode(message));
 		expect(read).toEqual(message);
 		expect(fromWireJob(toWireJob(job, 'h', 150), 'h', 5150)).toEqual({
 			...job, began: 5100, due: 5400, deadline: 5900, firstByte: undefined, pause: undefined,
@@ -65,7 +65,7 @@
 	it('raise a failure with a code if they are invalid', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 64}), bytes => {
 			try {
-				messageReader().push(bytes);
+				createMessageReader().push(bytes);
 			} catch (error) {
 				expect(isFailure(error) && error.code).toBe(8001);
 			}
--- a/src/gateway/__tests__/dispatch.test.ts
+++ b/src/gateway/__tests__/dispatch.test.ts
@@ -24,7 +24,7 @@
 	const gateway = {
 		convictions: {isConvicted: () => false},
 		loadUpdates: {refresh: async () => undefined},
-		mayRetry: () => true,
+		canRetry: () => true,
 		retries: {countRetry: () => undefined},
 		place() {
 			placed++;
@@ -98,7 +98,7 @@
 	const gateway = {
 		convictions: {isConvicted: () => false},
 		loadUpdates: {refresh: async () => undefined, end: () => undefined},
-		mayRetry: () => false,
+		canRetry: () => false,
 		place() {
 			placed++;
 			return placements.shift();
--- a/src/gateway/__tests__/relays.test.ts
+++ b/src/gateway/__tests__/relays.test.ts
@@ -29,7 +29,7 @@
 	readonly host: Host;
 	readonly load = new Load();
 	readonly peers: Peers;
-	readonly news: LoadUpdates;
+	readonly loadUpdates: LoadUpdates;
 	/** Upstreams that peers reported unreachable or replaced. */
 	readonly reportedAbsences: string[] = [];
 	/** Jobs of other hosts of the same failure domain. */
@@ -49,17 +49,17 @@
 			now,
 			events: {
 				joined: (other, send) => {
-					this.news.handlePeerJoined(other, send);
+					this.loadUpdates.handlePeerJoined(other, send);
 				},
 				message: (from, message) => {
 					this.handleMessage(from, message);
 				},
 				lost: (other, reason) => {
-					this.news.handlePeerLost(other, reason);
+					this.loadUpdates.handlePeerLost(other, reason);
 				},
 			},
 		});
-		this.news = new LoadUpdates({
+		this.loadUpdates = new LoadUpdates({
 			self: host.name, failureDomain: host.failureDomain, load: this.load, peers: this.peers, now, modelAt: () => undefined, onAbsence: absence => {
 				this.reportedAbsences.push(absence.upstream);
 			},
@@ -70,7 +70,7 @@
 	}
 
 	begin(id: string, readPerPass?: number): void {
-		this.news.begin(job(id, this.host.name, readPerPass));
+		this.loadUpdates.begin(job(id, this.host.name, readPerPass));
 	}
 
 	async [Symbol.asyncDispose](): Promise<void> {
@@ -90,23 +90,23 @@
 		switch (message.type) {
 			case 'load': {
 				this.loads++;
-				this.news.handleUpdate(from, message);
+				this.loadUpdates.handleUpdate(from, message);
 				break;
 			}
 
 			case 'hosts-lost': {
-				this.news.handleHostsLost(message);
+				this.loadUpdates.handleHostsLost(message);
 				break;
 			}
 
 			case 'load-wanted': {
-				this.news.handleRequest(from, message);
+				this.loadUpdates.handleRequest(from, message);
 				break;
 			}
 
 			case 'load-told': {
 				this.#onResponse?.();
-				this.news.handleResponse(from, message);
+				this.loadUpdates.handleResponse(from, message);
 				break;
 			}
 
@@ -183,9 +183,9 @@
 
 		for (const [index, member] of fleet.all.entries()) {
 			await fleet.untilKnown(`j${index}`, true);
-			member.news.progress(`j${index}`);
+			member.loadUpdates.progress(`j${index}`);
 			await fleet.until(() => fleet.all.every(each => each.load.get(`j${index}`)?.firstByte !== undefined));
-			member.news.end(`j${index}`);
+			member.loadUpdates.end(`j${index}`);
 			await fleet.untilKnown(`j${index}`, false);
 		}
 	});
@@ -241,7 +241,7 @@
 		for (let index = 0; index < 20; index++) {
 			relay!.begin(`known-${index}`);
 			const answered = plain!.checkOnResponse(() => plain!.load.get(`known-${index}`) !== undefined);
-			await plain!.news.refresh();
+			await plain!.loadUpdates.refresh();
 			expect(await answered).toBe(true);
 		}
 	});
@@ -265,9 +265,9 @@
 	it('reports an absent upstream to the hosts for which it is absent', {timeout: 60_000}, async () => {
 		await using fleet = await TestFleet.start(3, 6);
 		const [plain] = fleet.nonRelays('domain-0');
-		plain!.news.publishAbsence(createAbsence('refused abroad', 'refused', 'domain-1', 'domain-0'));
-		plain!.news.publishAbsence(createAbsence('refused at home', 'refused', 'domain-0', 'domain-0'));
-		plain!.news.publishAbsence(createAbsence('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
+		plain!.loadUpdates.publishAbsence(createAbsence('refused abroad', 'refused', 'domain-1', 'domain-0'));
+		plain!.loadUpdates.publishAbsence(createAbsence('refused at home', 'refused', 'domain-0', 'domain-0'));
+		plain!.loadUpdates.publishAbsence(createAbsence('replaced abroad', 'replaced', 'domain-1', 'domain-0'));
 		const others = fleet.all.filter(member => member !== plain);
 		await fleet.until(() => others.every(member => member.reportedAbsences.includes('replaced abroad')));
 		for (const {host, reportedAbsences} of others) {
@@ -286,7 +286,7 @@
 		await fleet.untilKnown('near', true);
 		await fleet.untilKnown('far', true);
 		await fleet.untilKnown('own', true);
-		relay!.news.handlePeerJoined(plain!.host, message => {
+		relay!.loadUpdates.handlePeerJoined(plain!.host, message => {
 			plain!.handleMessage(relay!.host, message);
 		});
 		expect(plain!.domainJobs).toEqual(['near']);
--- a/src/gateway/__tests__/state-sync.test.ts
+++ b/src/gateway/__tests__/state-sync.test.ts
@@ -2,7 +2,7 @@
 import {expect, it} from 'vitest';
 import {Clock} from '../../entry/clock.js';
 import {type Gateway} from '../gateway.js';
-import {messageReader, type Message} from '../peers/messages.js';
+import {createMessageReader, type Message} from '../peers/messages.js';
 import {StateSync} from '../state-sync.js';
 
 function setUp() {
@@ -21,7 +21,7 @@
 		registrations: {revision: 3, createUpdate: () => ({revision: 3, changed: 3})},
 		peers: {
 			sendFrame(_: string, frame: Uint8Array) {
-				sent.push(...messageReader().push(frame));
+				sent.push(...createMessageReader().push(frame));
 			},
 			send(_: string, message: Message) {
 				sent.push(message);
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -193,7 +193,7 @@
 			type: 'reply',
 			status,
 			rawHeaders: body.rawHeaders,
-			metadata: metadata,
+			metadata,
 			body,
 			// Node.js reports a body without a length as complete even if its connection was reset.
 			isComplete: async () => {
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -173,7 +173,7 @@
 	#isRetryAllowed(): boolean {
 		const {gateway, clock, metrics} = this.#services;
 		const {service} = this.#request.demand;
-		const isAllowed = gateway.mayRetry(service);
+		const isAllowed = gateway.canRetry(service);
 		metrics.retries.inc({service, allowed: String(isAllowed)});
 		if (isAllowed) {
 			gateway.retries.countRetry(service, clock.now());
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -207,7 +207,7 @@
 	 * @param service - Service.
 	 * @returns Whether the retry budget that all hosts share allows one more.
 	 */
-	mayRetry(service: string): boolean {
+	canRetry(service: string): boolean {
 		const {fleetSize: hosts, isLargeFleet, domainHostCount: domainHosts} = this.peers;
 		return this.retries.allowsRetry(service, {hosts, counted: isLargeFleet ? domainHosts : 1}, this.#clock.now());
 	}
@@ -228,7 +228,7 @@
 	 * @param eligibility - Upstreams that the request may go to.
 	 * @returns Its expected loss where it is and at the best other placement; undefined for plain services.
 	 */
-	reconsider(demand: Demand, current: Placement, job: string, eligibility: Eligibility): Reevaluation | undefined {
+	reevaluate(demand: Demand, current: Placement, job: string, eligibility: Eligibility): Reevaluation | undefined {
 		return reevaluate(demand, current, this.upstreams.listByService(demand.service), this.service(demand.service)?.engine, {...this.#buildPlacementOptions(eligibility), excludedJob: job});
 	}
 
--- a/src/gateway/load-updates.ts
+++ b/src/gateway/load-updates.ts
@@ -304,7 +304,7 @@
 	/** Notifies own jobs that started after another host's job at the same engine. */
 	#notifyPreceded(other: Job): void {
 		const {load, now} = this.#options;
-		for (const [id, {preceded: preceded}] of this.#reroutable) {
+		for (const [id, {preceded}] of this.#reroutable) {
 			const own = load.get(id);
 			if (own !== undefined && hasToYield(own, other, now())) {
 				preceded();
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/link.ts
@@ -3,7 +3,7 @@
 import {type Socket} from 'node:net';
 import {messageOf} from '../../core/index.js';
 import {
-	encode, messageReader, type Hello, type Message,
+	encode, createMessageReader, type Hello, type Message,
 } from './messages.js';
 
 /** Unsent data above which the connection to a slow peer is closed. */
@@ -19,7 +19,7 @@
 	/** Whether this host opened the connection. */
 	readonly isDialled: boolean;
 	readonly #socket: Socket;
-	readonly #reader = messageReader();
+	readonly #reader = createMessageReader();
 	readonly #events: LinkEvents;
 	/** Frames to be sent with one system call. */
 	#pendingFrames: Uint8Array[] = [];
--- a/src/gateway/peers/messages.ts
+++ b/src/gateway/peers/messages.ts
@@ -126,7 +126,7 @@
 }
 
 /** @returns A reader of the messages of one connection; it throws `badPeerMessage` on invalid ones. */
-export function messageReader(): FrameReader<Message> {
+export function createMessageReader(): FrameReader<Message> {
 	return new FrameReader(decode, maxMessageBytes);
 }
 
--- a/src/gateway/rerouter.ts
+++ b/src/gateway/rerouter.ts
@@ -40,7 +40,7 @@
 	watch(stream: RunningStream): void {
 		this.#gateway.loadUpdates.watch(stream.job, {
 			preceded: () => {
-				const assessment = this.#gateway.reconsider(stream.demand(), stream.place, stream.job, this.#attempts.eligibility);
+				const assessment = this.#gateway.reevaluate(stream.demand(), stream.place, stream.job, this.#attempts.eligibility);
 				this.#rerouteIfWorthwhile(stream, assessment?.staying ?? 0, assessment?.best);
 			},
 			disturbed: loss => {
@@ -72,7 +72,7 @@
 			return;
 		}
 
-		if (this.#gateway.mayRetry(demand().service)) {
+		if (this.#gateway.canRetry(demand().service)) {
 			this.#trace.write('moving', {to: placement.upstream.id, loss: Number(placement.loss.toFixed(3)), staying: Number(staying.toFixed(3))});
 			attempt.cancel('moved');
 		}
