--- a/src/cli/__tests__/documents.test.ts
+++ b/src/cli/__tests__/documents.test.ts
@@ -39,7 +39,7 @@
 
 	it('warns of dangerous changes', async () => {
 		const {out} = await runCommand(['check', file('b.json'), '--against', file('a.json')]);
-		expect(out).toContain('warning: The organisation "weekly" goes');
+		expect(out).toContain('warning: The organisation "weekly" is removed: its keys will be refused.');
 	});
 });
 
