--- a/bench/gateway/simulation.ts
+++ b/bench/gateway/simulation.ts
@@ -241,7 +241,7 @@
 	}
 
 	#send(arrival: Arrival, demand: Demand, chosen: Placement, isRerouted: boolean): void {
-		const {upstream, helpers, holdTokens, prefill: reading} = chosen;
+		const {upstream, helpers, holdTokens, prefill} = chosen;
 		const {model} = this.#options;
 		const {now} = this.#timeline;
 		const job: Job = {
@@ -252,8 +252,8 @@
 			prompt: arrival.prompt,
 			answer: demand.prompt?.answer ?? 0,
 			isHeld: holdTokens > 0,
-			read: reading.total,
-			readPerPass: reading.perIteration,
+			read: prefill.total,
+			readPerPass: prefill.perIteration,
 			pause: demand.pause,
 			urgency: chosen.urgency,
 			placing: isRerouted ? 'retry' : 'first',
--- a/src/gateway/attempt-verdicts.ts
+++ b/src/gateway/attempt-verdicts.ts
@@ -45,19 +45,19 @@
 	 * @param upstream - Upstream of the attempt.
 	 * @returns Ending of the attempt.
 	 */
-	recordNotRun({status, metadata: facts}: Reply, upstream: string): AttemptEnding {
-		const culprit = facts.faultyEngine === undefined ? undefined : this.#gateway.upstreams.findByAddress(facts.faultyEngine);
-		if (culprit !== undefined && culprit.id !== upstream) {
-			this.#gateway.recordVerdict(culprit.id, 'unreachable');
-			this.#attempts.recordMissingHelper(upstream, culprit.id);
-		} else if (facts.isMisdirected) {
+	recordNotRun({status, metadata}: Reply, upstream: string): AttemptEnding {
+		const faultyEngine = metadata.faultyEngine === undefined ? undefined : this.#gateway.upstreams.findByAddress(metadata.faultyEngine);
+		if (faultyEngine !== undefined && faultyEngine.id !== upstream) {
+			this.#gateway.recordVerdict(faultyEngine.id, 'unreachable');
+			this.#attempts.recordMissingHelper(upstream, faultyEngine.id);
+		} else if (metadata.isMisdirected) {
 			this.#gateway.recordVerdict(upstream, 'replaced');
 			this.#gateway.publishAbsence(upstream, 'replaced');
 		} else {
 			this.#gateway.recordVerdict(upstream, 'faulty');
 		}
 
-		return {type: 'not-run', reason: `refused with ${status} by ${facts.faultyEngine ?? upstream}`, isShed: !facts.isMisdirected};
+		return {type: 'not-run', reason: `refused with ${status} by ${metadata.faultyEngine ?? upstream}`, isShed: !metadata.isMisdirected};
 	}
 
 	/**
--- a/src/gateway/dispatch.ts
+++ b/src/gateway/dispatch.ts
@@ -215,9 +215,9 @@
 			return {type: 'not-run', reason: 'no time left', isShed: false};
 		}
 
-		const {placementKind: placing} = this.#attempts;
+		const {placementKind} = this.#attempts;
 		this.#attempts.recordSent(placement.upstream.id);
-		const job = gateway.beginJob(demand, placement, placing);
+		const job = gateway.beginJob(demand, placement, placementKind);
 		this.#logPlacement(placement, job, hold, remaining);
 		const attempt = this.#createAttempt(placement, hold, remaining);
 		this.#currentAttempt = attempt;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -208,8 +208,8 @@
 	 * @returns Whether the retry budget that all hosts share allows one more.
 	 */
 	canRetry(service: string): boolean {
-		const {fleetSize: hosts, isLargeFleet, domainHostCount: domainHosts} = this.peers;
-		return this.retries.allowsRetry(service, {hosts, counted: isLargeFleet ? domainHosts : 1}, this.#clock.now());
+		const {fleetSize: hosts, isLargeFleet, domainHostCount} = this.peers;
+		return this.retries.allowsRetry(service, {hosts, counted: isLargeFleet ? domainHostCount : 1}, this.#clock.now());
 	}
 
 	/**
@@ -296,9 +296,9 @@
 			return 0;
 		}
 
-		const {iteration: iterationTime, prefilling: readers} = this.load.forecast(upstream, model, this.#clock.now());
+		const {iteration: iterationTime, prefilling} = this.load.forecast(upstream, model, this.#clock.now());
 		let prefill = 0;
-		for (const job of readers) {
+		for (const job of prefilling) {
 			prefill += job.readPerPass;
 		}
 
