--- a/__tests__/membership.test.ts
+++ b/__tests__/membership.test.ts
@@ -50,7 +50,7 @@
 });
 
 /** Returns the hosts that ordered a version. Others may have sealed the engine before the hosts knew each other. */
-function findOrderers(fleet: Fleet, version: string): readonly string[] {
+function findControllers(fleet: Fleet, version: string): readonly string[] {
 	const isLoad = (line: unknown) => loadOrderSchema.safeParse(line).data?.order.target.version === version;
 	return fleet.hosts.all.filter(({child}) => child.lines.some(line => isLoad(line))).map(host => host.id);
 }
@@ -86,14 +86,14 @@
 	});
 });
 
-describe('an orderer that is paused and resumes after a takeover', () => {
+describe('a controller that is paused and resumes after a takeover', () => {
 	it.each([true, false])('does not override the order of the host that took over (order numbers checked: %s)', {timeout: 120_000}, async fencing => {
 		await using fleet = await Fleet.start(buildShape(fencing));
-		// A host that knows no peers considers itself the orderer of every engine, so two hosts could order version 2.
+		// A host that knows no peers considers itself the controller of every engine, so two hosts could order version 2.
 		await waitForLinks(fleet, fleet.hosts.all.map(host => host.id), 2);
 		await publishVersion(fleet, '2');
 		await waitUntil(async () => await fetchVersion(fleet) === '2');
-		const [paused, ...rest] = findOrderers(fleet, '2');
+		const [paused, ...rest] = findControllers(fleet, '2');
 		expect(rest).toEqual([]);
 		fleet.hosts.get(paused!).child.pause();
 		const others = fleet.hosts.all.map(host => host.id).filter(id => id !== paused);
--- a/src/core/__tests__/placement.test.ts
+++ b/src/core/__tests__/placement.test.ts
@@ -156,7 +156,7 @@
 		return [...this.engines.values()].filter(engine => engine.current !== undefined && engine.loading === undefined).length;
 	}
 
-	findOrderer(document: ReturnType<typeof createPlacementDocument>, id: string): string {
+	findController(document: ReturnType<typeof createPlacementDocument>, id: string): string {
 		const engine = document.upstreams.find(each => each.id === id);
 		return engine?.kind === 'engine' ? createControllerLookup(this.network.state(this.hosts[0]!))(engine)! : '';
 	}
@@ -197,7 +197,7 @@
 }
 
 describe('placement', () => {
-	it('loads each empty engine once, through one orderer', () => {
+	it('loads each empty engine once, through one controller', () => {
 		const simulation = new PlacementSimulation(createFakeEngines(8, undefined));
 		simulation.network.publishConfiguration(createPlacementDocument(1, engineConfigurations(simulation, 'v1')), ...simulation.hosts);
 		expect(simulation.run(20_000, () => simulation.isDeployed('v1'))).toBe(true);
@@ -249,7 +249,7 @@
 		const first = createPlacementDocument(1, [createEngine('e0', 'v0', fencing)], 0);
 		simulation.network.publishConfiguration(first, ...simulation.hosts);
 		simulation.run(8000);
-		const paused = simulation.findOrderer(first, 'e0');
+		const paused = simulation.findController(first, 'e0');
 		const others = simulation.hosts.filter(host => host !== paused);
 		simulation.delayedHost = paused;
 		simulation.network.publishConfiguration(createPlacementDocument(2, [createEngine('e0', 'v1', fencing)], 0), ...simulation.hosts);
@@ -275,8 +275,8 @@
 		simulation.run(8000);
 		const engine = simulation.engines.get('e0')!;
 		const before = engine.highest!;
-		const orderer = simulation.findOrderer(document, 'e0');
-		simulation.network.removeHost(orderer);
+		const controller = simulation.findController(document, 'e0');
+		simulation.network.removeHost(controller);
 		simulation.run(8000);
 		expect(engine.highest!.counter).toBeGreaterThan(before.counter);
 		expect(engine.handleOrder({type: 'load', number: {counter: before.counter, host: 'z'}, target: createTarget('v0')}, 0)).toBe(false);
