--- a/src/gateway/load-updates.ts
+++ b/src/gateway/load-updates.ts
@@ -52,7 +52,7 @@
 	/** Another host's job started earlier at one of the job's engines. */
 	readonly preceded: () => void;
 	/** The prefill of a long prompt will interrupt the job's decode: the loss of staying, in requests of usual weight. */
-	readonly disturbed: (loss: number) => void;
+	readonly disrupted: (loss: number) => void;
 };
 
 export class LoadUpdates {
@@ -91,7 +91,7 @@
 		const {load, now} = this.#options;
 		load.begin(job, now());
 		this.#ownChanges.add({began: [job]});
-		this.#notifyDisturbed(job);
+		this.#notifyDisrupted(job);
 	}
 
 	/**
@@ -193,7 +193,7 @@
 		this.#reportDomainJobs(began);
 		for (const job of began) {
 			load.begin(job, now());
-			this.#notifyDisturbed(job);
+			this.#notifyDisrupted(job);
 			this.#notifyPreceded(job);
 		}
 
@@ -287,7 +287,7 @@
 	}
 
 	/** Notifies own streams if the prefill of a new job will interrupt their decode for too long. */
-	#notifyDisturbed(job: Job): void {
+	#notifyDisrupted(job: Job): void {
 		if (job.readPerPass < disruptivePrefillMs || this.#reroutable.size === 0) {
 			return;
 		}
@@ -296,7 +296,7 @@
 		for (const upstream of [job.upstream, ...job.helpers]) {
 			const model = modelAt(upstream);
 			for (const {job: stream, loss} of model === undefined ? [] : findDisruptedStreams(load.forecast(upstream, model, now()))) {
-				this.#reroutable.get(stream.id)?.disturbed(loss);
+				this.#reroutable.get(stream.id)?.disrupted(loss);
 			}
 		}
 	}
--- a/src/gateway/rerouter.ts
+++ b/src/gateway/rerouter.ts
@@ -43,8 +43,8 @@
 				const assessment = this.#gateway.reevaluate(stream.demand(), stream.place, stream.job, this.#attempts.eligibility);
 				this.#rerouteIfWorthwhile(stream, assessment?.staying ?? 0, assessment?.best);
 			},
-			disturbed: loss => {
-				this.#considerDisturbance(stream, loss);
+			disrupted: loss => {
+				this.#considerDisruption(stream, loss);
 			},
 		});
 	}
@@ -55,7 +55,7 @@
 	 * @param stream - The stream.
 	 * @param staying - Expected loss of staying.
 	 */
-	#considerDisturbance(stream: RunningStream, staying: number): void {
+	#considerDisruption(stream: RunningStream, staying: number): void {
 		const demand = stream.demand();
 		if (demand.pause === undefined || this.#trace.longestPause > demand.pause || demand.hasBegun !== true) {
 			return;
