--- a/src/core/gateway/absences.ts
+++ b/src/core/gateway/absences.ts
@@ -23,7 +23,7 @@
 
 /**
  * Creates the report of an absence. A refusal or silence seen from another failure domain does not apply in all of them: the link may be cut
- * while the upstream is alive. A host that reaches another process at the address has reached the address.
+ * while the upstream is alive. `replaced` applies in all of them: another process answered at the address, so the link works.
  *
  * @param upstream - Upstream that was found absent.
  * @param reason - How it was found absent.
--- a/src/gateway/attempt-verdicts.ts
+++ b/src/gateway/attempt-verdicts.ts
@@ -1,4 +1,4 @@
-/** Draws conclusions from ended attempts: the health of upstreams, suspected requests, and where a request may be sent next. */
+/** Records the results of ended attempts: health of upstreams, suspected requests, and upstreams that a retry may use. */
 import {endingToVerdict} from '../core/gateway/health.js';
 import {type AttemptEnding} from '../core/gateway/retries.js';
 import {type Attempts} from '../core/gateway/attempts.js';
